--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,7 +1,9 @@
 //! The policy instances that the simulator has started.
 
 use crate::error::AdapterError;
-use crate::wire::{self, Batch, EndpointLists, Input, InstanceId, InstanceInput, Reply};
+use crate::wire::{
+    self, AddressedInput, Batch, BatchReply, EndpointLists, InstanceId, InstanceInput,
+};
 use aggregator_core::config::parse_policy_settings;
 use aggregator_policy::api::{Action, Event, Nanos};
 use aggregator_policy::Policy;
@@ -9,9 +11,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// What a crashed instance reports where its panic carries no text.
+/// The message of a panic that carries no text. It goes to the simulator.
 const UNKNOWN_PANIC: &str = "the decision module broke";
 
+/// A policy panicked while it handled events.
+#[derive(Debug, thiserror::Error)]
+#[error("{message}")]
+struct PolicyPanic {
+    message: String,
+}
+
 /// The running policies, and the endpoint lists that their events refer to.
 #[derive(Default)]
 pub struct PolicyInstances {
@@ -22,20 +31,23 @@
 /// The events of one batch by instance.
 #[derive(Default)]
 struct PendingEvents {
-    events: BTreeMap<InstanceId, Vec<Event>>,
+    /// An instance that the batch has stopped has no entry.
+    by_instance: BTreeMap<InstanceId, Vec<Event>>,
     /// All instances of the batch, in the order of their first inputs.
     order: Vec<InstanceId>,
 }
 
 impl PolicyInstances {
-    /// Hands each instance its events of one batch, in their order, and collects the actions.
-    pub fn handle_batch(&mut self, batch: &Batch) -> Result<Reply, AdapterError> {
+    /// Passes to each instance its events of one batch, in their order, and collects the actions.
+    pub fn handle_batch(&mut self, batch: &Batch) -> Result<BatchReply, AdapterError> {
         let inputs = wire::decode_inputs(batch, &mut self.endpoint_lists)?;
         let pending = self.apply_inputs(inputs)?;
-        let mut reply = Reply::default();
+        let mut reply = BatchReply::default();
         for instance in pending.order {
-            let policy = self.policies.get_mut(&instance);
-            let (Some(policy), Some(events)) = (policy, pending.events.get(&instance)) else {
+            let Some(events) = pending.by_instance.get(&instance) else {
+                continue;
+            };
+            let Some(policy) = self.policies.get_mut(&instance) else {
                 continue;
             };
             match run_policy(policy, batch.clock, events) {
@@ -44,29 +56,31 @@
                         reply.push_action(instance, action);
                     }
                 }
-                Err(message) => reply.push_crash(instance, &message),
+                Err(panic) => reply.push_crash(instance, &panic.message),
             }
         }
         Ok(reply)
     }
 
-    /// Starts and stops instances, and returns the events of those that are left.
-    fn apply_inputs(&mut self, inputs: Vec<InstanceInput>) -> Result<PendingEvents, AdapterError> {
+    /// Starts and stops instances, and returns the events of those that run after the batch.
+    fn apply_inputs(&mut self, inputs: Vec<AddressedInput>) -> Result<PendingEvents, AdapterError> {
         let mut pending = PendingEvents::default();
         let mut seen = BTreeSet::new();
-        for InstanceInput { instance, input } in inputs {
+        for AddressedInput { instance, input } in inputs {
             match input {
-                Input::Start { seed, settings } => {
+                InstanceInput::Start { seed, settings } => {
                     let settings = parse_policy_settings(&settings)
                         .map_err(|error| AdapterError::Settings(error.into()))?;
                     self.policies.insert(instance, Policy::new(settings, seed));
-                    pending.events.insert(instance, Vec::new());
+                    pending.by_instance.insert(instance, Vec::new());
                 }
-                Input::Stop => {
+                InstanceInput::Stop => {
                     self.policies.remove(&instance);
-                    pending.events.remove(&instance);
+                    pending.by_instance.remove(&instance);
+                }
+                InstanceInput::Event(event) => {
+                    pending.by_instance.entry(instance).or_default().push(event)
                 }
-                Input::Event(event) => pending.events.entry(instance).or_default().push(event),
             }
             if seen.insert(instance) {
                 pending.order.push(instance);
@@ -76,21 +90,30 @@
     }
 }
 
-/// The actions of one policy, or the message of its panic. A policy that has panicked stays in
-/// place until the simulator stops or restarts it.
-fn run_policy(policy: &mut Policy, now: Nanos, events: &[Event]) -> Result<Vec<Action>, String> {
+/// The actions of one policy. One that has panicked stays in place until the simulator stops or
+/// restarts it.
+fn run_policy(
+    policy: &mut Policy,
+    now: Nanos,
+    events: &[Event],
+) -> Result<Vec<Action>, PolicyPanic> {
     let mut actions = Vec::new();
-    catch_unwind(AssertUnwindSafe(|| {
-        policy.handle(now, events, &mut actions)
-    }))
-    .map_err(|cause| panic_message(cause.as_ref()))?;
-    Ok(actions)
+    let result = catch_unwind(AssertUnwindSafe(|| {
+        policy.handle(now, events, &mut actions);
+    }));
+    match result {
+        Ok(()) => Ok(actions),
+        Err(payload) => Err(PolicyPanic {
+            message: panic_message(payload.as_ref()),
+        }),
+    }
 }
 
-fn panic_message(cause: &(dyn Any + Send)) -> String {
-    if let Some(text) = cause.downcast_ref::<String>() {
+/// The text that a panic carries: a `String` if it was formatted, else a `&str`.
+fn panic_message(payload: &(dyn Any + Send)) -> String {
+    if let Some(text) = payload.downcast_ref::<String>() {
         return text.clone();
     }
-    let text = cause.downcast_ref::<&str>().copied();
+    let text = payload.downcast_ref::<&str>().copied();
     text.unwrap_or(UNKNOWN_PANIC).to_string()
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,8 +2,8 @@
 //!
 //! The simulator drives any number of policy instances at once. It sends batches of events on
 //! standard input; for each batch the adapter writes one reply with the instances' actions to
-//! standard output. [`wire`] translates between bytes and the policy's types, [`instances`] hands
-//! the events to the instances. Nothing is decided here: every decision is in `aggregator-policy`.
+//! standard output. [`wire`] translates between bytes and the policy's types, [`instances`] passes
+//! the events to the instances. Every decision is in `aggregator-policy`.
 
 mod error;
 mod instances;
@@ -16,11 +16,11 @@
 use wire::Batch;
 
 fn main() -> ExitCode {
-    // A panic of a policy goes into the reply, and standard error is for one line at the end.
+    // The reply reports a policy's panic. Standard error has one line at most, at the end.
     std::panic::set_hook(Box::new(|_| {}));
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
-    match run(&mut input, &mut output) {
+    match answer_batches(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
@@ -29,8 +29,8 @@
     }
 }
 
-/// Answers batches until the end of the input.
-fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
+/// Writes one reply for each batch, until the end of the input.
+fn answer_batches(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut instances = PolicyInstances::default();
     while let Some(batch) = Batch::read(input)? {
         let reply = instances.handle_batch(&batch)?;
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -17,7 +17,7 @@
 
 /// One batch from the simulator.
 pub struct Batch {
-    /// The number that its reply has to repeat.
+    /// The number that identifies the batch, also in its reply.
     pub number: u32,
     /// The time of all its events.
     pub clock: Nanos,
@@ -26,27 +26,27 @@
 }
 
 impl Batch {
-    /// Reads the next batch; none at the end of the input.
+    /// Reads the next batch; `None` at the end of the input.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, BatchError> {
         let Some(header) = read_header(input)? else {
             return Ok(None);
         };
         let header = Fields::new(&header);
-        let batch = header.u32(NUMBER);
-        let length = header.u32(BODY_LENGTH) as usize;
-        let records = header.u32(RECORD_COUNT) as usize;
-        let records_length = records
+        let number = header.u32(NUMBER);
+        let body_length = header.u32(BODY_LENGTH) as usize;
+        let record_count = header.u32(RECORD_COUNT) as usize;
+        let records_length = record_count
             .checked_mul(RECORD_LENGTH)
-            .filter(|records_length| *records_length <= length)
+            .filter(|records_length| *records_length <= body_length)
             .ok_or(BatchError::RecordsDoNotFit {
-                batch,
-                records,
-                length,
+                batch: number,
+                records: record_count,
+                length: body_length,
             })?;
-        let mut records = read_body(input, batch, length)?;
+        let mut records = read_body(input, number, body_length)?;
         let tail = records.split_off(records_length);
         Ok(Some(Batch {
-            number: batch,
+            number,
             clock: header.u64(CLOCK),
             records,
             tail,
@@ -61,8 +61,9 @@
     /// Bytes of the tail that a record refers to.
     pub fn tail_bytes(&self, offset: u32, length: usize) -> Result<&[u8], RecordError> {
         let start = offset as usize;
-        let end = start.checked_add(length);
-        end.and_then(|end| self.tail.get(start..end))
+        start
+            .checked_add(length)
+            .and_then(|end| self.tail.get(start..end))
             .ok_or(RecordError::PastTail {
                 offset,
                 length,
@@ -71,7 +72,7 @@
     }
 }
 
-/// Reads a header; none if the input has ended before it.
+/// Reads a header; `None` if the input ends before its first byte.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_LENGTH]>, BatchError> {
     let mut header = [0; HEADER_LENGTH];
     let mut bytes_read = 0;
@@ -87,7 +88,7 @@
     Ok(Some(header))
 }
 
-/// Reads a body. The buffer grows with what is read, so that a wrong length reserves no memory.
+/// Reads a body. The buffer grows as bytes arrive: a wrong length must not reserve memory.
 fn read_body(input: &mut impl Read, batch: u32, length: usize) -> Result<Vec<u8>, BatchError> {
     let mut body = Vec::new();
     input
--- a/crates/simulator-adapter/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -5,7 +5,7 @@
 use aggregator_policy::api::{ReplicaEntry, ReplicaState};
 use std::collections::BTreeMap;
 
-/// Bytes of one entry of a list, and the offsets of its fields.
+/// Bytes of one entry of a list. The offsets of its fields follow.
 pub const ENTRY_LENGTH: usize = 25;
 const CELL: usize = 0;
 const REPLICA: usize = 2;
@@ -18,25 +18,29 @@
 const STATE_READY: u8 = 1;
 const STATE_DRAINING: u8 = 2;
 
-/// The lists that were sent so far.
+/// The lists that the simulator has sent, by their numbers.
 #[derive(Default)]
 pub struct EndpointLists {
     by_number: BTreeMap<u32, Vec<ReplicaEntry>>,
 }
 
 impl EndpointLists {
-    /// Decodes a list and stores it, in place of an earlier one with the same number.
+    /// Decodes a list and stores it. It replaces an earlier one with the same number.
     pub fn insert(&mut self, number: u32, bytes: &[u8]) -> Result<(), RecordError> {
-        let entries = bytes.chunks_exact(ENTRY_LENGTH).map(decode_entry);
-        self.by_number
-            .insert(number, entries.collect::<Result<_, _>>()?);
+        let entries: Vec<ReplicaEntry> = bytes
+            .chunks_exact(ENTRY_LENGTH)
+            .map(decode_entry)
+            .collect::<Result<_, _>>()?;
+        self.by_number.insert(number, entries);
         Ok(())
     }
 
-    /// The entries of the list that now has this number.
+    /// The entries of the last list with this number.
     pub fn entries(&self, number: u32) -> Result<Vec<ReplicaEntry>, RecordError> {
-        let entries = self.by_number.get(&number).cloned();
-        entries.ok_or(RecordError::UnknownList(number))
+        self.by_number
+            .get(&number)
+            .cloned()
+            .ok_or(RecordError::UnknownList(number))
     }
 }
 
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,48 +1,17 @@
-//! Decodes the records of a batch.
+//! Decodes the records that are events for the policy.
 
 use super::batch::Batch;
-use super::endpoint_list::{EndpointLists, ENTRY_LENGTH};
-use super::error::{BatchError, RecordError};
+use super::endpoint_list::EndpointLists;
+use super::error::RecordError;
 use super::fields::Fields;
 use aggregator_policy::api::{
     AttemptEnded, AttemptOutcome, EndpointUpdateKind, Event, HealthCheckEnded, LoadReport, Nanos,
     PartReceived, QueryReceived,
 };
 
-/// The number of a policy instance.
-pub type InstanceId = u16;
-
-/// What a record says to one instance.
-#[derive(Debug, PartialEq)]
-pub struct InstanceInput {
-    /// The instance.
-    pub instance: InstanceId,
-    /// The input.
-    pub input: Input,
-}
-
-/// One input of an instance.
-#[derive(Debug, PartialEq)]
-pub enum Input {
-    /// Start the instance, in place of one that runs.
-    Start {
-        /// The seed of its random numbers.
-        seed: u64,
-        /// Its settings, a `key=value` pair a line.
-        settings: String,
-    },
-    /// Stop the instance at once.
-    Stop,
-    /// An event for the policy.
-    Event(Event),
-}
-
-/// The kinds of records, by their codes.
+/// The kinds of events, by their codes.
 mod kind {
-    pub const START: u8 = 1;
     pub const RESPONSE_STARTED: u8 = 2;
-    pub const ENDPOINT_LIST: u8 = 3;
-    pub const STOP: u8 = 4;
     pub const TIMER_FIRED: u8 = 5;
     pub const ATTEMPT_ENDED: u8 = 6;
     pub const REQUEST_RECEIVED: u8 = 7;
@@ -64,79 +33,25 @@
     pub const ERROR: u16 = 255;
 }
 
-/// The offset of the code in every record, and of the instance in all but endpoint lists.
-const KIND: usize = 0;
-const INSTANCE: usize = 1;
-
-/// Decodes the records of a batch in their order. Endpoint lists are stored and looked up on the
-/// way, since a number can be used for another list within one batch.
-pub fn decode_inputs(
-    batch: &Batch,
-    lists: &mut EndpointLists,
-) -> Result<Vec<InstanceInput>, BatchError> {
-    let mut inputs = Vec::new();
-    for (index, record) in batch.records().enumerate() {
-        let invalid = |source| BatchError::Record {
-            batch: batch.number,
-            record: index,
-            source,
-        };
-        if record.u8(KIND) == kind::ENDPOINT_LIST {
-            store_endpoint_list(record, batch, lists).map_err(invalid)?;
-        } else {
-            let input = decode_input(record, batch, lists).map_err(invalid)?;
-            let instance = record.u16(INSTANCE);
-            inputs.push(InstanceInput { instance, input });
-        }
-    }
-    Ok(inputs)
-}
-
-fn store_endpoint_list(
-    record: Fields,
-    batch: &Batch,
-    lists: &mut EndpointLists,
-) -> Result<(), RecordError> {
-    const NUMBER: usize = 1;
-    const ENTRIES_OFFSET: usize = 5;
-    const ENTRY_COUNT: usize = 9;
-    let length = (record.u32(ENTRY_COUNT) as usize).saturating_mul(ENTRY_LENGTH);
-    let bytes = batch.tail_bytes(record.u32(ENTRIES_OFFSET), length)?;
-    lists.insert(record.u32(NUMBER), bytes)
-}
-
-fn decode_input(
+/// Decodes an event of this kind. Its lists are looked up in `lists`, its bytes in the tail of
+/// `batch`.
+pub fn decode_event(
+    kind: u8,
     record: Fields,
     batch: &Batch,
     lists: &EndpointLists,
-) -> Result<Input, RecordError> {
-    let event = match record.u8(KIND) {
-        kind::START => return decode_start(record, batch),
-        kind::STOP => return Ok(Input::Stop),
-        kind::RESPONSE_STARTED => decode_response_started(record),
-        kind::TIMER_FIRED => decode_timer_fired(record),
-        kind::ATTEMPT_ENDED => decode_attempt_ended(record)?,
-        kind::REQUEST_RECEIVED => decode_request_received(record),
-        kind::ENDPOINTS_UPDATED => decode_endpoints_updated(record, lists)?,
-        kind::GOSSIP_RECEIVED => decode_gossip_received(record, batch)?,
-        kind::CLIENT_DISCONNECTED => decode_client_disconnected(record),
-        kind::HEALTH_CHECK_ENDED => decode_health_check_ended(record)?,
-        unknown => return Err(RecordError::UnknownKind(unknown)),
-    };
-    Ok(Input::Event(event))
-}
-
-fn decode_start(record: Fields, batch: &Batch) -> Result<Input, RecordError> {
-    const SEED: usize = 3;
-    const SETTINGS_OFFSET: usize = 11;
-    const SETTINGS_LENGTH: usize = 15;
-    let length = record.u32(SETTINGS_LENGTH) as usize;
-    let bytes = batch.tail_bytes(record.u32(SETTINGS_OFFSET), length)?;
-    let settings = String::from_utf8(bytes.to_vec()).map_err(|_| RecordError::SettingsNotUtf8)?;
-    Ok(Input::Start {
-        seed: record.u64(SEED),
-        settings,
-    })
+) -> Result<Event, RecordError> {
+    match kind {
+        kind::RESPONSE_STARTED => Ok(decode_response_started(record)),
+        kind::TIMER_FIRED => Ok(decode_timer_fired(record)),
+        kind::ATTEMPT_ENDED => decode_attempt_ended(record),
+        kind::REQUEST_RECEIVED => Ok(decode_request_received(record)),
+        kind::ENDPOINTS_UPDATED => decode_endpoints_updated(record, lists),
+        kind::GOSSIP_RECEIVED => decode_gossip_received(record, batch),
+        kind::CLIENT_DISCONNECTED => Ok(decode_client_disconnected(record)),
+        kind::HEALTH_CHECK_ENDED => decode_health_check_ended(record),
+        unknown => Err(RecordError::UnknownKind(unknown)),
+    }
 }
 
 fn decode_response_started(record: Fields) -> Event {
@@ -172,42 +87,51 @@
     }))
 }
 
-/// A query or one of its parts. A part names its shard; a query has a negative one.
+/// A query or one of its parts. A part has a shard; the shard of a query is negative.
 fn decode_request_received(record: Fields) -> Event {
-    const ID: usize = 3;
     const SHARD: usize = 11;
+    let shard = record.f32(SHARD);
+    if shard >= 0.0 {
+        Event::PartReceived(decode_part(record, shard as u32))
+    } else {
+        Event::QueryReceived(decode_query(record))
+    }
+}
+
+/// Offsets of the fields that queries and parts have in common. The group is a whole number in a
+/// floating-point field.
+const REQUEST_ID: usize = 3;
+const REQUEST_GROUP: usize = 33;
+
+fn decode_part(record: Fields, shard: u32) -> PartReceived {
+    const WEIGHT: usize = 50;
+    PartReceived {
+        id: record.u64(REQUEST_ID),
+        group: record.f32(REQUEST_GROUP) as u32,
+        shard,
+        weight: f64::from(record.f32(WEIGHT)),
+    }
+}
+
+fn decode_query(record: Fields) -> QueryReceived {
     const CLIENT_TIMEOUT: usize = 15;
     const WORK: usize = 23;
     const CLASS: usize = 31;
-    const GROUP: usize = 33;
     const TENANT: usize = 37;
     const FLAGS: usize = 49;
-    const WEIGHT: usize = 50;
     const FLAG_HAS_WORK: u8 = 1;
     const FLAG_IS_RETRY: u8 = 2;
-
-    let id = record.u64(ID);
-    let group = record.f32(GROUP) as u32;
-    let shard = record.f32(SHARD);
-    if shard >= 0.0 {
-        return Event::PartReceived(PartReceived {
-            id,
-            group,
-            shard: shard as u32,
-            weight: f64::from(record.f32(WEIGHT)),
-        });
-    }
     let flags = record.u8(FLAGS);
     let work: Nanos = record.u64(WORK);
-    Event::QueryReceived(QueryReceived {
-        id,
-        group,
+    QueryReceived {
+        id: record.u64(REQUEST_ID),
+        group: record.f32(REQUEST_GROUP) as u32,
         class: record.u16(CLASS),
         tenant: record.u32(TENANT),
         client_timeout: record.u64(CLIENT_TIMEOUT),
         work: (flags & FLAG_HAS_WORK != 0).then_some(work),
         is_retry: flags & FLAG_IS_RETRY != 0,
-    })
+    }
 }
 
 fn decode_endpoints_updated(record: Fields, lists: &EndpointLists) -> Result<Event, RecordError> {
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,9 +1,11 @@
-//! Fields at fixed offsets.
+//! Little-endian fields at fixed offsets of a byte layout.
 
 use aggregator_policy::api::ReplicaId;
 
-/// Bytes whose layout is known. Offsets are constants of the layout, and the caller has checked
-/// that the bytes are as long as the layout says.
+/// The bytes of a header, a record or an entry of a list.
+///
+/// The methods panic at an offset past the end: offsets are constants of the layout, and the caller
+/// has checked the length.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(&'a [u8]);
 
@@ -44,10 +46,11 @@
         f32::from_le_bytes(self.bytes(offset))
     }
 
-    /// A replica: 4 bytes of address and a port of 2 bytes, taken as one number.
+    /// A replica: an address of 4 bytes and a port of 2 bytes, read as one number.
     pub fn replica(self, offset: usize) -> ReplicaId {
+        const PORT: usize = 4;
         let address = u64::from(self.u32(offset));
-        let port = u64::from(self.u16(offset + 4));
-        ReplicaId(address | port << 32)
+        let port = u64::from(self.u16(offset + PORT));
+        ReplicaId(address | port << u32::BITS)
     }
 }
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -5,18 +5,20 @@
 //! record has its offset and length there. The simulator defines the layout and the codes: neither
 //! may change here.
 //!
-//! [`batch`] reads frames, [`record`] decodes their records into [`Input`]s, and [`reply`] encodes
-//! actions.
+//! [`batch`] reads batches, [`input`] decodes their records into the inputs of policy instances,
+//! with [`event`] for the policy's events and [`endpoint_list`] for the lists that these refer to.
+//! [`reply`] encodes the actions.
 
 mod batch;
 mod endpoint_list;
 mod error;
+mod event;
 mod fields;
-mod record;
+mod input;
 mod reply;
 
 pub use batch::Batch;
 pub use endpoint_list::EndpointLists;
 pub use error::BatchError;
-pub use record::{decode_inputs, Input, InstanceId, InstanceInput};
-pub use reply::Reply;
+pub use input::{decode_inputs, AddressedInput, InstanceId, InstanceInput};
+pub use reply::BatchReply;
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,16 +1,18 @@
 //! Encodes replies: a header of three fields, the records, and the tail.
 
-use super::record::InstanceId;
+use super::input::InstanceId;
 use aggregator_policy::api::{Action, ReplicaId};
 
+/// Bytes of a reply's header.
 const HEADER_LENGTH: usize = 12;
-/// Bytes of one record of a reply; unused ones are zero.
+/// Bytes of one record; unused ones are zero.
 const RECORD_LENGTH: usize = 32;
+/// Bytes of a replica: its address and port.
 const REPLICA_LENGTH: usize = 6;
 
-/// The receiver of a gossip message that goes to all.
+/// The receiver of a gossip message to all aggregators.
 const ALL_AGGREGATORS: u32 = u32::MAX;
-/// The retry-after of a rejection that has none.
+/// The field `retry_after` of a rejection without a delay.
 const NO_RETRY_AFTER: u64 = 0;
 
 /// The kinds of records, by their codes.
@@ -30,16 +32,16 @@
     pub const ANSWER: u8 = 13;
 }
 
-/// The reply to one batch, while it is built.
+/// The reply to one batch, to which actions are appended.
 #[derive(Default)]
-pub struct Reply {
+pub struct BatchReply {
     records: Vec<u8>,
     record_count: u32,
     tail: Vec<u8>,
 }
 
-impl Reply {
-    /// The reply to the batch with this number, as it is sent.
+impl BatchReply {
+    /// Encodes the reply to the batch with this number.
     pub fn to_bytes(&self, batch_number: u32) -> Vec<u8> {
         let body_length = self.records.len() + self.tail.len();
         let mut bytes = Vec::with_capacity(HEADER_LENGTH + body_length);
@@ -53,39 +55,43 @@
 
     /// Appends an action of an instance.
     pub fn push_action(&mut self, instance: InstanceId, action: &Action) {
-        let record = |kind: u8| Record::new(kind, instance);
+        let new_record = |kind: u8| Record::new(kind, instance);
         let record = match action {
             Action::SendAttempt {
                 part,
                 replica,
                 until,
                 ..
-            } => record(kind::SEND_ATTEMPT)
+            } => new_record(kind::SEND_ATTEMPT)
                 .u64(*part)
                 .replica(*replica)
                 .u64(*until),
-            Action::Reject { query, retry_after } => record(kind::REJECT)
+            Action::Reject { query, retry_after } => new_record(kind::REJECT)
                 .u64(*query)
                 .u64(retry_after.unwrap_or(NO_RETRY_AFTER)),
-            Action::Fail { query } => record(kind::FAIL).u64(*query),
+            Action::Fail { query } => new_record(kind::FAIL).u64(*query),
             Action::CancelAttempt { part, attempt } => {
-                record(kind::CANCEL_ATTEMPT).u64(*part).u8(*attempt)
+                new_record(kind::CANCEL_ATTEMPT).u64(*part).u8(*attempt)
             }
-            Action::SetTimer { token, after } => record(kind::SET_TIMER).u64(*token).u64(*after),
-            Action::CheckHealth { replica } => record(kind::CHECK_HEALTH).replica(*replica),
+            Action::SetTimer { token, after } => {
+                new_record(kind::SET_TIMER).u64(*token).u64(*after)
+            }
+            Action::CheckHealth { replica } => new_record(kind::CHECK_HEALTH).replica(*replica),
             Action::CloseIdleConnections { replica } => {
-                record(kind::CLOSE_IDLE_CONNECTIONS).replica(*replica)
+                new_record(kind::CLOSE_IDLE_CONNECTIONS).replica(*replica)
             }
-            Action::SendGossip { to, bytes } => record(kind::SEND_GOSSIP)
+            Action::SendGossip { to, bytes } => new_record(kind::SEND_GOSSIP)
                 .u32(to.unwrap_or(ALL_AGGREGATORS))
                 .tail_range(self.append_to_tail(bytes)),
-            Action::Log(text) => record(kind::LOG).tail_range(self.append_to_tail(text.as_bytes())),
+            Action::Log(text) => {
+                new_record(kind::LOG).tail_range(self.append_to_tail(text.as_bytes()))
+            }
             Action::WatchEndpoints { enabled } => {
-                record(kind::WATCH_ENDPOINTS).u8(u8::from(*enabled))
+                new_record(kind::WATCH_ENDPOINTS).u8(u8::from(*enabled))
             }
-            Action::FetchEndpoints => record(kind::FETCH_ENDPOINTS),
+            Action::FetchEndpoints => new_record(kind::FETCH_ENDPOINTS),
             Action::Answer { query, complete } => {
-                record(kind::ANSWER).u64(*query).u8(u8::from(*complete))
+                new_record(kind::ANSWER).u64(*query).u8(u8::from(*complete))
             }
         };
         self.push(record);
@@ -93,8 +99,8 @@
 
     /// Appends the message of an instance that has panicked.
     pub fn push_crash(&mut self, instance: InstanceId, message: &str) {
-        let message = self.append_to_tail(message.as_bytes());
-        self.push(Record::new(kind::CRASH, instance).tail_range(message));
+        let text = self.append_to_tail(message.as_bytes());
+        self.push(Record::new(kind::CRASH, instance).tail_range(text));
     }
 
     fn push(&mut self, record: Record) {
@@ -118,9 +124,10 @@
     length: u32,
 }
 
-/// One record, filled field by field.
+/// One record, to which fields are appended.
 struct Record {
     bytes: [u8; RECORD_LENGTH],
+    /// Bytes of the fields so far.
     length: usize,
 }
 
