--- a/crates/simulator-adapter/tests/support/batch.rs
+++ b/crates/simulator-adapter/tests/support/batch.rs
@@ -111,12 +111,12 @@
         ])
     }
 
-    /// Tells an instance that an endpoint list is in force.
+    /// Sends an instance an update to an endpoint list.
     pub fn endpoints_updated(self, instance: u16, list: u32) -> Batch {
         self.endpoints_updated_as(instance, list, CACHED)
     }
 
-    /// Tells an instance of an update of the endpoint list, of this kind.
+    /// Sends an instance an update of this kind to an endpoint list.
     pub fn endpoints_updated_as(self, instance: u16, list: u32, kind: u8) -> Batch {
         self.record(&[
             &[8],
@@ -153,7 +153,7 @@
         self.request(instance, id, 0.0, group)
     }
 
-    /// Tells an instance that the client of a query has disconnected.
+    /// Sends an instance the event that the client of a query has disconnected.
     pub fn client_disconnected(self, instance: u16, id: u64) -> Batch {
         self.record(&[&[10], &instance.to_le_bytes(), &id.to_le_bytes()])
     }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_attempt_goes_to_a_replica_on_the_endpoint_list_in_the_specified_layout() {
+fn an_attempt_record_names_a_listed_replica_in_the_specified_layout() {
     let address = [10, 18, 74, 7, 0x2b, 0x23];
     let batch = Batch::new(5)
         .start(3, SETTINGS)
