--- a/crates/aggregator/src/process/mod.rs
+++ b/crates/aggregator/src/process/mod.rs
@@ -14,51 +14,71 @@
 use crate::files::Files;
 use crate::frontends;
 use crate::logging::Logging;
-use crate::settings::{self, LogSettings, SettingsError};
+use crate::settings::{self, LogSettings, SettingsError, SCHEMA};
 use crate::usage_recorder::UsageLogRecorder;
 use aggregator_core::config::Config;
 use aggregator_core::engine::Engine;
 use aggregator_core::net::{self, Clock, Extensions, UsageRecorder};
+use ini_config::Settings;
 use reload::Reloader;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpListener;
-use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 use usage_ledger::settings::UsageLog;
-use usage_ledger::writer::{self, Writer};
+use usage_ledger::writer;
+
+/// What the files state at the start of the process.
+struct Startup {
+    config: Config,
+    settings: Settings,
+    /// None if the usage log is off.
+    usage_log: Option<UsageLog>,
+}
 
 /// Runs the aggregator until it is shut down by a signal.
 pub fn run(files: &Files) -> Result<(), ServeError> {
-    let path = files.config.as_deref();
-    let config = configuration::read(path.ok_or(ConfigurationError::NotNamed)?)?;
-    let settings = settings::read(files.settings.as_deref())?;
-    let usage_log = UsageLog::read(&settings, &settings::SCHEMA).map_err(SettingsError::from)?;
-    let logging = Logging::start(LogSettings::read(&settings)?)?;
+    let startup = read_files(files)?;
+    let logging = Logging::start(LogSettings::read(&startup.settings)?)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(ServeError::Runtime)?;
+    LocalSet::new().block_on(&runtime, serve(files, startup, logging))
+}
+
+fn read_files(files: &Files) -> Result<Startup, ServeError> {
+    let path = files.config.as_deref();
+    let config = configuration::read(path.ok_or(ConfigurationError::NotNamed)?)?;
+    let settings = settings::read(files.settings.as_deref())?;
+    let usage_log = UsageLog::read(&settings, &SCHEMA).map_err(SettingsError::from)?;
+    Ok(Startup {
+        config,
+        settings,
+        usage_log,
+    })
+}
+
+async fn serve(files: &Files, startup: Startup, logging: Logging) -> Result<(), ServeError> {
+    let Startup {
+        config,
+        settings,
+        usage_log,
+    } = startup;
+    let frontends = frontends::open(&settings).await?;
     let reloader = Reloader {
         files: files.clone(),
-        config,
+        config: config.clone(),
         settings,
         logging,
-        tls: None,
+        tls: frontends.tls,
     };
-    LocalSet::new().block_on(&runtime, serve(reloader, usage_log))
-}
-
-async fn serve(mut reloader: Reloader, usage_log: Option<UsageLog>) -> Result<(), ServeError> {
-    let (signal_sender, signal_receiver) = mpsc::channel(1);
-    let config = reloader.config.clone();
-    let frontends = frontends::open(&reloader.settings).await?;
-    reloader.tls = frontends.tls;
-    signals::spawn_handlers(&signal_sender, Rc::new(reloader)).map_err(ServeError::Signals)?;
+    let signals = signals::spawn_handlers(Rc::new(reloader)).map_err(ServeError::Signals)?;
     log_start(&config);
 
     let clock = Clock::start();
     let recorder = match &usage_log {
-        Some(usage_log) => Some(start_usage_writer(usage_log, &config, &clock)?),
+        Some(usage_log) => Some(start_recorder(usage_log, &config, &clock)?),
         None => None,
     };
     let mut engine = Engine::new(
@@ -72,13 +92,9 @@
     if let Some(usage_log) = &usage_log {
         engine.record_usage(usage_log.mark.as_nanos() as u64);
     }
-    let address = config.listen;
-    let listener = TcpListener::bind(address)
-        .await
-        .map_err(|source| ServeError::Listen { address, source })?;
+    let listener = bind_client_listener(config.listen).await?;
     let extensions = Extensions {
-        recorder: recorder
-            .map(|writer| Box::new(UsageLogRecorder { writer }) as Box<dyn UsageRecorder>),
+        recorder,
         frontends: frontends.start,
     };
     net::serve(
@@ -87,13 +103,19 @@
         config.names,
         listener,
         config.addresses,
-        signal_receiver,
+        signals,
         extensions,
     )
     .await
     .map_err(ServeError::Gossip)
 }
 
+async fn bind_client_listener(address: SocketAddr) -> Result<TcpListener, ServeError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|source| ServeError::Listen { address, source })
+}
+
 fn log_start(config: &Config) {
     tracing::info!(
         name = config.name,
@@ -109,16 +131,18 @@
     );
 }
 
-fn start_usage_writer(
+/// Starts the usage log's writer, which has a thread of its own.
+fn start_recorder(
     usage_log: &UsageLog,
     config: &Config,
     clock: &Clock,
-) -> Result<Writer, ServeError> {
+) -> Result<Box<dyn UsageRecorder>, ServeError> {
     let names = writer::Names {
         mixer: config.name.clone(),
         classes: config.aggregator_settings.classes.clone(),
         give_up: config.aggregator_settings.deadlines.clone(),
         tenants: config.aggregator_settings.tenants.clone(),
     };
-    writer::start(usage_log, names, clock.now()).map_err(ServeError::UsageLog)
+    let writer = writer::start(usage_log, names, clock.now()).map_err(ServeError::UsageLog)?;
+    Ok(Box::new(UsageLogRecorder::new(writer)))
 }
--- a/crates/aggregator/src/process/reload.rs
+++ b/crates/aggregator/src/process/reload.rs
@@ -1,12 +1,12 @@
 //! Reload of the configuration, the settings and the certificate while the process runs.
 //!
-//! Each of the three is validated as a whole before any of it is applied; an invalid one is logged
+//! Each of the three is validated completely before any of it is applied. An invalid one is logged,
 //! and the previous one stays in force.
 
 use crate::configuration;
 use crate::files::Files;
 use crate::logging::{Logging, LoggingError};
-use crate::settings::{self, LogSettings, SettingsError};
+use crate::settings::{self, LogSettings, SettingsError, SCHEMA};
 use aggregator_core::config::Config;
 use aggregator_core::net::Addresses;
 use ini_config::Settings;
@@ -24,9 +24,9 @@
     Logging(#[from] LoggingError),
 }
 
-/// What the process was started with, for comparison with the files as they are now.
+/// Applies changed files, and compares them with what the process was started with.
 pub struct Reloader {
-    /// The files to read again.
+    /// The files to read.
     pub files: Files,
     /// The configuration at the start.
     pub config: Config,
@@ -39,8 +39,8 @@
 }
 
 impl Reloader {
-    /// Reads everything again. Returns the addresses to use from now on, or none where the
-    /// configuration is invalid.
+    /// Reads all files and applies what can be changed without a restart. Returns the addresses to
+    /// use from now on, or `None` if the configuration is invalid.
     pub fn reload(&self) -> Option<Addresses> {
         self.reload_settings();
         self.reload_certificate();
@@ -50,8 +50,8 @@
     fn reload_settings(&self) {
         match self.apply_settings() {
             Ok(settings) => {
-                let restart = self.settings.needs_restart(&settings, &settings::SCHEMA);
-                warn_of_restart("settings", &restart.join(", "));
+                let changed = self.settings.needs_restart(&settings, &SCHEMA);
+                warn_of_restart("settings", &changed.join(", "));
             }
             Err(error) => tracing::error!("the settings stay as they were: {error}"),
         }
@@ -76,8 +76,8 @@
     fn reload_configuration(&self) -> Option<Addresses> {
         match configuration::read(self.files.config.as_deref()?) {
             Ok(config) => {
-                let restart = self.config.needs_restart(&config);
-                warn_of_restart("configuration", &restart.join(", "));
+                let changed = self.config.needs_restart(&config);
+                warn_of_restart("configuration", &changed.join(", "));
                 let discovery = config.addresses.discovery;
                 tracing::info!(%discovery, "configuration read again");
                 Some(config.addresses)
@@ -90,11 +90,11 @@
     }
 }
 
-/// Logs the changes that only a restart applies, if there are any.
-fn warn_of_restart(file: &str, restart: &str) {
-    if !restart.is_empty() {
+/// Logs the changed keys that only a restart applies, if there are any.
+fn warn_of_restart(file: &str, changed: &str) {
+    if !changed.is_empty() {
         tracing::warn!(
-            restart,
+            restart = changed,
             "changed in the {file}, but only a restart takes it up"
         );
     }
--- a/crates/aggregator/src/process/signals.rs
+++ b/crates/aggregator/src/process/signals.rs
@@ -8,11 +8,12 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc;
 
+/// Signals that may wait for the event loop; more wait in the operating system.
+const MAX_QUEUED_SIGNALS: usize = 1;
+
 /// Starts one task for each signal. Must run inside a `LocalSet`.
-pub fn spawn_handlers(
-    sender: &mpsc::Sender<OperatorSignal>,
-    reloader: Rc<Reloader>,
-) -> io::Result<()> {
+pub fn spawn_handlers(reloader: Rc<Reloader>) -> io::Result<mpsc::Receiver<OperatorSignal>> {
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_SIGNALS);
     for kind in [
         SignalKind::terminate(),
         SignalKind::interrupt(),
@@ -22,15 +23,17 @@
         let (sender, reloader) = (sender.clone(), reloader.clone());
         tokio::task::spawn_local(async move {
             while signals.recv().await.is_some() {
-                // The receiver is gone once the process has stopped serving.
-                let _ = sender.send(operator_signal(kind, &reloader)).await;
+                let signal = handle_signal(kind, &reloader);
+                // Fails once the process has stopped serving: the signal has no effect then.
+                let _ = sender.send(signal).await;
             }
         });
     }
-    Ok(())
+    Ok(receiver)
 }
 
-fn operator_signal(kind: SignalKind, reloader: &Reloader) -> OperatorSignal {
+/// Reloads the files on SIGHUP. Returns what the event loop has to do.
+fn handle_signal(kind: SignalKind, reloader: &Reloader) -> OperatorSignal {
     if kind == SignalKind::hangup() {
         OperatorSignal::Reload(reloader.reload())
     } else {
--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -10,10 +10,16 @@
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The engine's view of a usage log's writer.
+/// Records the engine's usage in a usage log.
 pub struct UsageLogRecorder {
-    /// Writes records from a thread of its own.
-    pub writer: Writer,
+    writer: Writer,
+}
+
+impl UsageLogRecorder {
+    /// A recorder whose records go to the thread of this writer.
+    pub fn new(writer: Writer) -> UsageLogRecorder {
+        UsageLogRecorder { writer }
+    }
 }
 
 impl UsageRecorder for UsageLogRecorder {
@@ -25,7 +31,7 @@
         accepted
     }
 
-    /// Loss of a watermark needs no handling: the next one covers it.
+    /// A watermark that does not fit into the writer's queue is dropped: the next one covers it.
     fn record_watermark(&mut self, mark: UsageWatermark) {
         let complete_ms = mark.complete / NANOS_PER_MS;
         self.writer
@@ -49,7 +55,7 @@
     }
 }
 
-/// The record under the published names of the wire format.
+/// Converts a record to the published wire format, whose names differ from the engine's.
 fn wire_record(usage: UsageRecord) -> Record {
     let (outcome, share) = match usage.outcome {
         Outcome::Complete => (WireOutcome::Whole, 0),
