--- a/crates/aggregator/src/legacy_names.rs
+++ b/crates/aggregator/src/legacy_names.rs
@@ -1,27 +1,38 @@
 //! Names from before the program was called `query-aggregator`, and what they are called now.
 //!
-//! Operators may have the old names in their unit files and settings; every fallback to one is
-//! here.
+//! Operators may have the old names in their unit files and settings. Every fallback to an old name
+//! is here.
 
 use std::ffi::OsString;
 
-/// The settings file, unless the command line names one.
+/// The variable that names the settings file, unless the command line does.
 pub const SETTINGS_VARIABLE: &str = "QUERY_AGGREGATOR_SETTINGS";
-/// The log level, ahead of the settings file's.
+/// The variable with the log level, which takes precedence over the settings file.
 pub const LOG_VARIABLE: &str = "QUERY_AGGREGATOR_LOG";
 
 const PREFIX: &str = "QUERY_AGGREGATOR_";
 const OLD_PREFIX: &str = "COTTONHILL_";
 
-/// Log targets are crate and module paths; those of the old crates stand for those of the new ones.
-const LOG_TARGETS: [(&str, &str); 7] = [
-    ("cottonhill_mixer::routing", "aggregator_core::engine"),
-    ("cottonhill_mixer::transport", "aggregator_core::net"),
-    ("cottonhill_mixer", "aggregator_core"),
-    ("cottonhill_ledger", "usage_ledger"),
-    ("cottonhill_opensearch", "opensearch_gateway"),
-    ("cottonhill_decisions", "aggregator_policy"),
-    ("cottonhill", "query_aggregator"),
+/// A log target: the path of a crate or module.
+struct RenamedTarget {
+    old: &'static str,
+    new: &'static str,
+}
+
+const fn renamed(old: &'static str, new: &'static str) -> RenamedTarget {
+    RenamedTarget { old, new }
+}
+
+/// The log targets of the old crates. The first that matches is applied, so a module stands before
+/// its crate.
+const RENAMED_TARGETS: [RenamedTarget; 7] = [
+    renamed("cottonhill_mixer::routing", "aggregator_core::engine"),
+    renamed("cottonhill_mixer::transport", "aggregator_core::net"),
+    renamed("cottonhill_mixer", "aggregator_core"),
+    renamed("cottonhill_ledger", "usage_ledger"),
+    renamed("cottonhill_opensearch", "opensearch_gateway"),
+    renamed("cottonhill_decisions", "aggregator_policy"),
+    renamed("cottonhill", "query_aggregator"),
 ];
 
 fn old_name(variable: &str) -> String {
@@ -33,7 +44,7 @@
     std::env::var_os(variable).or_else(|| std::env::var_os(old_name(variable)))
 }
 
-/// The line that tells the operator which old variables are still set, if any is.
+/// A warning that names the old variables that are set; `None` if there is none.
 pub fn environment_warning() -> Option<String> {
     let variables = [SETTINGS_VARIABLE, LOG_VARIABLE];
     let renamed: Vec<String> = variables
@@ -46,13 +57,20 @@
 
 /// Log directives in which each target of an old crate is replaced by that of the new one.
 pub fn current_log_targets(directives: &str) -> String {
-    let current = directives.split(',').map(|directive| {
-        let target = directive.trim();
-        let renamed = LOG_TARGETS.iter().find_map(|(old, new)| {
-            let rest = target.strip_prefix(old)?;
-            rest.starts_with([':', '=']).then(|| format!("{new}{rest}"))
-        });
-        renamed.unwrap_or_else(|| target.to_string())
-    });
-    current.collect::<Vec<String>>().join(",")
+    let current: Vec<String> = directives.split(',').map(current_log_target).collect();
+    current.join(",")
+}
+
+/// One directive, as in `TARGET=LEVEL`, with its target replaced if that is an old one.
+fn current_log_target(directive: &str) -> String {
+    let directive = directive.trim();
+    for target in &RENAMED_TARGETS {
+        let Some(rest) = directive.strip_prefix(target.old) else {
+            continue;
+        };
+        if rest.starts_with([':', '=']) {
+            return format!("{}{rest}", target.new);
+        }
+    }
+    directive.to_string()
 }
