--- a/crates/aggregator/src/cli/check.rs
+++ b/crates/aggregator/src/cli/check.rs
@@ -22,7 +22,7 @@
     reloadable: bool,
 }
 
-/// Validates the files that are named and prints what they come to.
+/// Validates the named files and prints the values in force.
 pub fn run(files: &Files) -> Result<(), CommandError> {
     let settings = settings::read(files.settings.as_deref())?;
     validate(&settings)?;
@@ -34,7 +34,7 @@
     print(&values)
 }
 
-/// Checks what only the users of a section can check.
+/// Checks what the schema does not: that the values of a section fit together.
 fn validate(settings: &Settings) -> Result<(), SettingsError> {
     UsageLog::read(settings, &SCHEMA)?;
     Ledger::read(settings, &SCHEMA)?;
@@ -43,16 +43,19 @@
 }
 
 fn configuration_values(path: &Path, config: &Config) -> Vec<ValueInForce> {
-    let (settings, addresses) = (&config.aggregator_settings, &config.addresses);
+    let settings = &config.aggregator_settings;
+    let addresses = &config.addresses;
     let origin = path.display().to_string();
-    let value = |name: &str, value: String, reloadable: bool| ValueInForce {
+    let fixed = |name: &str, value: String| ValueInForce {
         name: name.into(),
         value,
         origin: origin.clone(),
-        reloadable,
+        reloadable: false,
+    };
+    let reloadable = |name: &str, value: String| ValueInForce {
+        reloadable: true,
+        ..fixed(name, value)
     };
-    let fixed = |name: &str, text: String| value(name, text, false);
-    let reloadable = |name: &str, text: String| value(name, text, true);
     let known = format!("{} endpoints", config.initial_endpoints.endpoints.len());
     vec![
         fixed("name", config.name.clone()),
@@ -99,9 +102,10 @@
 fn print(values: &[ValueInForce]) -> Result<(), CommandError> {
     let mut table = output::plain_table(COLUMNS);
     for value in values {
-        let change = match value.reloadable {
-            true => "on SIGHUP",
-            false => "at a start",
+        let change = if value.reloadable {
+            "on SIGHUP"
+        } else {
+            "at a start"
         };
         table.add_row([&value.name, &value.value, &value.origin, change]);
     }
--- a/crates/aggregator/src/frontends.rs
+++ b/crates/aggregator/src/frontends.rs
@@ -42,10 +42,10 @@
     }
 }
 
-/// The enabled frontends, and what a reload of them reads again.
+/// The enabled frontends, before they serve.
 #[derive(Default)]
 pub struct Frontends {
-    /// Starts each frontend on the listener that is open for it.
+    /// Starts each frontend on its listener, which is open already.
     pub start: Vec<StartFrontend>,
     /// The certificate in use, if a frontend uses TLS.
     pub tls: Option<Rc<ReloadableTls>>,
@@ -57,25 +57,33 @@
     else {
         return Ok(Frontends::default());
     };
-    let tls = match opensearch.tls.clone() {
-        Some(files) => {
-            let tls = ReloadableTls::load(files)
-                .map_err(|error| FrontendError::Certificate(error.into()))?;
-            Some(Rc::new(tls))
-        }
-        None => None,
-    };
+    let tls = load_tls(&opensearch)?;
     let address = opensearch.listen;
     let listener = TcpListener::bind(address)
         .await
         .map_err(|source| FrontendError::Listen { address, source })?;
-    let (indices, uses_tls) = (opensearch.indices.len(), tls.is_some());
-    tracing::info!(%address, indices, tls = uses_tls, "OpenSearch frontend listens");
-    let acceptor = tls.clone();
+    tracing::info!(
+        %address,
+        indices = opensearch.indices.len(),
+        tls = tls.is_some(),
+        "OpenSearch frontend listens"
+    );
+    let server_tls = tls.clone();
+    let start: StartFrontend =
+        Box::new(move |client| server::start(opensearch, server_tls, listener, client));
     Ok(Frontends {
-        start: vec![Box::new(move |client| {
-            server::start(opensearch, acceptor, listener, client)
-        })],
+        start: vec![start],
         tls,
     })
 }
+
+/// Loads the certificate and key; `None` where the settings name none.
+fn load_tls(opensearch: &GatewaySettings) -> Result<Option<Rc<ReloadableTls>>, FrontendError> {
+    let Some(files) = opensearch.tls.clone() else {
+        return Ok(None);
+    };
+    match ReloadableTls::load(files) {
+        Ok(tls) => Ok(Some(Rc::new(tls))),
+        Err(error) => Err(FrontendError::Certificate(error.into())),
+    }
+}
--- a/crates/aggregator/src/logging.rs
+++ b/crates/aggregator/src/logging.rs
@@ -1,6 +1,6 @@
 //! Structured logs on standard error: text or JSON, by level and by target.
 //!
-//! Fields have one name everywhere: `client`, `link`, `id` (a query), `replica`, `class` and
+//! A field has the same name in all lines: `client`, `link`, `id` (a query), `replica`, `class` and
 //! `tenant` by number, `address`, `segment`, `member`, `period`, `error`; a duration ends in its
 //! unit (`_ms`).
 
@@ -14,7 +14,7 @@
 /// Why logging could not be started or changed.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    /// The process logs already.
+    /// Logging was started before in this process.
     #[error(transparent)]
     Start(#[from] TryInitError),
     /// The filter can't be replaced.
@@ -31,15 +31,15 @@
     /// Starts logging; once in a process.
     pub fn start(settings: LogSettings) -> Result<Logging, LoggingError> {
         let (filter, handle) = reload::Layer::new(settings.filter);
-        let text_layer = tracing_subscriber::fmt::layer()
+        let text_output = tracing_subscriber::fmt::layer()
             .with_ansi(false)
             .with_writer(std::io::stderr);
-        let layer = match settings.format {
-            LogFormat::Json => text_layer.json().flatten_event(true).boxed(),
-            LogFormat::Text => text_layer.boxed(),
+        let output = match settings.format {
+            LogFormat::Json => text_output.json().flatten_event(true).boxed(),
+            LogFormat::Text => text_output.boxed(),
         };
         tracing_subscriber::registry()
-            .with(layer.with_filter(filter))
+            .with(output.with_filter(filter))
             .try_init()?;
         Ok(Logging { filter: handle })
     }
--- a/crates/aggregator/src/settings/log.rs
+++ b/crates/aggregator/src/settings/log.rs
@@ -1,11 +1,11 @@
-//! The section `[log]`.
+//! The section `[log]` of the settings: levels by target, and the format of events.
 
 use super::SettingsError;
 use crate::legacy_names;
 use ini_config::{Key, Kind, Schema, Section, Settings};
 use tracing_subscriber::filter::Targets;
 
-/// The section as the settings file has it.
+/// The section and its keys.
 pub const SECTION: Section = Section::new(
     "log",
     &[
@@ -31,7 +31,7 @@
     ],
 );
 
-/// The section alone: enough to look up its defaults.
+/// A schema of this section alone, to look up the defaults of its keys.
 const SCHEMA: Schema = Schema(&[SECTION]);
 
 /// The level that is logged where neither the settings nor the environment name one.
@@ -76,7 +76,7 @@
         .as_deref()
         .or(values.text("level"))
         .unwrap_or(DEFAULT_LEVEL);
-    // An empty directive would apply to all targets, so an unset key must not add a comma.
+    // Without targets there must be no comma: an empty directive would apply to all targets.
     let directives = match values.text("targets") {
         Some(targets) => format!("{level},{targets}"),
         None => level.to_string(),
@@ -91,6 +91,7 @@
         })
 }
 
+/// The level that the environment names, if any.
 fn environment_level() -> Option<String> {
     let value = legacy_names::environment_variable(legacy_names::LOG_VARIABLE)?;
     value.into_string().ok().filter(|level| !level.is_empty())
