--- a/crates/aggregator/src/cli/check.rs
+++ b/crates/aggregator/src/cli/check.rs
@@ -85,16 +85,16 @@
     let file = path
         .map(|path| path.display().to_string())
         .unwrap_or_default();
-    let shown = settings.shown(&SCHEMA).into_iter();
-    shown
-        .map(|shown| ValueInForce {
-            name: format!("[{}] {}", shown.section, shown.key),
-            value: shown.value,
-            origin: match shown.origin {
+    let values = settings.effective_values(&SCHEMA).into_iter();
+    values
+        .map(|effective| ValueInForce {
+            name: format!("[{}] {}", effective.section, effective.key),
+            value: effective.value,
+            origin: match effective.origin {
                 Origin::Line(line) => format!("{file}:{line}"),
                 Origin::Default => "default".into(),
             },
-            reloadable: shown.live,
+            reloadable: effective.live,
         })
         .collect()
 }
--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -31,11 +31,12 @@
 pub fn run(context: &LedgerContext, arguments: &ExportArguments) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
     if !arguments.list {
-        let within =
-            ini_config::time(&arguments.within).map_err(|reason| LedgerError::InvalidWithin {
+        let within = ini_config::parse_time(&arguments.within).map_err(|reason| {
+            LedgerError::InvalidWithin {
                 text: arguments.within.clone(),
                 reason: reason.to_string(),
-            })?;
+            }
+        })?;
         send_outbox(&store, &context.settings.export, within)?;
     }
     Ok(document_report(&store)?.print(arguments.format.format)?)
--- /dev/null
+++ b/crates/ini-config/src/file_values.rs
@@ -0,0 +1,64 @@
+//! The values of a settings file, each with its line.
+
+use std::collections::BTreeMap;
+
+/// A value as the file states it.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct SourceValue {
+    pub(crate) text: String,
+    /// Counted from 1.
+    pub(crate) line: usize,
+}
+
+/// Identifies one value of a file.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ValueKey {
+    section: String,
+    /// Empty where the section has no name.
+    name: String,
+    key: String,
+}
+
+impl ValueKey {
+    fn new(section: &str, name: &str, key: &str) -> ValueKey {
+        ValueKey {
+            section: section.to_string(),
+            name: name.to_string(),
+            key: key.to_string(),
+        }
+    }
+}
+
+/// The values of a file that has been checked against a schema.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub(crate) struct FileValues {
+    values: BTreeMap<ValueKey, SourceValue>,
+    /// The line of each named section's header, by section and name.
+    header_lines: BTreeMap<String, BTreeMap<String, usize>>,
+}
+
+impl FileValues {
+    pub(crate) fn insert(&mut self, section: &str, name: &str, key: &str, value: SourceValue) {
+        self.values.insert(ValueKey::new(section, name, key), value);
+    }
+
+    pub(crate) fn insert_named_section(&mut self, section: &str, name: &str, line: usize) {
+        let lines = self.header_lines.entry(section.to_string()).or_default();
+        lines.insert(name.to_string(), line);
+    }
+
+    pub(crate) fn get(&self, section: &str, name: &str, key: &str) -> Option<&SourceValue> {
+        self.values.get(&ValueKey::new(section, name, key))
+    }
+
+    /// The line of a named section's header.
+    pub(crate) fn header_line(&self, section: &str, name: &str) -> Option<usize> {
+        self.header_lines.get(section)?.get(name).copied()
+    }
+
+    /// The names with which a named section appears, in alphabetical order.
+    pub(crate) fn section_names(&self, section: &str) -> Vec<&str> {
+        let lines = self.header_lines.get(section).into_iter();
+        lines.flat_map(BTreeMap::keys).map(String::as_str).collect()
+    }
+}
--- a/crates/ini-config/src/line_index.rs
+++ b/crates/ini-config/src/line_index.rs
@@ -4,11 +4,26 @@
 
 use std::collections::BTreeMap;
 
-/// Where sections and keys stand in a text; lines are counted from 1.
+/// The lines of a text's sections and keys, counted from 1.
 pub(crate) struct LineIndex {
     sections: BTreeMap<String, Vec<usize>>,
-    /// By section header and key.
-    keys: BTreeMap<(String, String), Vec<usize>>,
+    keys: BTreeMap<KeyPosition, Vec<usize>>,
+}
+
+/// A key and the header of its section.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct KeyPosition {
+    header: String,
+    key: String,
+}
+
+impl KeyPosition {
+    fn new(header: &str, key: &str) -> KeyPosition {
+        KeyPosition {
+            header: header.to_string(),
+            key: key.to_string(),
+        }
+    }
 }
 
 impl LineIndex {
@@ -17,16 +32,17 @@
             sections: BTreeMap::new(),
             keys: BTreeMap::new(),
         };
-        let mut current = String::new();
-        for (number, line) in text.lines().enumerate() {
+        let mut current_header = "";
+        for (line_index, line) in text.lines().enumerate() {
+            let line_number = line_index + 1;
             let line = line.trim();
             if let Some(header) = section_header(line) {
-                current = header.to_string();
-                let lines = index.sections.entry(current.clone()).or_default();
-                lines.push(number + 1);
+                current_header = header;
+                let lines = index.sections.entry(header.to_string()).or_default();
+                lines.push(line_number);
             } else if let Some(key) = assigned_key(line) {
-                let lines = index.keys.entry((current.clone(), key.to_string()));
-                lines.or_default().push(number + 1);
+                let position = KeyPosition::new(current_header, key);
+                index.keys.entry(position).or_default().push(line_number);
             }
         }
         index
@@ -39,16 +55,18 @@
 
     /// The line of the `occurrence`-th assignment to a key of a section, counted from 0.
     pub(crate) fn key(&self, header: &str, key: &str, occurrence: usize) -> Option<usize> {
-        let lines = self.keys.get(&(header.to_string(), key.to_string()))?;
+        let lines = self.keys.get(&KeyPosition::new(header, key))?;
         lines.get(occurrence).copied()
     }
 }
 
+/// The header in a line `[header]`, without its brackets.
 fn section_header(line: &str) -> Option<&str> {
     let rest = line.strip_prefix('[')?;
     rest.split(']').next().map(str::trim)
 }
 
+/// The key in a line `key = value` or `key: value`.
 fn assigned_key(line: &str) -> Option<&str> {
     if line.starts_with([';', '#']) {
         return None;
--- a/crates/ini-config/src/parser.rs
+++ b/crates/ini-config/src/parser.rs
@@ -1,12 +1,14 @@
-//! Checks a file's sections and keys against a schema.
+//! Parses a file and checks its sections, keys and values against a schema.
 
+use crate::file_values::{FileValues, SourceValue};
 use crate::line_index::LineIndex;
-use crate::settings::{SourceValue, ValueKey};
-use crate::{Problem, ProblemKind, Problems, Schema, Section, Settings, Suggestion};
+use crate::problem::{Problem, ProblemKind, Problems};
+use crate::schema::{Schema, Section};
+use crate::suggestion::Suggestion;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Parses `text`, the content of `file`, and collects all problems before it fails.
-pub(crate) fn parse(schema: &Schema, file: &str, text: &str) -> Result<Settings, Problems> {
+pub(crate) fn parse(schema: &Schema, file: &str, text: &str) -> Result<FileValues, Problems> {
     let ini = ini::Ini::load_from_str(text).map_err(|error| {
         Problems(vec![Problem {
             file: file.into(),
@@ -19,7 +21,7 @@
         file,
         lines: LineIndex::new(text),
         seen_headers: BTreeSet::new(),
-        settings: Settings::empty(file),
+        values: FileValues::default(),
         problems: Vec::new(),
     };
     for (header, properties) in ini.iter() {
@@ -28,31 +30,26 @@
     parser.finish()
 }
 
+/// The state of one pass over a file.
 struct Parser<'a> {
     schema: &'a Schema,
     file: &'a str,
     lines: LineIndex,
     seen_headers: BTreeSet<String>,
-    settings: Settings,
+    values: FileValues,
     problems: Vec<Problem>,
 }
 
-/// A section of the file that the schema knows.
+/// A section of the file that the schema has.
 struct KnownSection<'a> {
+    /// The header without its brackets.
     header: &'a str,
+    /// The section's own name; empty if it has none.
     name: &'a str,
     schema: &'static Section,
 }
 
 impl Parser<'_> {
-    fn report(&mut self, line: Option<usize>, kind: ProblemKind) {
-        self.problems.push(Problem {
-            file: self.file.into(),
-            line,
-            kind,
-        });
-    }
-
     fn parse_section(&mut self, header: &str, properties: &ini::Properties) {
         if header.is_empty() {
             self.report_keys_outside_sections(properties);
@@ -71,8 +68,9 @@
             Err(kind) => return self.report(line, kind),
         };
         if section.schema.named {
-            let names = self.settings.names.entry(section.schema.name).or_default();
-            names.insert(section.name.to_string(), line.unwrap_or_default());
+            let line = line.unwrap_or_default();
+            self.values
+                .insert_named_section(section.schema.name, section.name, line);
         }
         let mut occurrences: BTreeMap<&str, usize> = BTreeMap::new();
         for (key, text) in properties.iter() {
@@ -89,6 +87,7 @@
         }
     }
 
+    /// Finds the schema of a section by its header.
     fn known_section<'h>(&self, header: &'h str) -> Result<KnownSection<'h>, ProblemKind> {
         let (kind, name) = header
             .split_once(char::is_whitespace)
@@ -146,17 +145,25 @@
             };
             return self.report(line, kind);
         }
-        let value_key = ValueKey::new(section.schema.name, section.name, known.name);
         let value = SourceValue {
             text: text.trim().to_string(),
             line: line.unwrap_or_default(),
         };
-        self.settings.values.insert(value_key, value);
+        self.values
+            .insert(section.schema.name, section.name, known.name, value);
+    }
+
+    fn report(&mut self, line: Option<usize>, kind: ProblemKind) {
+        self.problems.push(Problem {
+            file: self.file.into(),
+            line,
+            kind,
+        });
     }
 
-    fn finish(mut self) -> Result<Settings, Problems> {
+    fn finish(mut self) -> Result<FileValues, Problems> {
         if self.problems.is_empty() {
-            return Ok(self.settings);
+            return Ok(self.values);
         }
         self.problems.sort_by_key(|problem| problem.line);
         Err(Problems(self.problems))
--- a/crates/ini-config/src/problem.rs
+++ b/crates/ini-config/src/problem.rs
@@ -1,9 +1,10 @@
 //! What is wrong with a settings file.
 
-use crate::{InvalidValue, Suggestion};
+use crate::invalid_value::InvalidValue;
+use crate::suggestion::Suggestion;
 use std::fmt;
 
-/// One thing that is wrong with a file.
+/// One problem of a file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}{}: {kind}", .line.map(|line| format!(":{line}")).unwrap_or_default())]
 pub struct Problem {
@@ -11,17 +12,17 @@
     pub file: String,
     /// The line, counted from 1, where the problem belongs to one.
     pub line: Option<usize>,
-    /// What is wrong there.
+    /// What is wrong.
     pub kind: ProblemKind,
 }
 
-/// The kinds of problems.
+/// What is wrong at one place of a file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProblemKind {
-    /// The text is no INI file.
+    /// The text is not an INI file.
     #[error("cannot be read: {0}")]
     Syntax(String),
-    /// A key stands before the first section.
+    /// A key is set before the first section.
     #[error("'{key}' stands in no section")]
     KeyOutsideSection {
         /// The key.
@@ -48,7 +49,7 @@
         header: String,
         /// The section's name in the schema.
         section: String,
-        /// Whether the schema asks for a name.
+        /// Whether the schema requires a name.
         named: bool,
     },
     /// A key is set a second time in one section.
@@ -69,7 +70,7 @@
         /// What may have been meant.
         suggestion: Suggestion,
     },
-    /// A value is not of its key's kind.
+    /// A value does not have its key's kind.
     #[error("[{header}] {key} = {value}: {source}")]
     InvalidValue {
         /// The header without its brackets.
@@ -81,7 +82,7 @@
         /// Why it is not valid.
         source: InvalidValue,
     },
-    /// A value is of its key's kind, but the program that uses it can't accept it.
+    /// A value has its key's kind, but the program that uses it can't accept it.
     #[error("[{header}] {key}: {reason}")]
     Rejected {
         /// The header without its brackets.
@@ -93,7 +94,7 @@
     },
 }
 
-/// All that is wrong with a file, in the order of its lines.
+/// All problems of a file, in the order of its lines.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Problems(pub Vec<Problem>);
 
--- a/crates/ini-config/src/schema.rs
+++ b/crates/ini-config/src/schema.rs
@@ -1,15 +1,15 @@
-//! What a settings file may hold.
+//! Schemas: the sections and keys that a settings file may have.
 
-use crate::Kind;
+use crate::kind::Kind;
 
 /// One key of a section.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
-    /// Its name, as it stands before the `=`.
+    /// Its name, which the file has before the `=`.
     pub name: &'static str,
-    /// What its value has to be.
+    /// The kind of its values.
     pub kind: Kind,
-    /// The value where the file has none; `None` if the key is then unset.
+    /// The value where the file has none; without a default the key is then unset.
     pub default: Option<&'static str>,
     /// Whether a running program applies a change on SIGHUP.
     pub live: bool,
@@ -48,19 +48,19 @@
     }
 }
 
-/// One section; a named one may appear several times, as `[kind NAME]`.
+/// One section; a named one may appear several times, as `[name NAME]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
-    /// Its name, as it stands in brackets.
+    /// Its name, which the file has in brackets.
     pub name: &'static str,
-    /// Whether the header has to carry a name of its own.
+    /// Whether the header has to have a name after that of the section.
     pub named: bool,
-    /// The keys that may stand in it.
+    /// The keys that it may have.
     pub keys: &'static [Key],
 }
 
 impl Section {
-    /// A section that stands once, as `[NAME]`.
+    /// A section that may appear once, as `[name]`.
     pub const fn new(name: &'static str, keys: &'static [Key]) -> Section {
         Section {
             name,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A section that may stand several times, as `[name NAME]`.
+    /// A section that may appear several times, as `[name NAME]`.
     pub const fn named(name: &'static str, keys: &'static [Key]) -> Section {
         Section {
             name,
@@ -83,7 +83,7 @@
     }
 }
 
-/// All sections that a file may hold.
+/// All sections that a file may have.
 #[derive(Clone, Copy, Debug)]
 pub struct Schema(pub &'static [Section]);
 
--- a/crates/ini-config/src/values.rs
+++ b/crates/ini-config/src/section_values.rs
@@ -1,6 +1,8 @@
 //! Typed access to the values of one section.
 
-use crate::{bytes, time, Section, Settings};
+use crate::file_values::FileValues;
+use crate::quantity::{parse_bytes, parse_time};
+use crate::schema::Section;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -9,20 +11,22 @@
 /// All were checked when the file was read, so a method returns `None` only for a key that is unset
 /// or of another kind.
 #[derive(Clone, Copy)]
-pub struct Values<'a> {
-    settings: &'a Settings,
+pub struct SectionValues<'a> {
+    values: &'a FileValues,
+    /// None if the schema has no such section: all its keys are unset.
     section: Option<&'static Section>,
+    /// The name of a named section, else empty.
     name: &'a str,
 }
 
-impl<'a> Values<'a> {
+impl<'a> SectionValues<'a> {
     pub(crate) fn new(
-        settings: &'a Settings,
+        values: &'a FileValues,
         section: Option<&'static Section>,
         name: &'a str,
-    ) -> Values<'a> {
-        Values {
-            settings,
+    ) -> SectionValues<'a> {
+        SectionValues {
+            values,
             section,
             name,
         }
@@ -32,7 +36,7 @@
     pub fn text(&self, key: &str) -> Option<&'a str> {
         let section = self.section?;
         let key = section.key(key)?;
-        let source = self.settings.source(section.name, self.name, key.name);
+        let source = self.values.get(section.name, self.name, key.name);
         source
             .map(|value| value.text.as_str())
             .or(key.default)
@@ -51,12 +55,12 @@
 
     /// The value of a [`Kind::Time`](crate::Kind::Time).
     pub fn time(&self, key: &str) -> Option<Duration> {
-        time(self.text(key)?).ok()
+        parse_time(self.text(key)?).ok()
     }
 
     /// The value of a [`Kind::Bytes`](crate::Kind::Bytes).
     pub fn bytes(&self, key: &str) -> Option<u64> {
-        bytes(self.text(key)?).ok()
+        parse_bytes(self.text(key)?).ok()
     }
 
     /// The value of a [`Kind::Address`](crate::Kind::Address).
--- a/crates/ini-config/src/settings.rs
+++ b/crates/ini-config/src/settings.rs
@@ -1,8 +1,17 @@
-//! The settings in force.
+//! The settings in force: the values of a file, and the schema's defaults.
 
-use crate::{parser, Key, Problem, ProblemKind, Problems, Schema, Section, Values};
+use crate::file_values::FileValues;
+use crate::parser;
+use crate::problem::{Problem, ProblemKind, Problems};
+use crate::schema::{Key, Schema, Section};
+use crate::section_values::SectionValues;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The name of a section that has none.
+const NO_NAME: &str = "";
+/// Stands for a value that is unset and has no default.
+const NOT_SET: &str = "(not set)";
+
 /// Where a value came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
@@ -12,9 +21,9 @@
     Default,
 }
 
-/// One value in force, for people to read.
+/// One value in force, as text for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct EffectiveValue {
     /// The section's header without its brackets.
     pub section: String,
     /// The key.
@@ -27,52 +36,20 @@
     pub live: bool,
 }
 
-/// A value as it stands in the file.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) struct SourceValue {
-    pub(crate) text: String,
-    pub(crate) line: usize,
-}
-
-/// Addresses one value of a file.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ValueKey {
-    section: &'static str,
-    /// Empty where the section has no name.
-    name: String,
-    key: &'static str,
-}
-
-impl ValueKey {
-    pub(crate) fn new(section: &'static str, name: &str, key: &'static str) -> ValueKey {
-        ValueKey {
-            section,
-            name: name.to_string(),
-            key,
-        }
-    }
-}
-
 /// The values of a file, and the schema's defaults where it has none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
+    /// The file's path, as it was given.
     file: String,
-    pub(crate) values: BTreeMap<ValueKey, SourceValue>,
-    /// The names of each named section, with the line of its header.
-    pub(crate) names: BTreeMap<&'static str, BTreeMap<String, usize>>,
+    values: FileValues,
 }
 
 impl Settings {
     /// Settings without a file: the defaults.
     pub fn defaults() -> Settings {
-        Settings::empty("no file")
-    }
-
-    pub(crate) fn empty(file: &str) -> Settings {
         Settings {
-            file: file.into(),
-            values: BTreeMap::new(),
-            names: BTreeMap::new(),
+            file: "no file".into(),
+            values: FileValues::default(),
         }
     }
 
@@ -81,22 +58,23 @@
     /// # Errors
     /// Everything in the text that does not match the schema.
     pub fn read(schema: &Schema, file: &str, text: &str) -> Result<Settings, Problems> {
-        parser::parse(schema, file, text)
+        Ok(Settings {
+            file: file.into(),
+            values: parser::parse(schema, file, text)?,
+        })
     }
 
     /// A problem with one value that only the program that uses it can detect.
     ///
     /// It carries the line of the value or, where the file does not set it, of its named section.
     pub fn problem(&self, section: &str, name: &str, key: &str, reason: &str) -> Problems {
-        let value_line = self
-            .values
-            .iter()
-            .find(|(at, _)| at.section == section && at.name == name && at.key == key)
-            .map(|(_, value)| value.line);
-        let section_line = || self.names.get(section)?.get(name).copied();
+        let value = self.values.get(section, name, key);
+        let line = value
+            .map(|value| value.line)
+            .or_else(|| self.values.header_line(section, name));
         Problems(vec![Problem {
             file: self.file.clone(),
-            line: value_line.or_else(section_line),
+            line,
             kind: ProblemKind::Rejected {
                 header: header(section, name),
                 key: key.into(),
@@ -107,34 +85,33 @@
 
     /// The names with which a named section appears, in alphabetical order.
     pub fn names(&self, section: &str) -> Vec<&str> {
-        let names = self.names.get(section).into_iter();
-        names.flat_map(BTreeMap::keys).map(String::as_str).collect()
+        self.values.section_names(section)
     }
 
     /// Every value in force, with its origin, in the order of the schema.
-    pub fn shown(&self, schema: &Schema) -> Vec<Shown> {
-        let mut shown = Vec::new();
+    pub fn effective_values(&self, schema: &Schema) -> Vec<EffectiveValue> {
+        let mut values = Vec::new();
         for section in schema.0 {
             let names = if section.named {
                 self.names(section.name)
             } else {
-                vec![""]
+                vec![NO_NAME]
             };
             for name in names {
-                let values = section.keys.iter();
-                shown.extend(values.map(|key| self.show(section, name, key)));
+                let keys = section.keys.iter();
+                values.extend(keys.map(|key| self.effective_value(section, name, key)));
             }
         }
-        shown
+        values
     }
 
-    fn show(&self, section: &'static Section, name: &str, key: &'static Key) -> Shown {
-        let source = self.source(section.name, name, key.name);
+    fn effective_value(&self, section: &Section, name: &str, key: &Key) -> EffectiveValue {
+        let source = self.values.get(section.name, name, key.name);
         let text = source.map(|value| value.text.as_str()).or(key.default);
-        Shown {
+        EffectiveValue {
             section: header(section.name, name),
             key: key.name,
-            value: text.unwrap_or("(not set)").to_string(),
+            value: text.unwrap_or(NOT_SET).to_string(),
             origin: source.map_or(Origin::Default, |value| Origin::Line(value.line)),
             live: key.live,
         }
@@ -145,36 +122,43 @@
     pub fn needs_restart(&self, next: &Settings, schema: &Schema) -> Vec<String> {
         let before = self.restart_values(schema);
         let after = next.restart_values(schema);
-        let keys: BTreeSet<_> = before.keys().chain(after.keys()).collect();
+        let keys: BTreeSet<&FullKey> = before.keys().chain(after.keys()).collect();
         keys.into_iter()
             .filter(|key| before.get(*key) != after.get(*key))
-            .map(|(section, key)| format!("[{section}] {key}"))
+            .map(|key| format!("[{}] {}", key.section, key.key))
             .collect()
     }
 
-    /// The values that need a restart to change, by section header and key.
-    fn restart_values(&self, schema: &Schema) -> BTreeMap<(String, &'static str), String> {
-        self.shown(schema)
-            .into_iter()
-            .filter(|shown| !shown.live)
-            .map(|shown| ((shown.section, shown.key), shown.value))
-            .collect()
+    /// The values that need a restart to change.
+    fn restart_values(&self, schema: &Schema) -> BTreeMap<FullKey, String> {
+        let mut values = BTreeMap::new();
+        for EffectiveValue {
+            section,
+            key,
+            value,
+            live,
+            ..
+        } in self.effective_values(schema)
+        {
+            if !live {
+                values.insert(FullKey { section, key }, value);
+            }
+        }
+        values
     }
 
     /// The values of one section, with the defaults of `schema`. `name` is empty where the section
     /// has none.
-    pub fn of<'a>(&'a self, schema: &Schema, section: &'static str, name: &'a str) -> Values<'a> {
-        Values::new(self, schema.section(section), name)
+    pub fn of<'a>(&'a self, schema: &Schema, section: &str, name: &'a str) -> SectionValues<'a> {
+        SectionValues::new(&self.values, schema.section(section), name)
     }
+}
 
-    pub(crate) fn source(
-        &self,
-        section: &'static str,
-        name: &str,
-        key: &'static str,
-    ) -> Option<&SourceValue> {
-        self.values.get(&ValueKey::new(section, name, key))
-    }
+/// A key with the header of its section, ordered by section.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct FullKey {
+    section: String,
+    key: &'static str,
 }
 
 /// A section's header without its brackets.
--- a/crates/ini-config/src/suggestion.rs
+++ b/crates/ini-config/src/suggestion.rs
@@ -1,11 +1,11 @@
-//! Hints for a name that is not known.
+//! Suggestions for a name that is not valid.
 
 use std::fmt;
 
-/// Jaro-Winkler similarity, from 0 to 1, above which two names are taken for the same one mistyped.
+/// Jaro-Winkler similarity, from 0 to 1, above which one name is taken for a misspelling of the other.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// What an operator may have meant by an unknown name.
+/// The valid names that may have been meant by an unknown one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Suggestion {
     /// The valid name that is most similar.
@@ -37,9 +37,8 @@
 }
 
 fn nearest<'a>(name: &str, valid: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+    let similarity = |candidate: &str| strsim::jaro_winkler(name, candidate);
     valid
-        .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(similarity, _)| *similarity > MIN_SIMILARITY)
-        .max_by(|left, right| left.0.total_cmp(&right.0))
-        .map(|(_, candidate)| candidate)
+        .filter(|candidate| similarity(candidate) > MIN_SIMILARITY)
+        .max_by(|left, right| similarity(left).total_cmp(&similarity(right)))
 }
--- a/crates/ini-config/tests/settings.rs
+++ b/crates/ini-config/tests/settings.rs
@@ -1,7 +1,8 @@
 //! Settings files against a schema: values, defaults, origins and the exact texts of problems.
 
 use ini_config::{
-    bytes, time, Key, Kind, Origin, Problem, ProblemKind, Schema, Section, Settings, Suggestion,
+    parse_bytes, parse_time, Key, Kind, Origin, Problem, ProblemKind, Schema, Section, Settings,
+    Suggestion,
 };
 use std::time::Duration;
 
@@ -143,9 +144,9 @@
 }
 
 #[test]
-fn values_in_force_are_shown_with_their_origin_and_changes_that_need_a_restart() {
+fn effective_values_have_origins_and_some_changes_need_a_restart() {
     let before = Settings::read(&SCHEMA, "a", "[log]\nflush = 1s\nqueue = 5\n").unwrap();
-    let shown = before.shown(&SCHEMA);
+    let shown = before.effective_values(&SCHEMA);
     let origin = |key| shown.iter().find(|shown| shown.key == key).unwrap().origin;
     assert_eq!(origin("queue"), Origin::Line(3));
     assert_eq!(origin("segment"), Origin::Default);
@@ -162,15 +163,17 @@
 
 #[test]
 fn quantities_have_units_and_bounds() {
-    assert_eq!(time("3m"), Ok(Duration::from_secs(180)));
-    assert_eq!(time(" 10 us "), Ok(Duration::from_micros(10)));
-    assert_eq!(bytes("2GiB"), Ok(2 << 30));
+    assert_eq!(parse_time("3m"), Ok(Duration::from_secs(180)));
+    assert_eq!(parse_time(" 10 us "), Ok(Duration::from_micros(10)));
+    assert_eq!(parse_bytes("2GiB"), Ok(2 << 30));
     assert_eq!(
-        bytes("18446744073709551615KiB").unwrap_err().to_string(),
+        parse_bytes("18446744073709551615KiB")
+            .unwrap_err()
+            .to_string(),
         "is too large"
     );
     assert_eq!(
-        bytes("8").unwrap_err().to_string(),
+        parse_bytes("8").unwrap_err().to_string(),
         "has to be a whole number and a unit (B, KiB, MiB, GiB), as in 8MiB"
     );
 }
--- a/crates/opensearch-gateway/src/settings/section.rs
+++ b/crates/opensearch-gateway/src/settings/section.rs
@@ -1,6 +1,6 @@
 //! Reading one section, with errors that name the section and key at fault.
 
-use ini_config::{Problems, Schema, Section, Settings, Values};
+use ini_config::{Problems, Schema, Section, SectionValues, Settings};
 use std::fmt::Display;
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
     section: &'static str,
     /// The name of a named section, else empty.
     name: &'a str,
-    pub(super) values: Values<'a>,
+    pub(super) values: SectionValues<'a>,
 }
 
 impl<'a> SectionReader<'a> {
