--- a/crates/core/src/config/aggregator_settings.rs
+++ b/crates/core/src/config/aggregator_settings.rs
@@ -1,7 +1,7 @@
 //! The settings that the aggregator needs outside of the policy.
 
 use super::key_values::KeyValues;
-use super::SettingsError;
+use super::PlatformSettingsError;
 use crate::api::Nanos;
 
 // Bounds on memory and waiting times where the settings are silent.
@@ -52,7 +52,7 @@
 }
 
 /// Parses the aggregator's settings from lines of `key=value`.
-pub fn parse_aggregator_settings(text: &str) -> Result<AggregatorSettings, SettingsError> {
+pub fn parse_aggregator_settings(text: &str) -> Result<AggregatorSettings, PlatformSettingsError> {
     let values = KeyValues::parse(text)?;
     let classes = values.names("classes")?;
     let class_count = classes.len();
@@ -93,11 +93,14 @@
 }
 
 /// The protocol has no messages for a second step, and half of one would break answers.
-fn reject_second_steps(values: &KeyValues, class_count: usize) -> Result<(), SettingsError> {
+fn reject_second_steps(
+    values: &KeyValues,
+    class_count: usize,
+) -> Result<(), PlatformSettingsError> {
     let key = "extra.second_step";
     for class in 0..class_count {
         if values.item::<u32>(key, class)? > 0 {
-            return Err(SettingsError::UnsupportedSecondStep { key });
+            return Err(PlatformSettingsError::UnsupportedSecondStep { key });
         }
     }
     Ok(())
@@ -107,7 +110,7 @@
     values: &KeyValues,
     key: &str,
     class_count: usize,
-) -> Result<Vec<f64>, SettingsError> {
+) -> Result<Vec<f64>, PlatformSettingsError> {
     (0..class_count)
         .map(|class| values.ratio_item(key, class))
         .collect()
--- a/crates/core/src/config/error.rs
+++ b/crates/core/src/config/error.rs
@@ -11,7 +11,7 @@
     SettingsNotAnObject,
     /// One of the settings is unusable.
     #[error(transparent)]
-    Settings(#[from] SettingsError),
+    Settings(#[from] PlatformSettingsError),
     /// The seed is not a hexadecimal number of 64 bits.
     #[error("bad seed '{seed}'")]
     InvalidSeed {
@@ -22,7 +22,7 @@
 
 /// Why one of the settings is unusable.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SettingsError {
+pub enum PlatformSettingsError {
     /// A line holds no key and value.
     #[error("settings line without '=': {line}")]
     MalformedLine {
@@ -67,20 +67,20 @@
     },
 }
 
-impl SettingsError {
-    pub(super) fn missing(key: &str) -> SettingsError {
-        SettingsError::Missing { key: key.into() }
+impl PlatformSettingsError {
+    pub(super) fn missing(key: &str) -> PlatformSettingsError {
+        PlatformSettingsError::Missing { key: key.into() }
     }
 
-    pub(super) fn invalid_value(key: &str, value: &str) -> SettingsError {
-        SettingsError::InvalidValue {
+    pub(super) fn invalid_value(key: &str, value: &str) -> PlatformSettingsError {
+        PlatformSettingsError::InvalidValue {
             key: key.into(),
             value: value.into(),
         }
     }
 
-    pub(super) fn out_of_range(key: &str, value: impl ToString) -> SettingsError {
-        SettingsError::OutOfRange {
+    pub(super) fn out_of_range(key: &str, value: impl ToString) -> PlatformSettingsError {
+        PlatformSettingsError::OutOfRange {
             key: key.into(),
             value: value.to_string(),
         }
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -10,6 +10,6 @@
 mod policy_settings;
 
 pub use aggregator_settings::{parse_aggregator_settings, AggregatorSettings};
-pub use error::{ConfigError, SettingsError};
+pub use error::{ConfigError, PlatformSettingsError};
 pub use platform::Config;
 pub use policy_settings::parse_policy_settings;
--- a/crates/core/src/config/policy_settings.rs
+++ b/crates/core/src/config/policy_settings.rs
@@ -1,14 +1,14 @@
 //! The settings that the policy decides by.
 
 use super::key_values::KeyValues;
-use super::SettingsError;
+use super::PlatformSettingsError;
 use crate::api::{Idempotency, Nanos, QueryClass, RetryBudget, Settings};
 
 /// Where the settings are silent, a leaf server that drains gets nothing new after 2 s.
 const DEFAULT_DRAIN_NOTICE_NS: Nanos = 2_000_000_000;
 
 /// Parses the policy's settings from lines of `key=value`.
-pub fn parse_policy_settings(text: &str) -> Result<Settings, SettingsError> {
+pub fn parse_policy_settings(text: &str) -> Result<Settings, PlatformSettingsError> {
     let values = KeyValues::parse(text)?;
     let class_count = values.positive("classes.count")? as usize;
     let classes = (0..class_count)
@@ -46,7 +46,7 @@
     })
 }
 
-fn parse_class(values: &KeyValues, index: usize) -> Result<QueryClass, SettingsError> {
+fn parse_class(values: &KeyValues, index: usize) -> Result<QueryClass, PlatformSettingsError> {
     let key = |name: &str| format!("classes.{index}.{name}");
     let idempotency = parse_idempotency(values, &key("semantics"))?;
     let late_value = values.non_negative(&key("late_value"))?;
@@ -65,16 +65,16 @@
     })
 }
 
-fn parse_idempotency(values: &KeyValues, key: &str) -> Result<Idempotency, SettingsError> {
+fn parse_idempotency(values: &KeyValues, key: &str) -> Result<Idempotency, PlatformSettingsError> {
     match values.required::<String>(key)?.as_str() {
         "read_like" => Ok(Idempotency::Idempotent),
         "idempotency_key" => Ok(Idempotency::IdempotentWithKey),
         "non_idempotent" => Ok(Idempotency::NonIdempotent),
-        other => Err(SettingsError::invalid_value(key, other)),
+        other => Err(PlatformSettingsError::invalid_value(key, other)),
     }
 }
 
-fn parse_retry_budget(values: &KeyValues) -> Result<Option<RetryBudget>, SettingsError> {
+fn parse_retry_budget(values: &KeyValues) -> Result<Option<RetryBudget>, PlatformSettingsError> {
     let minimum = values.non_negative("guarantees.extra_floor")?;
     let ratio = values.non_negative("guarantees.budget_share")?;
     let window = values.optional("guarantees.budget_span_ns")?;
--- a/crates/core/src/engine/clients.rs
+++ b/crates/core/src/engine/clients.rs
@@ -5,7 +5,7 @@
 use super::{Engine, MILLISECOND};
 use crate::api::{Event, Nanos, RequestId};
 use crate::protocol::http::RequestError;
-use crate::protocol::query::{ClientRequest, Reply};
+use crate::protocol::query::{ClientRequest, QueryReply};
 use std::collections::BTreeMap;
 
 /// Once more than half of the capacity is in use, a client that has been idle this long since its
@@ -162,11 +162,11 @@
             Ok(ClientRequest::Query(query)) => self.on_query(now, client, arrived, query),
             Ok(ClientRequest::Ready) => {
                 let ready = self.endpoints.were_ever_ready() && !self.shutdown.is_requested();
-                self.send_reply(now, client, Reply::Ready(ready));
+                self.send_reply(now, client, QueryReply::Ready(ready));
             }
             Ok(ClientRequest::Stats) => {
                 let json = serde_json::to_vec_pretty(&self.counters).unwrap_or_default();
-                self.send_reply(now, client, Reply::Stats(json));
+                self.send_reply(now, client, QueryReply::Stats(json));
             }
             Err(error) => self.on_invalid_request(now, client, error),
         }
@@ -182,10 +182,10 @@
             why = error.why,
             "invalid request"
         );
-        self.send_reply(now, client, Reply::InvalidRequest(error));
+        self.send_reply(now, client, QueryReply::InvalidRequest(error));
     }
 
-    pub(super) fn send_reply(&mut self, now: Nanos, client_id: ClientId, reply: Reply) {
+    pub(super) fn send_reply(&mut self, now: Nanos, client_id: ClientId, reply: QueryReply) {
         let Some(client) = self.clients.get_mut(client_id) else {
             return;
         };
--- a/crates/core/src/engine/effect.rs
+++ b/crates/core/src/engine/effect.rs
@@ -5,7 +5,7 @@
 use super::usage::{UsageRecord, UsageWatermark};
 use crate::api::Nanos;
 use crate::protocol::leaf::LeafRequest;
-use crate::protocol::query::Reply;
+use crate::protocol::query::QueryReply;
 use std::net::SocketAddr;
 
 /// One request of the engine. Effects are carried out in their order.
@@ -16,7 +16,7 @@
         /// The client.
         client: ClientId,
         /// The reply.
-        reply: Reply,
+        reply: QueryReply,
         /// Close the connection after the reply.
         close: bool,
     },
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -7,7 +7,7 @@
 use super::{Engine, MILLISECOND};
 use crate::api::{AttemptOutcome, Event, Nanos, PartReceived, QueryReceived, RequestId};
 use crate::protocol::http::RequestError;
-use crate::protocol::query::{Query as QueryRequest, QueryPart, Reply};
+use crate::protocol::query::{QueryPart, QueryReply, QueryRequest};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -236,7 +236,7 @@
     ) {
         self.record_rejection_on_arrival(arrived, request);
         let retry_after = self.settings.retry_after;
-        self.send_reply(now, client, Reply::Rejected { retry_after });
+        self.send_reply(now, client, QueryReply::Rejected { retry_after });
     }
 
     fn admit_query(
--- a/crates/core/src/engine/replies.rs
+++ b/crates/core/src/engine/replies.rs
@@ -4,7 +4,7 @@
 use super::usage::Outcome;
 use super::{Engine, MILLISECOND};
 use crate::api::{Event, Nanos, RequestId};
-use crate::protocol::query::{Hit, Reply};
+use crate::protocol::query::{QueryHit, QueryReply};
 
 /// How far below a threshold a coverage may be by rounding, as a share of the weight.
 const COVERAGE_TOLERANCE: f64 = 1e-4;
@@ -19,14 +19,14 @@
     pub(super) fn reject_query(&mut self, now: Nanos, id: RequestId, retry_after: Option<Nanos>) {
         self.finish_query(now, id, |engine, _| {
             engine.counters.queries_ended.rejected += 1;
-            Reply::Rejected { retry_after }
+            QueryReply::Rejected { retry_after }
         });
     }
 
     pub(super) fn fail_query(&mut self, now: Nanos, id: RequestId) {
         self.finish_query(now, id, |engine, _| {
             engine.counters.queries_ended.failed += 1;
-            Reply::Failed
+            QueryReply::Failed
         });
     }
 
@@ -51,7 +51,7 @@
         &mut self,
         now: Nanos,
         id: RequestId,
-        compose_reply: impl FnOnce(&mut Self, &EndedQuery) -> Reply,
+        compose_reply: impl FnOnce(&mut Self, &EndedQuery) -> QueryReply,
     ) {
         let Some(ended) = self.end_query(now, id) else {
             return;
@@ -67,7 +67,7 @@
 
     /// The answer from the results that are in. It claims nothing that its parts do not support,
     /// whatever the policy requests: a single answer that overstates its coverage is very costly.
-    fn compose_answer(&mut self, ended: &EndedQuery, complete: bool) -> Reply {
+    fn compose_answer(&mut self, ended: &EndedQuery, complete: bool) -> QueryReply {
         let class = usize::from(ended.query.class);
         let is_complete = covers(ended, &self.settings.completeness_thresholds, class);
         let is_sufficient = covers(ended, &self.settings.minimum_coverages, class);
@@ -76,7 +76,7 @@
             tracing::error!(covered, complete, class, "answer overstates its coverage");
             self.counters.faults.overstated_coverage += 1;
             self.counters.queries_ended.failed += 1;
-            return Reply::Failed;
+            return QueryReply::Failed;
         }
         if complete {
             self.counters.queries_ended.complete += 1;
@@ -84,7 +84,7 @@
             self.counters.queries_ended.partial += 1;
         }
         let hits = ended.parts.iter().filter_map(hit).collect();
-        Reply::Answer { complete, hits }
+        QueryReply::Answer { complete, hits }
     }
 }
 
@@ -95,10 +95,10 @@
     ended.covered_weight() + COVERAGE_TOLERANCE >= needed
 }
 
-fn hit(part: &Part) -> Option<Hit> {
+fn hit(part: &Part) -> Option<QueryHit> {
     let doc = part.value.clone()?;
     let shard = part.shard;
-    Some(Hit { shard, doc })
+    Some(QueryHit { shard, doc })
 }
 
 /// Logs a query that has ended, with the number of attempts at each of its parts and whether the
--- a/crates/core/src/engine/usage.rs
+++ b/crates/core/src/engine/usage.rs
@@ -1,7 +1,7 @@
 //! Usage records: one for each query that ended, for the usage ledger.
 
 use crate::api::Nanos;
-use crate::protocol::query::Reply;
+use crate::protocol::query::QueryReply;
 use xxhash_rust::xxh3::Xxh3;
 
 /// In which [`Outcome::Partial`] counts the share of the weight: the whole weight is this many.
@@ -65,14 +65,14 @@
 impl Outcome {
     /// The outcome of a query with this reply, whose parts with a result have `covered_weight` of
     /// the `total_weight`.
-    pub(super) fn of_reply(reply: &Reply, covered_weight: f64, total_weight: f64) -> Outcome {
+    pub(super) fn of_reply(reply: &QueryReply, covered_weight: f64, total_weight: f64) -> Outcome {
         match reply {
-            Reply::Answer { complete: true, .. } => Outcome::Complete,
-            Reply::Answer { .. } => {
+            QueryReply::Answer { complete: true, .. } => Outcome::Complete,
+            QueryReply::Answer { .. } => {
                 let share = covered_weight / total_weight.max(f64::MIN_POSITIVE);
                 Outcome::Partial((share * MILLIONTHS).round().clamp(0.0, MILLIONTHS) as u32)
             }
-            Reply::Rejected { .. } => Outcome::Rejected,
+            QueryReply::Rejected { .. } => Outcome::Rejected,
             _ => Outcome::Failed,
         }
     }
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -7,7 +7,7 @@
 use super::usage::{self, JoinKey, Outcome, UsageRecord, UsageWatermark};
 use super::Engine;
 use crate::api::{Nanos, RequestId};
-use crate::protocol::query::Query as QueryRequest;
+use crate::protocol::query::QueryRequest;
 use std::collections::BTreeSet;
 
 /// The tenant by which usage is counted where the settings name none.
--- a/crates/core/src/net/client_connection.rs
+++ b/crates/core/src/net/client_connection.rs
@@ -6,7 +6,7 @@
 use crate::api::Nanos;
 use crate::engine::{ClientId, Input};
 use crate::protocol::http::{RequestError, Response, ServerCodec};
-use crate::protocol::query::{parse_request, render_reply, ClientRequest, Reply};
+use crate::protocol::query::{parse_request, render_reply, ClientRequest, QueryReply};
 use futures_util::{SinkExt, StreamExt};
 use std::io;
 use tokio::io::AsyncWriteExt;
@@ -36,7 +36,7 @@
     /// Send the reply to the request that the engine has.
     Reply {
         /// The reply.
-        reply: Box<Reply>,
+        reply: Box<QueryReply>,
         /// Close the connection after it.
         close: bool,
     },
@@ -88,7 +88,7 @@
 /// How the wait for a reply ends.
 enum ReplyWait {
     Reply {
-        reply: Box<Reply>,
+        reply: Box<QueryReply>,
         close: bool,
     },
     /// The client has closed the connection.
@@ -161,7 +161,7 @@
                 open,
             } = received;
             let Some(keep_alive) = self.submit(arrived, request).await else {
-                self.respond(render_reply(&Reply::REJECTED_UNSEEN, true))
+                self.respond(render_reply(&QueryReply::REJECTED_UNSEEN, true))
                     .await?;
                 return Ok(Ending::Closed(CloseReason::Stopped));
             };
--- a/crates/core/src/net/driver.rs
+++ b/crates/core/src/net/driver.rs
@@ -1,7 +1,7 @@
 //! Executes the engine's effects on the sockets.
 
 use super::client_connection::ClientCommand;
-use super::endpoint_watch::EndpointWatch;
+use super::endpoint_watch::EndpointWatchTask;
 use super::gossip::GossipSocket;
 use super::leaf_connection::{self, LeafConnectionHandle};
 use super::pending_replies::{OutgoingReply, PendingReplies};
@@ -139,7 +139,7 @@
     }
 
     fn start_watch(&mut self, number: u64, index: u64, response_timeout: Duration) {
-        let watch = EndpointWatch {
+        let watch = EndpointWatchTask {
             number,
             address: self.discovery,
             index,
--- a/crates/core/src/net/endpoint_watch.rs
+++ b/crates/core/src/net/endpoint_watch.rs
@@ -19,7 +19,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// One watch on the endpoint list.
-pub(super) struct EndpointWatch {
+pub(super) struct EndpointWatchTask {
     /// Its number, by which the engine tells it from earlier ones.
     pub(super) number: u64,
     /// Where discovery is.
@@ -30,7 +30,7 @@
     pub(super) response_timeout: Duration,
 }
 
-impl EndpointWatch {
+impl EndpointWatchTask {
     /// Reports each update of the list to the engine, until the watch ends or falls silent.
     pub(super) async fn run(mut self, shared: Shared) {
         if let Err(error) = self.connect_and_follow(&shared).await {
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -8,7 +8,7 @@
 use super::MAX_QUEUED_COMMANDS;
 use crate::api::Nanos;
 use crate::engine::{ClientId, Input};
-use crate::protocol::query::{ClientRequest, NameTables, Query, Reply};
+use crate::protocol::query::{ClientRequest, NameTables, QueryReply, QueryRequest};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
@@ -72,7 +72,7 @@
 
     /// Sends a query that arrived at this time and waits for its reply. Dropping the future cancels
     /// the query.
-    pub async fn send_query(&self, arrived: Nanos, query: Query) -> Reply {
+    pub async fn send_query(&self, arrived: Nanos, query: QueryRequest) -> QueryReply {
         let client = self.shared.next_client_id();
         let (commands, mut queued_commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
         self.shared.clients.borrow_mut().insert(client, commands);
@@ -88,14 +88,14 @@
         };
         let is_connected = connected.send(Input::ClientConnected { client }).await;
         if !is_connected || !connected.send(received).await {
-            return Reply::REJECTED_UNSEEN;
+            return QueryReply::REJECTED_UNSEEN;
         }
         loop {
             match queued_commands.recv().await {
                 Some(ClientCommand::Reply { reply, .. }) => return *reply,
                 // The query has crossed this command and is served.
                 Some(ClientCommand::Close | ClientCommand::Drain) => {}
-                None => return Reply::Failed,
+                None => return QueryReply::Failed,
             }
         }
     }
--- a/crates/core/src/net/pending_replies.rs
+++ b/crates/core/src/net/pending_replies.rs
@@ -4,7 +4,7 @@
 use super::UsageRecorder;
 use crate::engine::usage::{UsageRecord, UsageWatermark};
 use crate::engine::ClientId;
-use crate::protocol::query::Reply;
+use crate::protocol::query::QueryReply;
 use std::collections::VecDeque;
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
@@ -15,7 +15,7 @@
     /// The client.
     pub client: ClientId,
     /// The reply.
-    pub reply: Reply,
+    pub reply: QueryReply,
     /// The client's connection closes after it.
     pub close: bool,
 }
--- a/crates/core/src/protocol/query/mod.rs
+++ b/crates/core/src/protocol/query/mod.rs
@@ -1,6 +1,6 @@
 //! Queries as clients send them over HTTP, and the replies. Only this module knows the native
-//! dialect: a frontend for another protocol makes the same [`Query`] from its own requests and
-//! renders the same [`Reply`].
+//! dialect: a frontend for another protocol makes the same [`QueryRequest`] from its own requests and
+//! renders the same [`QueryReply`].
 
 mod reply;
 mod request;
@@ -41,7 +41,7 @@
 
 /// One query, whatever protocol it came by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Query {
+pub struct QueryRequest {
     /// The client's id for it; the ids of its parts begin with it.
     pub name: String,
     /// The query class, by number.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientRequest {
     /// The answer to a query.
-    Query(Query),
+    Query(QueryRequest),
     /// Whether this aggregator is ready to take queries.
     Ready,
     /// The counters.
@@ -73,7 +73,7 @@
 
 /// One part's result within an answer.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Hit {
+pub struct QueryHit {
     /// The shard it is from.
     pub shard: u32,
     /// The value that the leaf server returned.
@@ -82,13 +82,13 @@
 
 /// The reply to a client's request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
+pub enum QueryReply {
     /// The query was answered.
     Answer {
         /// The answer reaches the completeness threshold of its class.
         complete: bool,
         /// The results of the parts.
-        hits: Vec<Hit>,
+        hits: Vec<QueryHit>,
     },
     /// The query was rejected before any part of it was forwarded.
     Rejected {
@@ -105,7 +105,7 @@
     InvalidRequest(RequestError),
 }
 
-impl Reply {
+impl QueryReply {
     /// The reply to a query that came too late for any decision.
-    pub const REJECTED_UNSEEN: Reply = Reply::Rejected { retry_after: None };
+    pub const REJECTED_UNSEEN: QueryReply = QueryReply::Rejected { retry_after: None };
 }
--- a/crates/core/src/protocol/query/reply.rs
+++ b/crates/core/src/protocol/query/reply.rs
@@ -1,17 +1,17 @@
 //! Renders replies as HTTP responses.
 
-use super::{Hit, Reply};
+use super::{QueryHit, QueryReply};
 use crate::protocol::http::{RequestError, Response};
 use serde::Serialize;
 
 #[derive(Serialize)]
 struct AnswerBody<'a> {
     complete: bool,
-    hits: &'a [Hit],
+    hits: &'a [QueryHit],
 }
 
 /// Renders a reply; `close` says that the connection ends with it.
-pub fn render_reply(reply: &Reply, close: bool) -> Response {
+pub fn render_reply(reply: &QueryReply, close: bool) -> Response {
     let response = |status: u16, body: Vec<u8>| Response {
         status,
         body,
@@ -19,26 +19,28 @@
         ..Response::default()
     };
     match reply {
-        Reply::Answer { complete, hits } => {
+        QueryReply::Answer { complete, hits } => {
             let body = serde_json::to_vec(&AnswerBody {
                 complete: *complete,
                 hits,
             });
             response(200, body.unwrap_or_default())
         }
-        Reply::Rejected { retry_after } => Response {
+        QueryReply::Rejected { retry_after } => Response {
             retry_after: *retry_after,
             ..response(503, error_body("refused, try again"))
         },
-        Reply::Failed => response(504, error_body("failed")),
-        Reply::Ready(true) => response(200, b"{\"ready\":true}".to_vec()),
-        Reply::Ready(false) => response(503, b"{\"ready\":false}".to_vec()),
-        Reply::Stats(text) => response(200, text.clone()),
-        Reply::InvalidRequest(RequestError { status: 405, why }) => Response {
+        QueryReply::Failed => response(504, error_body("failed")),
+        QueryReply::Ready(true) => response(200, b"{\"ready\":true}".to_vec()),
+        QueryReply::Ready(false) => response(503, b"{\"ready\":false}".to_vec()),
+        QueryReply::Stats(text) => response(200, text.clone()),
+        QueryReply::InvalidRequest(RequestError { status: 405, why }) => Response {
             allow: Some(why),
             ..response(405, error_body("method not allowed"))
         },
-        Reply::InvalidRequest(RequestError { status, why }) => response(*status, error_body(why)),
+        QueryReply::InvalidRequest(RequestError { status, why }) => {
+            response(*status, error_body(why))
+        }
     }
 }
 
--- a/crates/core/src/protocol/query/request.rs
+++ b/crates/core/src/protocol/query/request.rs
@@ -1,6 +1,6 @@
 //! Parses what a client asks for from an HTTP request.
 
-use super::{ClientRequest, NameTables, Query, QueryPart};
+use super::{ClientRequest, NameTables, QueryPart, QueryRequest};
 use crate::api::Nanos;
 use crate::protocol::http::{Request, RequestError};
 use bytes::Bytes;
@@ -71,14 +71,18 @@
     })
 }
 
-fn parse_query(request: &Request, class: usize, names: &NameTables) -> Result<Query, RequestError> {
+fn parse_query(
+    request: &Request,
+    class: usize,
+    names: &NameTables,
+) -> Result<QueryRequest, RequestError> {
     let name = parse_name(request)?;
     let timeout = parse_timeout(request, class, names)?;
     let tenant = parse_tenant(request, names)?;
     let idempotency_key = parse_idempotency_key(request)?;
     let body: QueryBody = serde_json::from_slice(&request.body)
         .map_err(|_| RequestError::bad_request("body is not a query"))?;
-    Ok(Query {
+    Ok(QueryRequest {
         name: name.to_string(),
         class: class as u16,
         tenant: tenant as u32,
--- a/crates/core/tests/frontends.rs
+++ b/crates/core/tests/frontends.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use aggregator_core::net::{Extensions, InternalClient, StartFrontend};
-use aggregator_core::protocol::query::Reply;
+use aggregator_core::protocol::query::QueryReply;
 use std::cell::RefCell;
 use std::rc::Rc;
 use support::engine_harness::{query, SETTINGS};
@@ -16,7 +16,7 @@
 /// deadlines of the settings.
 const UNTIL_AFTER_EXIT_DEADLINE: Duration = Duration::from_millis(3_151);
 
-type SharedReply = Rc<RefCell<Option<Reply>>>;
+type SharedReply = Rc<RefCell<Option<QueryReply>>>;
 
 /// A frontend with one request, whose query follows so long after listening has stopped.
 fn frontend_with_late_query(delay: Duration, reply: SharedReply) -> StartFrontend {
@@ -52,7 +52,7 @@
         leaf.send_result(&id).await;
         harness.expect_exit().await;
         let reply = reply.borrow();
-        let is_answered = matches!(*reply, Some(Reply::Answer { complete: true, .. }));
+        let is_answered = matches!(*reply, Some(QueryReply::Answer { complete: true, .. }));
         assert!(is_answered, "{reply:?}");
     });
 }
@@ -67,6 +67,6 @@
         harness.request_shutdown().await;
         harness.expect_exit().await;
         let reply = reply.borrow();
-        assert_eq!(*reply, Some(Reply::Rejected { retry_after: None }));
+        assert_eq!(*reply, Some(QueryReply::Rejected { retry_after: None }));
     });
 }
--- a/crates/core/tests/pending_replies.rs
+++ b/crates/core/tests/pending_replies.rs
@@ -4,7 +4,7 @@
 use aggregator_core::engine::ClientId;
 use aggregator_core::net::pending_replies::{OutgoingReply, PendingReplies};
 use aggregator_core::net::UsageRecorder;
-use aggregator_core::protocol::query::Reply;
+use aggregator_core::protocol::query::QueryReply;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::watch;
@@ -51,7 +51,7 @@
     }
 }
 
-fn outgoing(client: ClientId, reply: Reply) -> OutgoingReply {
+fn outgoing(client: ClientId, reply: QueryReply) -> OutgoingReply {
     OutgoingReply {
         client,
         reply,
@@ -70,10 +70,12 @@
     }));
     for sequence in 1..=3 {
         replies.record(usage(sequence));
-        assert!(replies.hold(outgoing(sequence, Reply::Failed)).is_none());
+        assert!(replies
+            .hold(outgoing(sequence, QueryReply::Failed))
+            .is_none());
     }
     // A reply that is not to a query has nothing to wait for.
-    assert!(replies.hold(outgoing(9, Reply::Ready(true))).is_some());
+    assert!(replies.hold(outgoing(9, QueryReply::Ready(true))).is_some());
     assert!(replies.pop_ready().is_none());
     replies.close_client(2);
     written.send_replace(2);
@@ -94,11 +96,11 @@
     );
     // The log has stalled: nothing waits until it advances.
     replies.record(usage(4));
-    assert!(replies.hold(outgoing(4, Reply::Failed)).is_some());
+    assert!(replies.hold(outgoing(4, QueryReply::Failed)).is_some());
     assert_eq!(unrecorded_replies.get(), 2);
     written.send_replace(4);
     replies.record(usage(5));
-    assert!(replies.hold(outgoing(5, Reply::Failed)).is_none());
+    assert!(replies.hold(outgoing(5, QueryReply::Failed)).is_none());
 }
 
 #[tokio::test]
@@ -110,5 +112,5 @@
         unrecorded_replies: Rc::default(),
     }));
     replies.record(usage(1));
-    assert!(replies.hold(outgoing(1, Reply::Failed)).is_some());
+    assert!(replies.hold(outgoing(1, QueryReply::Failed)).is_some());
 }
--- a/crates/core/tests/protocol.rs
+++ b/crates/core/tests/protocol.rs
@@ -4,7 +4,7 @@
 
 use aggregator_core::protocol::http::{Request, RequestError, Response, ServerCodec, WatchCodec};
 use aggregator_core::protocol::leaf::LeafCodec;
-use aggregator_core::protocol::query::{self, ClientRequest, NameTables, Reply};
+use aggregator_core::protocol::query::{self, ClientRequest, NameTables, QueryReply};
 use aggregator_core::protocol::{discovery, http};
 use bytes::BytesMut;
 use proptest::prelude::*;
@@ -203,7 +203,7 @@
 #[test]
 fn replies_carry_retry_after_and_completeness() {
     let rejected = encode(query::render_reply(
-        &Reply::Rejected {
+        &QueryReply::Rejected {
             retry_after: Some(500_000_001),
         },
         false,
@@ -212,12 +212,12 @@
         rejected.starts_with("HTTP/1.1 503 ") && rejected.contains("Retry-After: 0.501\r\n"),
         "{rejected}"
     );
-    let hits = vec![query::Hit {
+    let hits = vec![query::QueryHit {
         shard: 3,
         doc: "5be2\"".into(),
     }];
     let answer = encode(query::render_reply(
-        &Reply::Answer {
+        &QueryReply::Answer {
             complete: false,
             hits,
         },
@@ -227,7 +227,7 @@
     assert!(answer
         .ends_with("\r\n\r\n{\"complete\":false,\"hits\":[{\"shard\":3,\"doc\":\"5be2\\\"\"}]}"));
     let not_allowed = encode(query::render_reply(
-        &Reply::InvalidRequest(RequestError {
+        &QueryReply::InvalidRequest(RequestError {
             status: 405,
             why: "POST",
         }),
--- a/crates/core/tests/reducer/attempts.rs
+++ b/crates/core/tests/reducer/attempts.rs
@@ -4,7 +4,7 @@
 use crate::{frames_of_batch, is_complete, sent_parts, snapshot_of_one};
 use aggregator_core::engine::{ConnectionId, Effect, Input};
 use aggregator_core::protocol::leaf::{LeafRequest, LeafResponse, PartStatus};
-use aggregator_core::protocol::query::Reply;
+use aggregator_core::protocol::query::QueryReply;
 
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_dropped_when_its_replica_drains() {
@@ -155,7 +155,7 @@
         "it may have run: it is not retried"
     );
     assert!(
-        matches!(harness.last_reply(client), Some(Reply::Failed)),
+        matches!(harness.last_reply(client), Some(QueryReply::Failed)),
         "and the client is not told that trying again is harmless"
     );
 }
@@ -188,7 +188,7 @@
         );
         harness.advance(200);
         let reply = harness.last_reply(client);
-        let failed = matches!(reply, Some(Reply::Failed));
+        let failed = matches!(reply, Some(QueryReply::Failed));
         assert_eq!(failed, sent == 1, "{reply:?}");
     }
 }
--- a/crates/core/tests/reducer/clients.rs
+++ b/crates/core/tests/reducer/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::support::engine_harness::{EngineHarness, START};
 use aggregator_core::engine::{ClientId, Effect, Input};
-use aggregator_core::protocol::query::{ClientRequest, Reply};
+use aggregator_core::protocol::query::{ClientRequest, QueryReply};
 
 /// Sends a query from a new client, and has it answered.
 fn have_query_answered(harness: &mut EngineHarness) -> ClientId {
@@ -67,7 +67,7 @@
     let is_ready = |harness: &mut EngineHarness| {
         let client = harness.connect_client();
         harness.send_request(client, ClientRequest::Ready);
-        harness.last_reply(client) == Some(&Reply::Ready(true))
+        harness.last_reply(client) == Some(&QueryReply::Ready(true))
     };
     let mut harness = EngineHarness::new(0);
     assert!(!is_ready(&mut harness));
--- a/crates/core/tests/reducer/main.rs
+++ b/crates/core/tests/reducer/main.rs
@@ -12,7 +12,7 @@
 
 use aggregator_core::engine::{ConnectionId, Effect, Input};
 use aggregator_core::protocol::leaf::LeafRequest;
-use aggregator_core::protocol::query::Reply;
+use aggregator_core::protocol::query::QueryReply;
 use support::engine_harness::{EngineHarness, MS};
 
 /// The connection of each part that was sent, in order.
@@ -27,12 +27,12 @@
 }
 
 /// Whether a reply is a rejection with a `Retry-After` that the settings allow.
-fn is_rejected(reply: Option<&Reply>) -> bool {
-    matches!(reply, Some(Reply::Rejected { retry_after: Some(after) }) if (1..=500 * MS).contains(after))
+fn is_rejected(reply: Option<&QueryReply>) -> bool {
+    matches!(reply, Some(QueryReply::Rejected { retry_after: Some(after) }) if (1..=500 * MS).contains(after))
 }
 
-fn is_complete(reply: Option<&Reply>) -> bool {
-    matches!(reply, Some(Reply::Answer { complete: true, .. }))
+fn is_complete(reply: Option<&QueryReply>) -> bool {
+    matches!(reply, Some(QueryReply::Answer { complete: true, .. }))
 }
 
 /// Applies inputs that come at once, and returns the frames that are written at the end of their
--- a/crates/core/tests/reducer/queries.rs
+++ b/crates/core/tests/reducer/queries.rs
@@ -5,7 +5,7 @@
 use aggregator_core::engine::{ClientId, ConnectionId, Input};
 use aggregator_core::protocol::http::RequestError;
 use aggregator_core::protocol::leaf::PartStatus;
-use aggregator_core::protocol::query::{ClientRequest, Reply};
+use aggregator_core::protocol::query::{ClientRequest, QueryReply};
 
 #[test]
 fn a_query_is_answered_completely_with_the_values_as_given() {
@@ -13,7 +13,7 @@
     let client = harness.send_query(1, &[0.5, 0.5]);
     harness.open_all_connections();
     harness.respond_to_all();
-    let Some(Reply::Answer {
+    let Some(QueryReply::Answer {
         complete: true,
         hits,
     }) = harness.last_reply(client)
@@ -61,7 +61,7 @@
     for client in [without_replicas, over_capacity, too_late] {
         assert_eq!(
             harness.last_reply(client),
-            Some(&Reply::Rejected { retry_after: None })
+            Some(&QueryReply::Rejected { retry_after: None })
         );
     }
 }
@@ -137,7 +137,7 @@
     };
     assert!(matches!(
         send_with_same_id(&mut harness),
-        Some(Reply::InvalidRequest(RequestError { status: 409, .. }))
+        Some(QueryReply::InvalidRequest(RequestError { status: 409, .. }))
     ));
     harness.open_all_connections();
     assert_eq!(
--- a/crates/core/tests/reducer/shutdown_deadlines.rs
+++ b/crates/core/tests/reducer/shutdown_deadlines.rs
@@ -4,7 +4,7 @@
 use crate::support::engine_harness::{EngineHarness, MS, SETTINGS, START};
 use aggregator_core::engine::Input;
 use aggregator_core::protocol::leaf::PartStatus;
-use aggregator_core::protocol::query::Reply;
+use aggregator_core::protocol::query::QueryReply;
 
 /// The longest deadline that delays a kill, and what comes on top of it, in milliseconds.
 const MAX_COUNTED_DEADLINE_MS: u64 = 3000;
@@ -129,7 +129,7 @@
         harness.advance(kept_ms.min(LATENCY_OBJECTIVE_MS * 3 / 4));
         harness.respond_to_all();
         let reply = harness.last_reply(client);
-        let is_answered = matches!(reply, Some(Reply::Answer { complete: true, .. }));
+        let is_answered = matches!(reply, Some(QueryReply::Answer { complete: true, .. }));
         let is_too_short = deadline_ms <= HELD_UP_MS;
         assert!(
             is_answered || is_too_short && reply.is_some(),
@@ -179,7 +179,7 @@
         }
         advance_to(&mut harness, earliest_kill_ms(deadline_ms) - HELD_UP_MS);
         let reply = harness.last_reply(client);
-        let Some(Reply::Answer { complete, hits }) = reply else {
+        let Some(QueryReply::Answer { complete, hits }) = reply else {
             panic!("no answer: {reply:?}");
         };
         assert_eq!(*complete, !expects_partial);
--- a/crates/core/tests/support/engine_harness.rs
+++ b/crates/core/tests/support/engine_harness.rs
@@ -9,7 +9,7 @@
 use aggregator_core::engine::usage::{UsageRecord, UsageWatermark};
 use aggregator_core::engine::{ClientId, ConnectionId, Effect, Engine, Input};
 use aggregator_core::protocol::leaf::{CallPart, LeafRequest, LeafResponse, PartStatus};
-use aggregator_core::protocol::query::{ClientRequest, Reply};
+use aggregator_core::protocol::query::{ClientRequest, QueryReply};
 use bytes::Bytes;
 use inputs::{endpoint_update, ListLine};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct SentReply {
     pub at: u64,
-    pub reply: Reply,
+    pub reply: QueryReply,
 }
 
 /// A frame and the connection that it was written to.
@@ -169,7 +169,7 @@
         }
     }
 
-    fn carry_out_reply(&mut self, client: ClientId, reply: Reply, close: bool) {
+    fn carry_out_reply(&mut self, client: ClientId, reply: QueryReply, close: bool) {
         let at = self.now;
         let replies = self.replies.entry(client).or_default();
         replies.push(SentReply { at, reply });
@@ -389,7 +389,7 @@
     }
 
     /// The last reply that was sent to a client.
-    pub fn last_reply(&self, client: ClientId) -> Option<&Reply> {
+    pub fn last_reply(&self, client: ClientId) -> Option<&QueryReply> {
         let last = self.replies.get(&client)?.last()?;
         Some(&last.reply)
     }
--- a/crates/core/tests/support/engine_harness/inputs.rs
+++ b/crates/core/tests/support/engine_harness/inputs.rs
@@ -1,7 +1,7 @@
 //! What the inputs of an engine are made from: settings, endpoint lists and queries.
 
 use aggregator_core::protocol::discovery::EndpointUpdate;
-use aggregator_core::protocol::query::{Query, QueryPart};
+use aggregator_core::protocol::query::{QueryPart, QueryRequest};
 use bytes::Bytes;
 
 /// A millisecond, in nanoseconds.
@@ -43,13 +43,13 @@
 }
 
 /// A query with one part for each weight, on shards from 0.
-pub fn query(name: &str, class: u16, weights: &[f64], timeout_ms: u64) -> Query {
+pub fn query(name: &str, class: u16, weights: &[f64], timeout_ms: u64) -> QueryRequest {
     let part = |(shard, weight): (usize, &f64)| QueryPart {
         shard: shard as u32,
         weight: *weight,
         work: None,
     };
-    Query {
+    QueryRequest {
         name: name.into(),
         class,
         tenant: 0,
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -5,7 +5,7 @@
 use aggregator_core::engine::usage::{is_client_key, key_of_client, key_of_query, Outcome};
 use aggregator_core::engine::Input;
 use aggregator_core::protocol::leaf::PartStatus;
-use aggregator_core::protocol::query::{ClientRequest, Query};
+use aggregator_core::protocol::query::{ClientRequest, QueryRequest};
 use support::engine_harness::{query, EngineHarness, MS, START};
 
 /// An engine that records usage, with a watermark each 100 ms.
@@ -18,7 +18,7 @@
 /// Sends a query of class `lookup` for two parts. With a key it is a retry.
 fn send_lookup(harness: &mut EngineHarness, name: &str, timeout_ms: u64, key: Option<&str>) {
     let client = harness.connect_client();
-    let query = Query {
+    let query = QueryRequest {
         is_retry: key.is_some(),
         idempotency_key: key.map(str::to_string),
         text: bytes::Bytes::from_static(b"text"),
--- a/crates/opensearch-gateway/src/server/execution.rs
+++ b/crates/opensearch-gateway/src/server/execution.rs
@@ -8,7 +8,7 @@
 use crate::query_dsl::{parse_time_value_ms, SearchRequest};
 use crate::response::{to_json_bytes, FailedShard, ShardSummary};
 use crate::settings::ShardWeight;
-use aggregator_core::protocol::query::{Hit, NameTables, Query, QueryPart, Reply};
+use aggregator_core::protocol::query::{NameTables, QueryHit, QueryPart, QueryReply, QueryRequest};
 use bytes::Bytes;
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     let class = find_class(index, &names)?;
     let tenant = resolve_tenant(context, &names.tenants)?;
     let selection = ShardSelection::new(index, parameters.shards.as_deref())?;
-    let query = Query {
+    let query = QueryRequest {
         name: gateway.next_query_name(),
         class: class as u16,
         tenant: tenant as u32,
@@ -101,16 +101,16 @@
 
 /// The answers of the leaf servers in a reply, or the error that the reply stands for.
 fn answer_hits(
-    reply: Reply,
+    reply: QueryReply,
     index: Index,
     selection: &ShardSelection,
-) -> Result<Vec<Hit>, GatewayError> {
+) -> Result<Vec<QueryHit>, GatewayError> {
     match reply {
-        Reply::Answer { hits, .. } => Ok(hits),
-        Reply::Rejected { retry_after } => Err(GatewayError::Rejected {
+        QueryReply::Answer { hits, .. } => Ok(hits),
+        QueryReply::Rejected { retry_after } => Err(GatewayError::Rejected {
             retry_after: retry_after.map(Duration::from_nanos),
         }),
-        Reply::InvalidRequest(error) => Err(GatewayError::InvalidQuery {
+        QueryReply::InvalidRequest(error) => Err(GatewayError::InvalidQuery {
             status: error.status,
             reason: error.why,
         }),
@@ -122,7 +122,7 @@
 }
 
 /// Bounds the memory that merging the answers takes.
-fn check_answer_size(hits: &[Hit], max_bytes: usize) -> Result<(), GatewayError> {
+fn check_answer_size(hits: &[QueryHit], max_bytes: usize) -> Result<(), GatewayError> {
     let bytes: usize = hits.iter().map(|hit| hit.doc.len()).sum();
     if bytes > max_bytes {
         return Err(GatewayError::AnswersTooLarge { bytes, max_bytes });
@@ -175,7 +175,7 @@
     }
 
     /// Parses the answer of each shard.
-    fn collect_answers(&self, hits: &[Hit], request: &SearchRequest) -> CollectedAnswers {
+    fn collect_answers(&self, hits: &[QueryHit], request: &SearchRequest) -> CollectedAnswers {
         let mut answers = CollectedAnswers {
             shards: self.summary(),
             results: Vec::new(),
