--- a/crates/core/src/net/pipelined_requests.rs
+++ b/crates/core/src/net/client_connection/pipelined_requests.rs
@@ -1,7 +1,7 @@
 //! Requests that a client has sent ahead of the replies to the ones before.
 
-use super::open_requests::OpenRequest;
 use crate::api::Nanos;
+use crate::net::open_requests::OpenRequest;
 use crate::protocol::http::{Request, RequestError, MAX_BODY_BYTES};
 use std::collections::VecDeque;
 
@@ -22,10 +22,18 @@
 pub(super) struct ReceivedRequest {
     pub(super) arrived: Nanos,
     pub(super) request: DecodedRequest,
-    /// Held until it is answered.
+    /// Dropped once the request is answered. A shutdown waits for that.
     pub(super) open: OpenRequest,
 }
 
+/// Whether more requests may be read ahead on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReadAhead {
+    Continue,
+    /// A limit is reached: all further input is discarded.
+    Stop,
+}
+
 /// The pipelined requests of one connection, in order.
 #[derive(Default)]
 pub(super) struct PipelinedRequests {
@@ -34,9 +42,9 @@
 }
 
 impl PipelinedRequests {
-    /// Appends a request. If that exceeds a limit it is replaced by an error, and false is
-    /// returned: nothing more may be read.
-    pub(super) fn push(&mut self, mut received: ReceivedRequest) -> bool {
+    /// Appends a request. If that exceeds a limit, the request is replaced by an error, and reading
+    /// stops.
+    pub(super) fn push(&mut self, mut received: ReceivedRequest) -> ReadAhead {
         self.body_bytes += body_length(&received.request);
         let is_full =
             self.requests.len() >= MAX_REQUESTS || self.body_bytes > MAX_BUFFERED_BODY_BYTES;
@@ -45,7 +53,11 @@
             received.request = Err(TOO_MANY_REQUESTS);
         }
         self.requests.push_back(received);
-        !is_rejected
+        if is_rejected {
+            ReadAhead::Stop
+        } else {
+            ReadAhead::Continue
+        }
     }
 
     /// Takes the next request.
--- a/crates/core/src/net/driver.rs
+++ b/crates/core/src/net/driver.rs
@@ -1,6 +1,6 @@
 //! Executes the engine's effects on the sockets.
 
-use super::client_connection::ClientCommand;
+use super::client_command::ClientCommand;
 use super::endpoint_watch::EndpointWatchTask;
 use super::gossip::GossipSocket;
 use super::leaf_connection::{self, LeafConnectionHandle};
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -1,7 +1,7 @@
 //! How the frontends for other protocols query the engine: as clients of the same kind as those of
 //! the native protocol.
 
-use super::client_connection::ClientCommand;
+use super::client_command::ClientCommand;
 use super::open_requests::OpenRequest;
 use super::running_frontend::RunningFrontend;
 use super::shared::{ServingPhase, Shared};
--- a/crates/core/src/net/leaf_connection.rs
+++ b/crates/core/src/net/leaf_connection.rs
@@ -1,6 +1,6 @@
 //! Connections to leaf servers, one task each.
 
-use super::read_message::read_message;
+use super::read_message::{read_message, MessageRead};
 use super::shared::Shared;
 use super::MAX_QUEUED_COMMANDS;
 use crate::engine::{ConnectionId, Input};
@@ -102,15 +102,15 @@
                 let _ = shared.inputs.send(Input::FrameWritten { connection }).await;
             }
             received = read_message(framed, &mut begun, FRAME_TIMEOUT) => {
-                let frame = match received {
-                    Ok(Some(frame)) => frame?,
-                    Ok(None) => return Ok(()),
+                let frame = match received? {
+                    MessageRead::Received(frame) => frame,
+                    MessageRead::EndOfStream => return Ok(()),
                     // The socket was no longer readable: no frame has begun.
-                    Err(_) if framed.read_buffer().is_empty() => {
+                    MessageRead::TimedOut if framed.read_buffer().is_empty() => {
                         begun = None;
                         continue;
                     }
-                    Err(_) => {
+                    MessageRead::TimedOut => {
                         let received = framed.read_buffer().clone();
                         framed.codec_mut().cut_short(&received)
                     }
--- a/crates/core/src/net/mod.rs
+++ b/crates/core/src/net/mod.rs
@@ -5,6 +5,7 @@
 
 mod backlog;
 mod buffer_pool;
+mod client_command;
 mod client_connection;
 mod clock;
 mod driver;
@@ -16,7 +17,6 @@
 mod listener;
 mod open_requests;
 pub mod pending_replies;
-mod pipelined_requests;
 mod read_message;
 mod running_frontend;
 mod shared;
--- a/crates/core/src/net/shared.rs
+++ b/crates/core/src/net/shared.rs
@@ -1,7 +1,7 @@
 //! What the tasks of all connections share.
 
 use super::buffer_pool::BufferPool;
-use super::client_connection::ClientCommand;
+use super::client_command::ClientCommand;
 use super::open_requests::OpenRequests;
 use super::Clock;
 use crate::engine::{ClientId, Input};
