--- /dev/null
+++ b/crates/core/src/net/driver/reply_delivery.rs
@@ -0,0 +1,120 @@
+//! Delivers replies and closes to the tasks of client connections, each reply once its usage record
+//! is written.
+
+use crate::engine::usage::{UsageRecord, UsageWatermark};
+use crate::engine::ClientId;
+use crate::net::client_command::ClientCommand;
+use crate::net::pending_replies::{OutgoingReply, PendingReplies};
+use crate::net::shared::Shared;
+use tokio::time::Instant;
+
+/// Sends commands to the tasks of client connections, and holds the replies that wait for the usage
+/// log.
+pub(super) struct ReplyDelivery {
+    shared: Shared,
+    /// Present if usage is recorded.
+    pending_replies: Option<PendingReplies>,
+}
+
+impl ReplyDelivery {
+    pub(super) fn new(shared: Shared, pending_replies: Option<PendingReplies>) -> ReplyDelivery {
+        ReplyDelivery {
+            shared,
+            pending_replies,
+        }
+    }
+
+    pub(super) fn record_usage(&mut self, usage: UsageRecord) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.record(usage);
+        }
+    }
+
+    pub(super) fn record_watermark(&mut self, watermark: UsageWatermark) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.record_watermark(watermark);
+        }
+    }
+
+    /// Sends a reply, or holds it until its usage record is written.
+    pub(super) fn send_or_hold(&mut self, outgoing: OutgoingReply) {
+        let ready = match &mut self.pending_replies {
+            Some(pending_replies) => pending_replies.hold(outgoing),
+            None => Some(outgoing),
+        };
+        if let Some(outgoing) = ready {
+            self.send_reply(outgoing);
+        }
+    }
+
+    /// Sends `command`, which closes a client's connection. A reply that is still held closes it
+    /// too.
+    pub(super) fn close_client(&mut self, client: ClientId, command: ClientCommand) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.close_client(client);
+        }
+        self.send_command(client, command);
+    }
+
+    /// When the next reply stops waiting for its usage record.
+    pub(super) fn next_deadline(&self) -> Option<Instant> {
+        self.pending_replies
+            .as_ref()
+            .and_then(PendingReplies::next_deadline)
+    }
+
+    /// Returns once usage records were written that replies wait for.
+    pub(super) async fn wait_for_usage_log(&mut self) {
+        match &mut self.pending_replies {
+            Some(pending_replies) => pending_replies.wait_for_written().await,
+            None => std::future::pending().await,
+        }
+    }
+
+    /// Sends the replies whose records are written, or that have waited long enough.
+    pub(super) fn send_ready(&mut self) {
+        while let Some(outgoing) = self
+            .pending_replies
+            .as_mut()
+            .and_then(PendingReplies::pop_ready)
+        {
+            self.send_reply(outgoing);
+        }
+    }
+
+    /// Sends all replies that are held, and each later one, without waiting for their records. Part
+    /// of a shutdown from the answer deadline of `engine/shutdown.rs` on.
+    pub(super) fn release(&mut self) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.stop_holding();
+        }
+        self.send_ready();
+    }
+
+    /// Closes the usage log, which may block for as long as the disk stalls.
+    pub(super) fn close_usage_log(&mut self) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.close();
+        }
+    }
+
+    fn send_reply(&self, outgoing: OutgoingReply) {
+        let OutgoingReply {
+            client,
+            reply,
+            close,
+        } = outgoing;
+        let reply = Box::new(reply);
+        self.send_command(client, ClientCommand::Reply { reply, close });
+    }
+
+    fn send_command(&self, client: ClientId, command: ClientCommand) {
+        if let Some(commands) = self.shared.clients.borrow().get(&client) {
+            // The queue is full only if the task is blocked on a client that does not read; that
+            // client loses its response.
+            if commands.try_send(command).is_err() {
+                tracing::debug!(client, "a client's connection has ended or is blocked");
+            }
+        }
+    }
+}
--- a/crates/core/src/net/shared.rs
+++ b/crates/core/src/net/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of all connections share.
+//! The state that the tasks of all connections share.
 
 use super::buffer_pool::BufferPool;
 use super::client_command::ClientCommand;
@@ -11,18 +11,19 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch, Notify};
 
-/// What a frontend does with connections.
+/// What a frontend does with connections. A graceful shutdown passes through the phases in this
+/// order; `engine/shutdown.rs` decides when each begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ServingPhase {
     /// It accepts them, and keeps them open.
     Running,
-    /// It accepts them, and closes each after its response.
+    /// The drain period: it accepts them, and closes each after its response.
     Draining,
-    /// It accepts no more, and closes those that are idle.
-    Stopped,
+    /// The drain period is over: it accepts no more, and closes those that are idle.
+    ListeningStopped,
 }
 
-/// What the task of each connection holds. All clones refer to the same state.
+/// The state that the tasks of all connections share. All clones refer to the same state.
 #[derive(Clone)]
 pub(super) struct Shared {
     pub(super) clock: Clock,
@@ -38,11 +39,11 @@
     pub(super) open_requests: OpenRequests,
     /// The number of connections that only wait for their client to close.
     pub(super) lingering: Rc<Cell<usize>>,
-    /// Notified when a lingering connection has to make place for a new one.
+    /// Notified when a lingering connection has to end because a new one needs its capacity.
     pub(super) capacity_needed: Rc<Notify>,
     pub(super) names: Rc<NameTables>,
     last_client: Rc<Cell<ClientId>>,
-    /// How far the process has come on its way to its end.
+    /// The phase that all frontends are in.
     pub(super) phase: Rc<watch::Sender<ServingPhase>>,
 }
 
@@ -78,7 +79,7 @@
     pub(super) async fn listening_stopped(&self) {
         let mut phase = self.phase.subscribe();
         let _ = phase
-            .wait_for(|phase| *phase == ServingPhase::Stopped)
+            .wait_for(|phase| *phase == ServingPhase::ListeningStopped)
             .await;
     }
 
