--- a/crates/core/src/net/backlog.rs
+++ b/crates/core/src/net/backlog.rs
@@ -5,34 +5,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Duration};
 
-/// How long nothing has come in before the listener closes: in that time the system has reported
-/// every connection that was waiting to be accepted.
+/// The listener closes after it has accepted nothing for this long: in that time the system has
+/// reported every connection that was waiting to be accepted.
 const QUIET_TIME: Duration = Duration::from_millis(5);
-/// The most connections that the system lets wait. Who comes after them has come too late: a flood
-/// must not keep the listener open.
+/// The most connections that are accepted from the backlog, which is also the most that the system
+/// keeps. Later ones are not accepted: a flood must not keep the listener open.
 const MAX_WAITING: usize = 1024;
 /// The pause after a failed accept, which usually means that no descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A listener that is about to close.
+/// The connections that wait at a listener that is about to close.
 pub struct Backlog {
     listener: TcpListener,
-    left: usize,
+    remaining: usize,
 }
 
 impl Backlog {
-    /// What waits at this listener, which closes when the value is dropped.
+    /// The backlog of this listener, which closes when the value is dropped.
     pub fn new(listener: TcpListener) -> Backlog {
         Backlog {
             listener,
-            left: MAX_WAITING,
+            remaining: MAX_WAITING,
         }
     }
 
-    /// Accepts the next connection; none once no more are waiting. A failed accept ends nothing:
-    /// the connection that failed is gone, others still wait.
+    /// Accepts the next connection; none once no more are waiting. After a failed accept it goes on:
+    /// the connection that failed is lost, others still wait.
     pub async fn accept(&mut self) -> Option<(TcpStream, SocketAddr)> {
-        self.left = self.left.checked_sub(1)?;
+        self.remaining = self.remaining.checked_sub(1)?;
         loop {
             match timeout(QUIET_TIME, self.listener.accept()).await {
                 Ok(Ok(accepted)) => return Some(accepted),
--- a/crates/core/src/net/client_connection/serving.rs
+++ b/crates/core/src/net/client_connection/serving.rs
@@ -91,7 +91,7 @@
             let keep_alive = match self.submit(arrived, request).await {
                 Submission::Accepted { keep_alive } => keep_alive,
                 Submission::Stopped => {
-                    let rejected = render_reply(&QueryReply::REJECTED_UNSEEN, true);
+                    let rejected = render_reply(&QueryReply::REJECTED_AT_EXIT, true);
                     self.respond(rejected).await?;
                     return Ok(Ending::Closed(CloseReason::Stopped));
                 }
--- a/crates/core/src/net/endpoint_watch.rs
+++ b/crates/core/src/net/endpoint_watch.rs
@@ -1,5 +1,5 @@
-//! A watch on the endpoint list: one request to discovery, and a response that goes on for as long
-//! as the watch lives. When to start the next one is the policy's decision.
+//! A watch on the endpoint list: one request to discovery, and a response that goes on until the
+//! watch ends. When to start the next one is the policy's decision.
 
 use super::shared::Shared;
 use crate::engine::Input;
@@ -12,17 +12,17 @@
 use tokio::time::{timeout, Duration};
 use tokio_util::codec::Framed;
 
-/// Discovery sends a line every 2 s, empty if nothing has changed; a watch that is silent for well
-/// longer than that is dead.
+/// Discovery sends a line every 2 s, empty if nothing has changed. A watch without a line for this
+/// long has failed.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 /// The discovery agent is on this machine: a connection that takes longer never opens.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One watch on the endpoint list.
+/// The task of one watch on the endpoint list.
 pub(super) struct EndpointWatchTask {
-    /// Its number, by which the engine tells it from earlier ones.
+    /// Its number, which the engine compares with that of its latest watch.
     pub(super) number: u64,
-    /// Where discovery is.
+    /// The address of discovery.
     pub(super) address: SocketAddr,
     /// The version of the list to continue from; then the latest that has been received.
     pub(super) index: u64,
@@ -31,7 +31,7 @@
 }
 
 impl EndpointWatchTask {
-    /// Reports each update of the list to the engine, until the watch ends or falls silent.
+    /// Reports each update of the list to the engine, until the watch ends or times out.
     pub(super) async fn run(mut self, shared: Shared) {
         if let Err(error) = self.connect_and_follow(&shared).await {
             let (address, index) = (self.address, self.index);
--- a/crates/core/src/net/event_loop.rs
+++ b/crates/core/src/net/event_loop.rs
@@ -1,4 +1,5 @@
-//! The loop that feeds the engine: operator signals, inputs from the sockets, and timers.
+//! The event loop: passes operator signals, inputs from the sockets and timers to the engine, and
+//! its effects to the driver.
 
 use super::driver::Driver;
 use super::gossip::GossipSocket;
@@ -19,8 +20,12 @@
 /// The most inputs of one batch, so that timers stay on time under a flood.
 const MAX_BATCH_INPUTS: usize = 256;
 
-/// Serves the clients of `listener` until the engine asks for the exit. Must run inside a
-/// `LocalSet`.
+/// Serves the clients of `listener` until the engine requests the exit, and then until the exit
+/// deadline of `engine/shutdown.rs` or the end of the last client. Must run inside a `LocalSet`.
+///
+/// # Errors
+///
+/// The address for gossip messages can't be bound.
 pub async fn serve(
     engine: Engine,
     clock: Clock,
@@ -69,7 +74,7 @@
 }
 
 impl EventLoop {
-    /// Runs until the engine asks for the exit; returns by when the process ends.
+    /// Runs until the engine requests the exit; returns the exit deadline.
     async fn run(&mut self) -> Instant {
         self.apply(self.clock.now(), Input::BatchEnded);
         loop {
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Lets the engine answer what was read before the exit, and takes no more.
+    /// Accepts no more inputs, and has the engine answer those that were read before the exit.
     fn answer_queued_inputs(&mut self) {
         self.queued_inputs.close();
         let now = self.clock.now();
--- a/crates/core/src/net/gossip.rs
+++ b/crates/core/src/net/gossip.rs
@@ -17,13 +17,31 @@
     receiver: AbortHandle,
 }
 
-/// The addresses of the other aggregators, by number, and one for all.
+/// The addresses of the other aggregators.
 #[derive(Clone, Debug)]
 struct PeerAddresses {
+    /// By number.
     peers: Vec<SocketAddr>,
+    /// The address that reaches all of them.
     broadcast: Option<SocketAddr>,
 }
 
+impl PeerAddresses {
+    /// The address of one aggregator, or of all; none if it is not configured.
+    fn address(&self, to: Option<u32>) -> Option<SocketAddr> {
+        match to {
+            Some(peer) => self.peers.get(peer as usize).copied(),
+            None => self.broadcast,
+        }
+    }
+
+    /// The number of the aggregator at this address.
+    fn number(&self, address: SocketAddr) -> Option<u32> {
+        let number = self.peers.iter().position(|peer| *peer == address)?;
+        Some(number as u32)
+    }
+}
+
 impl GossipSocket {
     /// Opens the socket and starts to receive.
     pub(super) async fn bind(
@@ -57,11 +75,7 @@
 
     /// Sends a message to one aggregator, or to all.
     pub(super) fn send(&self, to: Option<u32>, bytes: &[u8]) {
-        let address = match to {
-            Some(peer) => self.peers.peers.get(peer as usize).copied(),
-            None => self.peers.broadcast,
-        };
-        let Some(address) = address else {
+        let Some(address) = self.peers.address(to) else {
             return;
         };
         if let Err(error) = self.socket.try_send_to(bytes, address) {
@@ -73,13 +87,13 @@
 async fn receive(shared: Shared, socket: Rc<UdpSocket>, peers: PeerAddresses) {
     let mut buffer = [0; BUFFER_BYTES];
     loop {
-        // An error here is about an earlier message, to an aggregator that is down.
+        // An error here is caused by an earlier message to an aggregator that is down.
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        if let Some(from) = peers.peers.iter().position(|peer| *peer == sender) {
+        if let Some(from) = peers.number(sender) {
             let input = Input::GossipReceived {
-                from: from as u32,
+                from,
                 bytes: buffer[..length].to_vec(),
             };
             let _ = shared.inputs.send(input).await;
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -1,5 +1,5 @@
-//! How the frontends for other protocols query the engine: as clients of the same kind as those of
-//! the native protocol.
+//! The interface by which the frontends for other protocols send queries to the engine. To the
+//! engine, their clients are of the same kind as those of the native protocol.
 
 use super::client_command::ClientCommand;
 use super::open_requests::OpenRequest;
@@ -16,7 +16,7 @@
 /// `LocalSet`.
 ///
 /// A frontend holds a clone while it accepts connections or serves any: once the last one is
-/// dropped the frontend has stopped, and the process may exit.
+/// dropped the frontend has stopped, and the process may exit (see `engine/shutdown.rs`).
 #[derive(Clone)]
 pub struct InternalClient {
     shared: Shared,
@@ -88,7 +88,7 @@
         };
         let is_connected = connected.send(Input::ClientConnected { client }).await;
         if !is_connected || !connected.send(received).await {
-            return QueryReply::REJECTED_UNSEEN;
+            return QueryReply::REJECTED_AT_EXIT;
         }
         loop {
             match queued_commands.recv().await {
@@ -100,12 +100,13 @@
         }
     }
 
-    /// Returns once the aggregator accepts no more connections: it is about to exit.
+    /// Returns once the drain period of a shutdown is over: the frontend must accept no more
+    /// connections.
     pub async fn stopped(&self) {
         self.shared.listening_stopped().await;
     }
 
-    /// Whether a shutdown has begun: each response asks its client to close the connection.
+    /// Whether a shutdown has begun: each response must request the client to close the connection.
     pub fn is_draining(&self) -> bool {
         *self.shared.phase.borrow() >= ServingPhase::Draining
     }
--- a/crates/core/src/net/leaf_connection.rs
+++ b/crates/core/src/net/leaf_connection.rs
@@ -14,8 +14,8 @@
 use tokio::time::{Duration, Instant};
 use tokio_util::codec::Framed;
 
-/// A frame that has begun is complete within this time. Leaf servers send a result as one packet:
-/// the rest of one that was cut short never arrives, and everything that is in flight on the
+/// A frame that has begun must be complete within this time. Leaf servers send a result as one
+/// packet: if part of it is missing, the rest never arrives, and everything that is in flight on the
 /// connection would wait for it.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(100);
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Starts to open a connection, and reports to the engine how it goes on.
+/// Starts to open a connection; its task reports to the engine what happens on it.
 pub(super) fn open(
     shared: Shared,
     connection: ConnectionId,
--- a/crates/core/src/net/listener.rs
+++ b/crates/core/src/net/listener.rs
@@ -10,13 +10,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Connections above the maximum that are still accepted: so many are being closed to make place
-/// for new ones. Without a limit, a flood would take the descriptors that connections to leaf
-/// servers need.
+/// Connections above the maximum that are still accepted, while the engine closes others for them.
+/// Without a limit, a flood would take the descriptors that connections to leaf servers need.
 const MAX_EXCESS_CONNECTIONS: usize = 16;
 
-/// Accepts connections until the engine stops it, and then the ones that are already waiting: a
-/// listener that closes would reset them.
+/// Accepts connections until the drain period of a shutdown is over (`engine/shutdown.rs`), and then
+/// those that already wait: closing the listener would reset them.
 pub(super) async fn accept_connections(
     shared: Shared,
     running: RunningFrontend,
@@ -41,7 +40,7 @@
     }
     drop(backlog);
     tracing::info!(accepted, "listening stopped");
-    // The engine knows all connections that were accepted.
+    // The engine has been informed of all connections that were accepted.
     drop(running);
 }
 
--- a/crates/core/src/net/mod.rs
+++ b/crates/core/src/net/mod.rs
@@ -1,7 +1,24 @@
-//! Sockets, timers and buffers. Everything here reports what happened to the engine as an
-//! [`Input`](crate::engine::Input) and executes the [`Effect`](crate::engine::Effect)s that it asks
-//! for; nothing is decided here. One thread runs it all, inside a `LocalSet`, with a task for each
-//! connection.
+//! Sockets, timers and buffers. Everything here reports to the engine what happened, as an
+//! [`Input`](crate::engine::Input), and executes the [`Effect`](crate::engine::Effect)s that the
+//! engine returns; nothing is decided here. One thread runs it all, inside a `LocalSet`, with a task
+//! for each connection.
+//!
+//! # Graceful shutdown
+//!
+//! `engine/shutdown.rs` decides on the phases and their ends. This is what happens here in each:
+//!
+//! 1. Drain period (`Effect::StartDraining`): the phase is `ServingPhase::Draining`. Connections are
+//!    still accepted; each response closes its connection.
+//! 2. End of the drain period (`Effect::StopListening`, `Effect::DrainClient`): the phase is
+//!    `ServingPhase::ListeningStopped`. `listener.rs` accepts what already waits (`backlog.rs`) and
+//!    then reports that its frontend has stopped (`running_frontend.rs`); other frontends do the
+//!    same by way of `internal_client.rs`. A connection without an open request is closed, after a
+//!    short wait for a request that is on its way (`client_connection/next_request.rs`).
+//! 3. Answer deadline (`Effect::ReleaseReplies`): replies no longer wait for the usage log
+//!    (`driver/reply_delivery.rs`).
+//! 4. Exit (`Effect::Exit`): `event_loop.rs` ends its loop and has the engine answer the inputs that
+//!    are queued. `driver/shutdown.rs` waits for clients to end until the exit deadline. The usage
+//!    log is closed last.
 
 mod backlog;
 mod buffer_pool;
@@ -35,7 +52,8 @@
 /// reply at a time.
 const MAX_QUEUED_COMMANDS: usize = 4;
 
-/// Whom the aggregator speaks to, besides clients and leaf servers.
+/// The addresses of the processes that the aggregator exchanges messages with, besides clients and
+/// leaf servers.
 #[derive(Clone, Debug)]
 pub struct Addresses {
     /// The discovery agent.
@@ -48,7 +66,7 @@
     pub gossip_broadcast: Option<SocketAddr>,
 }
 
-/// What the operator asks of a running aggregator.
+/// A request of the operator to a running aggregator.
 pub enum OperatorSignal {
     /// Shut down gracefully.
     Shutdown,
@@ -56,7 +74,7 @@
     Reload(Option<Addresses>),
 }
 
-/// Starts a frontend for another protocol; called once the engine can be asked.
+/// Starts a frontend for another protocol; called once the engine accepts queries.
 pub type StartFrontend = Box<dyn FnOnce(InternalClient)>;
 
 /// What runs beside the native frontend, where it is configured.
--- a/crates/core/src/net/pending_replies.rs
+++ b/crates/core/src/net/pending_replies.rs
@@ -1,5 +1,5 @@
-//! Replies that wait for their usage record: what a client is told is in the usage log first,
-//! unless the log stalls.
+//! Replies that wait for their usage record: a reply is sent after its record was written, unless
+//! the log stalls.
 
 use super::UsageRecorder;
 use crate::engine::usage::{UsageRecord, UsageWatermark};
@@ -96,7 +96,8 @@
         self.holds_replies && self.stalled_at != Some(written)
     }
 
-    /// Lets every reply go at once from now on, also those that are pending.
+    /// Makes every reply ready at once from now on, also those that are pending. Part of a shutdown
+    /// from the answer deadline of `engine/shutdown.rs` on.
     pub fn stop_holding(&mut self) {
         self.holds_replies = false;
         self.expire_pending();
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Lets a client's connection close with its reply, if that is still pending.
+    /// Marks a client's pending reply, if there is one, as the last on its connection.
     pub fn close_client(&mut self, client: ClientId) {
         for pending in &mut self.pending {
             if pending.outgoing.client == client {
--- a/crates/core/src/net/running_frontend.rs
+++ b/crates/core/src/net/running_frontend.rs
@@ -1,10 +1,11 @@
-//! How the engine knows which frontends may still hand over a request.
+//! Reports to the engine which frontends may still hand over a request.
 
 use super::shared::Shared;
 use crate::engine::Input;
 
 /// A frontend that accepts clients, or has accepted some whose requests it may still hand over. It
-/// has stopped once this is dropped; the process does not exit before that.
+/// has stopped once this is dropped; before that, the engine exits only at the exit deadline of
+/// `engine/shutdown.rs`.
 pub(super) struct RunningFrontend {
     shared: Shared,
 }
--- a/crates/core/src/protocol/query/mod.rs
+++ b/crates/core/src/protocol/query/mod.rs
@@ -106,6 +106,6 @@
 }
 
 impl QueryReply {
-    /// The reply to a query that came too late for any decision.
-    pub const REJECTED_UNSEEN: QueryReply = QueryReply::Rejected { retry_after: None };
+    /// The reply to a query that arrives after the engine has exited.
+    pub const REJECTED_AT_EXIT: QueryReply = QueryReply::Rejected { retry_after: None };
 }
