--- a/crates/core/src/config/platform.rs
+++ b/crates/core/src/config/platform.rs
@@ -2,7 +2,7 @@
 
 use super::flatten::flatten_settings;
 use super::{parse_aggregator_settings, parse_policy_settings, AggregatorSettings, ConfigError};
-use crate::api::Settings;
+use crate::api::PolicySettings;
 use crate::net::Addresses;
 use crate::protocol::discovery::EndpointUpdate;
 use crate::protocol::query::NameTables;
@@ -46,7 +46,7 @@
     /// The settings beyond the policy's.
     pub aggregator_settings: AggregatorSettings,
     /// The policy's settings.
-    pub policy_settings: Settings,
+    pub policy_settings: PolicySettings,
     /// The seed of the policy's random numbers.
     pub seed: u64,
     /// The most file descriptors that may be open.
--- a/crates/core/src/config/policy_settings.rs
+++ b/crates/core/src/config/policy_settings.rs
@@ -2,19 +2,19 @@
 
 use super::key_values::KeyValues;
 use super::PlatformSettingsError;
-use crate::api::{Idempotency, Nanos, QueryClass, RetryBudget, Settings};
+use crate::api::{Idempotency, Nanos, PolicySettings, QueryClass, RetryBudget};
 
 /// Where the settings are silent, a leaf server that drains gets nothing new after 2 s.
 const DEFAULT_DRAIN_NOTICE_NS: Nanos = 2_000_000_000;
 
 /// Parses the policy's settings from lines of `key=value`.
-pub fn parse_policy_settings(text: &str) -> Result<Settings, PlatformSettingsError> {
+pub fn parse_policy_settings(text: &str) -> Result<PolicySettings, PlatformSettingsError> {
     let values = KeyValues::parse(text)?;
     let class_count = values.positive("classes.count")? as usize;
     let classes = (0..class_count)
         .map(|index| parse_class(&values, index))
         .collect::<Result<_, _>>()?;
-    Ok(Settings {
+    Ok(PolicySettings {
         classes,
         zone: values.or_default("my_zone")?,
         cross_zone_price: values
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -31,7 +31,7 @@
 pub use ids::{ClientId, ConnectionId};
 pub use input::Input;
 
-use crate::api::{EndpointUpdateKind, Event, Nanos, Settings};
+use crate::api::{EndpointUpdateKind, Event, Nanos, PolicySettings};
 use crate::config::AggregatorSettings;
 use crate::protocol::discovery::EndpointUpdate;
 use crate::Policy;
@@ -92,7 +92,7 @@
     pub fn new(
         now: Nanos,
         settings: AggregatorSettings,
-        policy_settings: Settings,
+        policy_settings: PolicySettings,
         seed: u64,
         known: &EndpointUpdate,
         descriptors: usize,
--- a/crates/policy/src/api/mod.rs
+++ b/crates/policy/src/api/mod.rs
@@ -12,7 +12,7 @@
     AttemptEnded, AttemptOutcome, EndpointUpdateKind, Event, HealthCheckEnded, LoadReport,
     PartReceived, QueryReceived, ReplicaEntry, ReplicaState,
 };
-pub use settings::{Idempotency, QueryClass, RetryBudget, Settings};
+pub use settings::{Idempotency, PolicySettings, QueryClass, RetryBudget};
 
 /// Nanoseconds, as a point on the caller's clock or as a length of time.
 pub type Nanos = u64;
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -56,7 +56,7 @@
 
 /// All that a policy is told at its start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Settings {
+pub struct PolicySettings {
     /// The classes of queries, by number.
     pub classes: Vec<QueryClass>,
     /// Number of placement cells. Shard s is held by the replicas in cells s, s + 1, ...
@@ -109,7 +109,7 @@
     pub poll_interval: Nanos,
 }
 
-impl Settings {
+impl PolicySettings {
     /// The shortest latency objective of a class; a second where there is no class.
     pub fn shortest_objective(&self) -> Nanos {
         let objectives = self.classes.iter().map(|class| class.latency_objective);
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -10,7 +10,7 @@
 pub use query_table::QueryTable;
 pub use replica::{ConnectionUse, Replica, ReplicaTable};
 
-use crate::api::{Action, Nanos, ReplicaId, RequestId, Settings};
+use crate::api::{Action, Nanos, PolicySettings, ReplicaId, RequestId};
 use crate::stats::{
     blend, DecayingCounter, Ewma, MajorityVote, MeanDeviation, SlidingWindow, TokenBucket,
 };
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub struct Policy {
     /// What the operator has stated.
-    pub(crate) settings: Settings,
+    pub(crate) settings: PolicySettings,
     /// The shortest latency objective of a class, ns.
     pub(crate) objective: f64,
     /// Distinguishes this process from others.
@@ -71,7 +71,7 @@
 
 impl Policy {
     /// A policy that has received nothing yet.
-    pub fn new(settings: Settings, seed: u64) -> Self {
+    pub fn new(settings: PolicySettings, seed: u64) -> Self {
         Policy {
             objective: settings.shortest_objective() as f64,
             settings,
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -1,6 +1,8 @@
 //! Replicas: what the endpoint list says of them and what has been measured.
 
-use crate::api::{EndpointUpdateKind, Nanos, ReplicaEntry, ReplicaId, ReplicaState, Settings};
+use crate::api::{
+    EndpointUpdateKind, Nanos, PolicySettings, ReplicaEntry, ReplicaId, ReplicaState,
+};
 use crate::stats::{blend, Ewma, SlidingWindow};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -219,7 +221,7 @@
     /// The ready replicas that hold a shard, by the placement that the settings state.
     pub fn holders(
         &self,
-        settings: &Settings,
+        settings: &PolicySettings,
         shard: u32,
     ) -> impl Iterator<Item = (ReplicaId, &Replica)> {
         let (cells, per_shard) = (settings.placement_cells.max(1), settings.cells_per_shard);
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn parts_of_an_overloaded_shard_are_dropped_where_minimum_coverage_allows() {
-    let two_cells = Settings {
+    let two_cells = PolicySettings {
         placement_cells: 2,
         ..settings(vec![class(2000, 0.5)])
     };
@@ -174,7 +174,7 @@
 /// admitted as before, the queries of an overload keep each other from being answered.
 #[test]
 fn after_queries_lost_to_full_replicas_fewer_are_admitted_until_some_are_answered() {
-    let quick = Settings {
+    let quick = PolicySettings {
         max_attempts: Some(2),
         ..settings(vec![class(400, 1.0)])
     };
@@ -206,7 +206,7 @@
         ..class(400, 1.0)
     };
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             max_attempts: Some(2),
             ..settings(vec![late])
         },
--- a/crates/policy/tests/completion.rs
+++ b/crates/policy/tests/completion.rs
@@ -194,7 +194,7 @@
 #[test]
 fn a_query_that_crashes_every_replica_is_sent_once() {
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             max_parts_per_call: None,
             ..settings(vec![class(2000, 1.0)])
         },
@@ -211,7 +211,7 @@
 #[test]
 fn a_query_that_met_dying_replicas_by_chance_is_retried() {
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             max_parts_per_call: None,
             ..settings(vec![class(2000, 1.0)])
         },
@@ -237,7 +237,7 @@
 /// A whole answer that one part has made impossible is given up, though others are still out.
 #[test]
 fn a_query_that_cannot_reach_its_minimum_is_rejected_at_once() {
-    let once = Settings {
+    let once = PolicySettings {
         max_attempts: Some(1),
         ..settings(vec![class(2000, 1.0)])
     };
@@ -263,7 +263,7 @@
         window: 10_000 * MS,
     };
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             retry_budget: Some(spent),
             ..settings(vec![class(2000, 1.0)])
         },
--- a/crates/policy/tests/connection_renewal.rs
+++ b/crates/policy/tests/connection_renewal.rs
@@ -10,7 +10,7 @@
 /// connections are renewed.
 fn idle_connections_break(rounds: u64, renewed_break: bool) -> Vec<bool> {
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             idle_timeout: 15_000 * MS,
             ..settings(vec![class(2000, 1.0)])
         },
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -30,7 +30,7 @@
 /// All that fail and ask again at once keep the service of the list too busy to answer any.
 #[test]
 fn a_polled_list_is_polled_again_with_backoff_after_failures() {
-    let on_request = Settings {
+    let on_request = PolicySettings {
         endpoint_list_polled: true,
         poll_interval: 20_000 * MS,
         ..settings(vec![class(2000, 1.0)])
--- a/crates/policy/tests/hedging.rs
+++ b/crates/policy/tests/hedging.rs
@@ -58,7 +58,7 @@
 #[test]
 fn a_lone_long_query_is_hedged_late() {
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             max_parts_per_call: None,
             ..settings(vec![class(4000, 1.0)])
         },
@@ -79,7 +79,7 @@
 fn hedged_requests_that_lose_their_races_become_few() {
     let copies = |first_lands: bool| {
         let mut harness = PolicyHarness::new(
-            Settings {
+            PolicySettings {
                 max_parts_per_call: None,
                 ..settings(vec![class(2000, 1.0)])
             },
@@ -129,7 +129,7 @@
 
 #[test]
 fn no_second_attempt_is_out_beside_the_first_where_hedging_is_not_allowed() {
-    let no_hedging = Settings {
+    let no_hedging = PolicySettings {
         hedging_allowed: false,
         ..settings(vec![class(2000, 1.0)])
     };
--- a/crates/policy/tests/outlier.rs
+++ b/crates/policy/tests/outlier.rs
@@ -53,7 +53,7 @@
 #[test]
 fn a_replica_that_keeps_failing_is_ejected_each_time() {
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             max_attempts: Some(1),
             ..settings(vec![class(2000, 1.0)])
         },
@@ -119,7 +119,7 @@
         actions.iter().filter_map(health_check).collect()
     };
     for health_checks_allowed in [false, true] {
-        let kind = Settings {
+        let kind = PolicySettings {
             health_checks_allowed,
             max_parts_per_call: None,
             ..settings(vec![class(2000, 1.0)])
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -90,9 +90,9 @@
     }
 }
 
-fn settings(random: &mut Rng) -> Settings {
+fn settings(random: &mut Rng) -> PolicySettings {
     let cold = random.u32(..3) > 0;
-    Settings {
+    PolicySettings {
         classes: (0..random.usize(1..4)).map(|_| class(random)).collect(),
         placement_cells: random.u32(1..5),
         cells_per_shard: random.u32(1..4),
@@ -133,7 +133,7 @@
 /// One policy in a made-up world that answers its actions.
 pub struct Scenario {
     random: Rng,
-    settings: Settings,
+    settings: PolicySettings,
     policy: Policy,
     now: Nanos,
     behavior: ReplicaBehavior,
--- a/crates/policy/tests/replica_selection.rs
+++ b/crates/policy/tests/replica_selection.rs
@@ -48,7 +48,7 @@
 /// at the near replica is better than crossing, and a long one is not.
 #[test]
 fn a_replica_in_the_same_zone_is_preferred_while_its_queue_is_short() {
-    let priced = Settings {
+    let priced = PolicySettings {
         zone: 1,
         cross_zone_price: 0.04,
         max_parts_per_call: None,
@@ -82,7 +82,7 @@
 /// ring.
 #[test]
 fn a_part_goes_only_to_replicas_whose_cells_hold_its_shard() {
-    let ring = Settings {
+    let ring = PolicySettings {
         placement_cells: 5,
         cells_per_shard: 2,
         max_parts_per_call: None,
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -38,7 +38,7 @@
         kind.idempotency = Idempotency::IdempotentWithKey;
         kind.idempotency_window = 500 * MS;
         let mut harness = PolicyHarness::new(
-            Settings {
+            PolicySettings {
                 hedging_allowed: false,
                 ..settings(vec![kind])
             },
@@ -102,7 +102,7 @@
 #[test]
 fn no_more_attempts_than_allowed() {
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             max_attempts: Some(2),
             ..settings(vec![class(2000, 1.0)])
         },
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -8,7 +8,7 @@
     attempt_ended, class, ready_replica, sent_attempts, settings, PolicyHarness, MS, START,
 };
 
-fn slow_start_settings() -> Settings {
+fn slow_start_settings() -> PolicySettings {
     let mut cold = settings(vec![class(2000, 1.0)]);
     cold.aggregators = 1;
     cold.initial_capacity = Some(0.2);
@@ -58,7 +58,7 @@
 /// together.
 #[test]
 fn many_aggregators_share_the_allowance_of_a_replica_that_warms_up() {
-    let crowd = Settings {
+    let crowd = PolicySettings {
         aggregators: 50,
         ..slow_start_settings()
     };
@@ -94,7 +94,7 @@
     let each = rate * WARM as f64 / f64::from(aggregators);
     let mut at: Vec<u64> = Vec::new();
     for n in 0..aggregators {
-        let settings = Settings {
+        let settings = PolicySettings {
             aggregators,
             ..cold.clone()
         };
@@ -174,7 +174,7 @@
         window: 10_000 * MS,
     });
     let mut harness = PolicyHarness::new(
-        Settings {
+        PolicySettings {
             retry_budget,
             ..slow_start_settings()
         },
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -19,8 +19,8 @@
     }
 }
 
-pub fn settings(classes: Vec<QueryClass>) -> Settings {
-    Settings {
+pub fn settings(classes: Vec<QueryClass>) -> PolicySettings {
+    PolicySettings {
         classes,
         placement_cells: 1,
         cells_per_shard: 1,
@@ -31,13 +31,13 @@
         cancellation_allowed: true,
         hedging_allowed: true,
         max_retry_after: 1000 * MS,
-        ..Settings::default()
+        ..PolicySettings::default()
     }
 }
 
 /// One class that needs every part, and clients that mark their repeats.
-pub fn settings_with_marked_retries() -> Settings {
-    Settings {
+pub fn settings_with_marked_retries() -> PolicySettings {
+    PolicySettings {
         retries_marked: true,
         ..settings(vec![class(2000, 1.0)])
     }
@@ -61,7 +61,7 @@
 }
 
 impl PolicyHarness {
-    pub fn new(settings: Settings, replicas: u64) -> PolicyHarness {
+    pub fn new(settings: PolicySettings, replicas: u64) -> PolicyHarness {
         let mut harness = PolicyHarness {
             policy: Policy::new(settings, 7),
             now: START,
