--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -13,10 +13,10 @@
         let key = (received.class, received.tenant);
         let usual = self.client_timeouts.entry(key).or_default();
         let marked = self.settings.retries_marked;
-        let spent = time_spent_by_earlier_tries(received, class, usual, marked);
+        let spent = time_spent_by_earlier_attempts(received, class, usual, marked);
         let objective = self.now + class.objective_for(received.work);
         let is_short = received.client_timeout < class.latency_objective;
-        let mut query = Query::new(received, self.now);
+        let mut query = QueryState::new(received, self.now);
         query.has_short_timeout = received.is_retry && spent == 0 && is_short;
         query.set_objective(objective.saturating_sub(spent));
         self.queries.insert(query);
@@ -25,11 +25,11 @@
     pub(super) fn on_part_received(&mut self, received: &PartReceived) -> Option<RequestId> {
         self.received.push(self.now, ());
         self.queries
-            .insert_part(received.group, Part::new(received))
+            .insert_part(received.group, PartState::new(received))
     }
 
     /// Whether overload keeps the query from its objective. Late parts are dropped where possible.
-    pub(super) fn is_hopeless(&mut self, query: &mut Query) -> bool {
+    pub(super) fn cannot_meet_objective(&mut self, query: &mut QueryState) -> bool {
         let share = tuning::REJECT_SHARE * self.density(query);
         let time_left = (query.objective - query.arrived) as f64;
         let limit = share * time_left / f64::from(self.settings.steps(query.class));
@@ -37,8 +37,8 @@
         // Bounded by the objective, or a slow spell would never end.
         let longest = tuning::REJECT_SHARE * class.latency_objective as f64;
         let usual_latency = self.fleet_latency.mean().unwrap_or(0.0).min(longest);
-        let is_worthless = query.arrived_late && class.late_value <= 0.0;
-        if is_worthless || query.has_short_timeout || time_left < usual_latency {
+        let is_expired = query.arrived_late && class.late_value <= 0.0;
+        if is_expired || query.has_short_timeout || time_left < usual_latency {
             return true;
         }
         let is_slow = |index: &usize| self.shortest_wait(&query.parts[*index]) > limit;
@@ -56,7 +56,7 @@
     /// Takes a permit, if the class has permits. A part that is lost to full replicas takes with it
     /// the work on all other parts of its query, which goes on and fills their replicas; so from
     /// the first such loss on a class has permits, and those of lost queries are not returned.
-    pub(super) fn admit(&mut self, query: &mut Query) -> bool {
+    pub(super) fn admit(&mut self, query: &mut QueryState) -> bool {
         let permits = self.permits.get_mut(&query.class);
         let Some(permits) = permits else { return true };
         // Now and then one is admitted without, or nobody would learn that the overload is over.
@@ -65,7 +65,7 @@
     }
 
     /// Ends the permit of a query that has lost a part to full replicas.
-    pub(super) fn lose_permit(&mut self, query: &Query) {
+    pub(super) fn lose_permit(&mut self, query: &QueryState) {
         let open = self.queries.count_of_class(query.class) as f64;
         match self.permits.get_mut(&query.class) {
             None => {
@@ -78,7 +78,7 @@
     }
 
     /// Returns a query's permit and what its end earns. A class with many permits needs none.
-    pub(super) fn return_permit(&mut self, query: &Query, change: f64) {
+    pub(super) fn return_permit(&mut self, query: &QueryState, change: f64) {
         let open = self.queries.count_of_class(query.class) as f64;
         let permits = self.permits.get_mut(&query.class);
         let Some(permits) = permits else { return };
@@ -95,17 +95,20 @@
     }
 
     /// What a part earns, to the usual part: those that earn much may wait in longer queues.
-    fn density(&mut self, query: &Query) -> f64 {
+    fn density(&mut self, query: &QueryState) -> f64 {
         let weight = self.settings.classes[query.class].priority_weight;
         let own = weight.unwrap_or(1.0) / query.parts.len().max(1) as f64;
-        let usual = self.usual_density.add(own, tuning::FLEET_WEIGHT);
-        (own / usual.max(f64::MIN_POSITIVE)).clamp(tuning::DENSITY.start, tuning::DENSITY.end)
+        let usual = self.mean_value_per_part.add(own, tuning::FLEET_WEIGHT);
+        (own / usual.max(f64::MIN_POSITIVE)).clamp(
+            tuning::VALUE_FACTOR_RANGE.start,
+            tuning::VALUE_FACTOR_RANGE.end,
+        )
     }
 
     /// When a part should be back from the holder of its shard that is the fastest.
-    fn shortest_wait(&self, part: &Part) -> f64 {
+    fn shortest_wait(&self, part: &PartState) -> f64 {
         let holders = self.replicas.holders(&self.settings, part.shard);
-        let free = holders.filter(|(_, replica)| self.now >= replica.full_until);
+        let free = holders.filter(|(_, replica)| self.now >= replica.saturated_until);
         let waits = free.map(|(_, replica)| replica.expected_wait(self.now, self.objective));
         waits.fold(f64::INFINITY, f64::min)
     }
@@ -113,7 +116,7 @@
 
 /// How much of its objective a retry has spent: its timeout ends with the first try's deadline.
 /// First tries set by majority what is usual, for each class and tenant by itself.
-fn time_spent_by_earlier_tries(
+fn time_spent_by_earlier_attempts(
     received: &QueryReceived,
     class: &QueryClass,
     usual: &mut MajorityVote,
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -12,7 +12,7 @@
         let query = self.queries.take(id);
         let Some(mut query) = query else { return };
         if query.step == 1 {
-            if self.is_hopeless(&mut query) || !self.admit(&mut query) {
+            if self.cannot_meet_objective(&mut query) || !self.admit(&mut query) {
                 return self.give_up(query);
             }
             self.drop_light_parts(&mut query);
@@ -38,22 +38,22 @@
         if is_complete || is_sufficient && self.is_time_to_answer(&query, &sums) {
             return self.answer(query, is_complete);
         }
-        let crashes_replicas = crashes_replicas(&query);
-        let is_idle = query.attempts().all(|attempt| !attempt.is_out);
-        let is_useless = is_out_of_reach || crashes_replicas && is_idle;
+        let is_query_of_death = is_query_of_death(&query);
+        let is_idle = query.attempts().all(|attempt| !attempt.is_in_flight);
+        let is_useless = is_out_of_reach || is_query_of_death && is_idle;
         if is_useless || self.now >= self.last_useful_moment(&query) {
             return self.give_up(query);
         }
         let waited = (self.now - query.step_started) as f64 > self.hedging_delay(self.objective);
-        if !crashes_replicas || waited {
+        if !is_query_of_death || waited {
             self.advance_attempts(&mut query);
         }
         self.queries.put_back(query);
     }
 
     /// Whether a part without a result may still get one: an attempt is out or may be sent.
-    fn is_open(&self, part: &Part, query: &Query) -> bool {
-        if part.has_attempt_out() {
+    fn is_open(&self, part: &PartState, query: &QueryState) -> bool {
+        if part.has_attempt_in_flight() {
             return true;
         }
         let has_budget = part.attempts.is_empty() || self.has_budget(query.class, query.objective);
@@ -64,7 +64,7 @@
     /// Whether a sufficient answer goes out: nothing more can come in, or it is just before the
     /// objective, earlier where a second step follows, or the last moment if a late complete answer
     /// earns more.
-    fn is_time_to_answer(&self, query: &Query, sums: &StepSums) -> bool {
+    fn is_time_to_answer(&self, query: &QueryState, sums: &StepSums) -> bool {
         let class = &self.settings.classes[query.class];
         let value = class.partial_value * sums.answered_weight / class.completeness_threshold;
         let mut end = self.before(query.objective);
@@ -76,7 +76,7 @@
         sums.all_answered || !sums.any_open || self.now >= end
     }
 
-    fn last_useful_moment(&self, query: &Query) -> Nanos {
+    fn last_useful_moment(&self, query: &QueryState) -> Nanos {
         let last_moment = self.before(query.deadline);
         let in_time = query.objective.saturating_sub(self.timer_period());
         let is_late_useful = self.may_be_late(query.class);
@@ -84,7 +84,7 @@
         end.min(last_moment)
     }
 
-    fn answer(&mut self, mut open: Query, complete: bool) {
+    fn answer(&mut self, mut open: QueryState, complete: bool) {
         let query = open.id;
         self.actions.push(Action::Answer { query, complete });
         open.cancel_attempts(self.settings.cancellation_allowed, &mut self.actions);
@@ -101,7 +101,7 @@
     }
 
     /// Ends a query without an answer, at once.
-    fn give_up(&mut self, open: Query) {
+    fn give_up(&mut self, open: QueryState) {
         let query = open.id;
         let max_retry_after = self.settings.max_retry_after;
         let retry_after = (max_retry_after > 0).then_some(max_retry_after);
@@ -111,7 +111,7 @@
             false => Action::Fail { query },
         };
         self.actions.push(end);
-        match open.parts.iter().any(Part::is_lost_to_full_replicas) {
+        match open.parts.iter().any(PartState::is_lost_to_saturation) {
             true => self.lose_permit(&open),
             false => self.return_permit(&open, 0.0),
         }
@@ -137,7 +137,7 @@
 }
 
 /// Whether a query may crash replicas. It waits a while: one that met dying ones gets answers.
-fn crashes_replicas(query: &Query) -> bool {
+fn is_query_of_death(query: &QueryState) -> bool {
     let is_answered = query.parts.iter().any(|part| part.is_answered);
-    !is_answered && query.replicas_lost() >= tuning::CRASHING_REPLICAS
+    !is_answered && query.replicas_lost() >= tuning::QUERY_OF_DEATH_REPLICAS
 }
--- a/crates/policy/src/policy/connection_renewal.rs
+++ b/crates/policy/src/policy/connection_renewal.rs
@@ -11,14 +11,14 @@
         let long = (tuning::LONG_IDLE_SHARE * self.settings.idle_timeout as f64) as Nanos;
         let replica = self.replicas.get_mut(id).filter(|_| long > 0);
         let Some(replica) = replica else {
-            return ConnectionUse::Recent;
+            return ConnectionUse::RecentlyUsed;
         };
         if replica.outstanding.has_call_of(self.now) {
             return replica.connection;
         }
-        let was_seen = replica.outstanding.is_empty() && replica.last_seen > 0;
-        replica.connection = if !was_seen || self.now - replica.last_seen <= long {
-            ConnectionUse::Recent
+        let has_responded = replica.outstanding.is_empty() && replica.last_response > 0;
+        replica.connection = if !has_responded || self.now - replica.last_response <= long {
+            ConnectionUse::RecentlyUsed
         } else if self.now >= self.renewal.until {
             ConnectionUse::LongIdle
         } else {
@@ -30,12 +30,12 @@
     }
 
     /// Counts an attempt. A loss counts once the replica is heard again: before, it may be dead.
-    pub(super) fn count_loss(&mut self, connection: ConnectionUse, is_lost: bool) {
+    pub(super) fn record_connection_loss(&mut self, connection: ConnectionUse, is_lost: bool) {
         let renewal = &mut self.renewal;
         renewal.record(connection, is_lost, tuning::LOSS_WEIGHT);
         let next = self.now + (tuning::RENEWAL_OBJECTIVES * self.objective) as Nanos;
-        let as_idle = tuning::LOSS_LIKENESS * renewal.long_idle_loss;
-        let as_recent = renewal.recent_loss / tuning::LOSS_LIKENESS;
+        let as_idle = tuning::MAX_SIMILAR_LOSS_RATIO * renewal.long_idle_loss;
+        let as_recent = renewal.recent_loss / tuning::MAX_SIMILAR_LOSS_RATIO;
         let is_useless = renewal.renewed_loss > as_idle.max(tuning::LOSS_THRESHOLD);
         let is_fault = renewal.long_idle_loss > as_recent.max(tuning::LOSS_THRESHOLD);
         let may_start = connection == ConnectionUse::LongIdle && self.now >= renewal.allowed_from;
--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -10,7 +10,7 @@
 
 impl Policy {
     /// Drops parts below the cutoff. Each step of it lets go a share of what may go, not all.
-    pub(super) fn drop_light_parts(&self, query: &mut Query) {
+    pub(super) fn drop_light_parts(&self, query: &mut QueryState) {
         let minimum_coverage = self.settings.classes[query.class].minimum_coverage;
         let cutoff = self.cutoff.value;
         if cutoff <= 0.0 || minimum_coverage >= 1.0 {
--- a/crates/policy/src/policy/endpoint_list.rs
+++ b/crates/policy/src/policy/endpoint_list.rs
@@ -38,7 +38,7 @@
         if self.poll.due.is_some() {
             return;
         }
-        let (base, max) = (tuning::POLL_BACKOFF, tuning::MAX_POLL_BACKOFF);
+        let (base, max) = (tuning::BASE_POLL_BACKOFF, tuning::MAX_POLL_BACKOFF);
         let backoff = exponential_backoff(base, max, self.poll.failures);
         let jitter = tuning::POLL_JITTER;
         let range = match self.settings.endpoint_list_polled {
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -7,7 +7,7 @@
 
 impl Policy {
     /// Judges lateness, and sends again what failed or has been out too long.
-    pub(super) fn advance_attempts(&mut self, query: &mut Query) {
+    pub(super) fn advance_attempts(&mut self, query: &mut QueryState) {
         let sums = query.step_counts();
         let is_mostly_answered = 2 * sums.answered >= sums.wanted;
         let late_after = tuning::LATE_SHARE * self.settings.step_objective(query.class);
@@ -23,7 +23,7 @@
             if is_late {
                 self.cutoff.judge(self.now, part, true);
             }
-            if !part.has_attempt_out() {
+            if !part.has_attempt_in_flight() {
                 self.retry(query, index);
             } else if self.should_hedge(query, &query.parts[index], is_mostly_answered) {
                 self.hedge(query, index);
@@ -32,7 +32,7 @@
     }
 
     /// The first retry goes at once; later ones wait, so that no part spends all in one bad moment.
-    fn retry(&mut self, query: &mut Query, index: usize) {
+    fn retry(&mut self, query: &mut QueryState, index: usize) {
         let attempts = &query.parts[index].attempts;
         let age = attempts.last().map_or(0, |last| self.now - last.sent) as f64;
         let wait = tuning::MIN_WAIT_SHARE * self.settings.step_objective(query.class);
@@ -43,12 +43,12 @@
 
     /// Whether the last attempt is slow, the rest of the query or its replica's silence confirms
     /// that, and another replica is likely to be faster.
-    fn should_hedge(&mut self, query: &Query, part: &Part, is_confirmed: bool) -> bool {
+    fn should_hedge(&mut self, query: &QueryState, part: &PartState, is_confirmed: bool) -> bool {
         let last = part.attempts.last();
         let Some(last) = last else { return false };
         let age = (self.now - last.sent) as f64;
         let replica = self.replicas.get(last.replica);
-        let is_silent = replica.is_none_or(|replica| replica.last_seen <= last.sent);
+        let is_silent = replica.is_none_or(|replica| replica.last_response <= last.sent);
         let is_slow = age > self.hedging_delay(self.settings.step_objective(query.class));
         if !is_slow || !(is_confirmed || is_silent) {
             return false;
@@ -61,7 +61,7 @@
         expected < age && self.may_hedge()
     }
 
-    fn hedge(&mut self, query: &mut Query, index: usize) {
+    fn hedge(&mut self, query: &mut QueryState, index: usize) {
         let last = query.parts[index].attempts.last().cloned();
         let Some(last) = last else { return };
         if self.send_attempt(query, index) {
@@ -71,7 +71,7 @@
 
     fn may_hedge(&self) -> bool {
         let parts = self.received.len().max(self.queries.part_count()) as f64;
-        let limit = tuning::HEDGE_LIMIT_MAX - tuning::HEDGE_LIMIT_SLOPE * self.races_lost;
+        let limit = tuning::MAX_HEDGE_FACTOR - tuning::HEDGE_FACTOR_SLOPE * self.hedge_loss_rate;
         let further = tuning::HEDGE_RATIO * parts * limit.clamp(0.0, 1.0);
         (self.retries.len() as f64) < tuning::MIN_HEDGES + further
     }
@@ -80,7 +80,7 @@
     pub(super) fn hedging_delay(&self, objective: f64) -> f64 {
         let unknown = tuning::INITIAL_LATENCY_SHARE * objective;
         let mean = self.fleet_latency.mean().unwrap_or(unknown);
-        let slow = mean + tuning::SLOW_DEVIATIONS * self.fleet_latency.deviation();
+        let slow = mean + tuning::HEDGING_DELAY_DEVIATIONS * self.fleet_latency.deviation();
         let least = tuning::MIN_WAIT_SHARE * objective;
         slow.clamp(least, tuning::MAX_WAIT_SHARE * objective)
     }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -16,7 +16,9 @@
 
 use crate::api::*;
 use crate::state::REACHABLE_TOLERANCE;
-use crate::state::{ConnectionUse, InFlightAttempt, Part, Query, RaceWinner, Replica, StepSums};
+use crate::state::{
+    ConnectionUse, InFlightAttempt, PartState, QueryState, RaceWinner, ReplicaRecord, StepSums,
+};
 use crate::stats::{blend, exponential_backoff, uniform, MajorityVote, TokenBucket};
 use crate::Policy;
 use std::collections::BTreeSet;
@@ -39,7 +41,7 @@
         for id in self.queries.ids() {
             self.advance(id);
         }
-        self.check_quiet_replicas();
+        self.check_silent_replicas();
         let log_lines = self.log_lines.drain(..).map(Action::Log);
         self.actions.extend(log_lines);
         self.set_timer(self.timer_period());
@@ -52,7 +54,7 @@
             Event::QueryReceived(query) => self.on_query_received(query),
             Event::PartReceived(part) => new_queries.extend(self.on_part_received(part)),
             Event::AttemptEnded(ended) => self.on_attempt_ended(ended),
-            Event::ResponseStarted { replica, .. } => self.on_sign_of_life(*replica),
+            Event::ResponseStarted { replica, .. } => self.on_response(*replica),
             Event::HealthCheckEnded(ended) => self.on_health_check_ended(ended),
             Event::ClientDisconnected { id } => {
                 new_queries.remove(id);
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -13,14 +13,15 @@
         // A failed connection is lost capacity where the replica was heard lately or attempts are
         // rationed; elsewhere it may just be slow, and light parts dropped for it help nobody.
         let replica = self.replicas.get(attempt.replica);
-        let was_seen = replica.is_some_and(|replica| self.staleness(replica.last_seen) < 1.0);
-        let is_capacity_lost = was_seen || self.settings.retry_budget.is_some();
+        let has_responded =
+            replica.is_some_and(|replica| self.staleness(replica.last_response) < 1.0);
+        let is_capacity_lost = has_responded || self.settings.retry_budget.is_some();
         self.record_outcome(attempt, ended.outcome);
         let part = self.queries.part_mut(ended.part);
         let Some(part) = part else { return };
         if let Some(winner) = part.end_attempt(ended.attempt, ended.outcome) {
             let lost = f64::from(u8::from(winner == RaceWinner::First));
-            self.races_lost = blend(self.races_lost, lost, tuning::RACE_WEIGHT);
+            self.hedge_loss_rate = blend(self.hedge_loss_rate, lost, tuning::HEDGE_LOSS_WEIGHT);
         }
         let is_unreachable = ended.outcome == Unreachable;
         let is_missed = ended.outcome == Rejected || is_unreachable && is_capacity_lost;
@@ -31,21 +32,21 @@
 
     pub(super) fn on_health_check_ended(&mut self, ended: &HealthCheckEnded) {
         match ended.outcome {
-            Success => self.on_sign_of_life(ended.replica),
+            Success => self.on_response(ended.replica),
             TimedOut | Unreachable | ConnectionLost => {
                 let sent = self.now.saturating_sub(ended.latency);
-                let check = InFlightAttempt::new(ended.replica, sent, ConnectionUse::Recent);
+                let check = InFlightAttempt::new(ended.replica, sent, ConnectionUse::RecentlyUsed);
                 self.record_outcome(check, ended.outcome);
             }
             Error | Rejected | Cancelled | NotSent => {}
         }
     }
 
-    pub(super) fn on_sign_of_life(&mut self, id: ReplicaId) {
+    pub(super) fn on_response(&mut self, id: ReplicaId) {
         let replica = self.replicas.get_mut(id);
         let Some(replica) = replica else { return };
-        for connection in replica.record_sign_of_life(self.now) {
-            self.count_loss(connection, true);
+        for connection in replica.record_response(self.now) {
+            self.record_connection_loss(connection, true);
         }
     }
 
@@ -57,20 +58,20 @@
         let Some(replica) = replica else { return };
         let age = (self.now - sent) as f64;
         let smoothed = self.smoothed_latency(replica);
-        let known = smoothed.max(replica.oldest_age(self.now) as f64);
+        let known = smoothed.max(replica.time_without_response(self.now) as f64);
         let sample = match outcome {
             Success => age,
             NotSent => known,
             Cancelled => age.max(known),
             _ => known.max(tuning::LATE_SHARE * self.objective),
         };
-        let is_overdue = age > self.hedging_delay(self.objective) && replica.last_seen <= sent;
+        let is_overdue = age > self.hedging_delay(self.objective) && replica.last_response <= sent;
         let is_failure = outcome != Success && (outcome != Cancelled || is_overdue);
-        let full_time = (tuning::FULL_SHARE * self.objective) as Nanos;
+        let saturation_time = (tuning::SATURATION_SHARE * self.objective) as Nanos;
         let replica = self.replicas.get_mut(id);
         let Some(replica) = replica else { return };
         match outcome {
-            Rejected => replica.full_until = self.now + full_time,
+            Rejected => replica.saturated_until = self.now + saturation_time,
             Success => replica.record_result(sent, self.now, tuning::LATENCY_WEIGHT),
             _ => {}
         }
@@ -83,11 +84,11 @@
             replica.record_latency(self.now, smoothed, sample, weight);
         }
         if is_failure && !matches!(outcome, Error | Rejected | NotSent) {
-            replica.lost_on.push(attempt.connection);
+            replica.lost_connections.push(attempt.connection);
         }
         match outcome {
             Success => self.record_success(attempt, age),
-            Error | Rejected => self.on_sign_of_life(id),
+            Error | Rejected => self.on_response(id),
             Unreachable | ConnectionLost | TimedOut => self.record_failure(id, sent),
             Cancelled | NotSent => {}
         }
@@ -96,15 +97,15 @@
     fn record_success(&mut self, attempt: InFlightAttempt, latency: f64) {
         self.results.increment(self.now, self.slow_start_memory());
         self.fleet_latency.add(latency, tuning::FLEET_WEIGHT);
-        self.on_sign_of_life(attempt.replica);
-        self.count_loss(attempt.connection, false);
+        self.on_response(attempt.replica);
+        self.record_connection_loss(attempt.connection, false);
     }
 
     /// Silence, whatever its cause: the replica is ejected, longer each time.
     pub(super) fn record_failure(&mut self, id: ReplicaId, sent: Nanos) {
         let replica = self.replicas.get_mut(id);
         let Some(replica) = replica else { return };
-        if replica.last_seen > sent || self.now < replica.ejected_until {
+        if replica.last_response > sent || self.now < replica.ejected_until {
             return;
         }
         let base = tuning::EJECTION_OBJECTIVES * self.objective;
@@ -118,7 +119,7 @@
     }
 
     /// Faults at many replicas: a health check for each quiet one, before queries find them out.
-    pub(super) fn check_quiet_replicas(&mut self) {
+    pub(super) fn check_silent_replicas(&mut self) {
         let is_time = self.staleness(self.health_checks.last_round) >= 1.0;
         let is_due = self.settings.health_checks_allowed && is_time;
         if !is_due || !std::mem::take(&mut self.health_checks.outlier_found) {
@@ -129,8 +130,8 @@
         if outliers < tuning::HEALTH_CHECK_SHARE * ready().count() as f64 {
             return;
         }
-        let age = |replica: &Replica| self.now.saturating_sub(replica.last_news()) as f64;
-        let is_idle = |replica: &Replica| replica.outstanding.is_empty();
+        let age = |replica: &ReplicaRecord| self.now.saturating_sub(replica.last_activity()) as f64;
+        let is_idle = |replica: &ReplicaRecord| replica.outstanding.is_empty();
         let quiet =
             ready().filter(|(_, replica)| is_idle(replica) && age(replica) > self.objective);
         let checks = quiet.map(|(replica, _)| Action::CheckHealth { replica });
@@ -139,9 +140,10 @@
     }
 
     /// Whether others come first: it is silent, full, ejected, or an outlier with its one call out.
-    pub(super) fn is_avoided(&self, replica: &Replica) -> bool {
-        let is_silent = replica.oldest_age(self.now) as f64 > self.hedging_delay(self.objective);
+    pub(super) fn is_avoided(&self, replica: &ReplicaRecord) -> bool {
+        let is_silent =
+            replica.time_without_response(self.now) as f64 > self.hedging_delay(self.objective);
         let is_ejected = self.now < replica.ejected_until || !replica.outstanding.is_empty();
-        is_silent || replica.is_outlier && is_ejected || self.now < replica.full_until
+        is_silent || replica.is_outlier && is_ejected || self.now < replica.saturated_until
     }
 }
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -19,16 +19,16 @@
 }
 
 impl Policy {
-    pub(super) fn select_replica(&mut self, part: &Part) -> Option<ReplicaId> {
+    pub(super) fn select_replica(&mut self, part: &PartState) -> Option<ReplicaId> {
         let mut best: Option<(Rank, ReplicaId)> = None;
         let mut random = fastrand::Rng::with_seed(self.random);
         for (id, replica) in self.replicas.holders(&self.settings, part.shard) {
-            if part.is_out_at(id) || !self.has_allowance(replica) {
+            if part.is_in_flight_at(id) || !self.has_allowance(replica) {
                 continue;
             }
-            let is_tried = u32::from(part.has_tried(id));
+            let was_tried = u32::from(part.was_sent_to(id));
             let rank = Rank {
-                avoidance: 2 * u32::from(self.is_avoided(replica)) + is_tried,
+                avoidance: 2 * u32::from(self.is_avoided(replica)) + was_tried,
                 cost: self.cost(replica),
                 opens_call: !replica.outstanding.has_call_of(self.now),
                 tie_breaker: random.u32(..),
@@ -42,18 +42,18 @@
     }
 
     /// The age of the oldest call counts as latency: a silent replica is slow now, not later.
-    fn cost(&self, replica: &Replica) -> f64 {
+    fn cost(&self, replica: &ReplicaRecord) -> f64 {
         let is_remote = f64::from(u8::from(replica.zone != self.settings.zone));
         let price = self.settings.cross_zone_price * is_remote;
-        let oldest_age = replica.oldest_age(self.now) as f64;
-        let latency = self.smoothed_latency(replica).max(oldest_age);
+        let time_without_response = replica.time_without_response(self.now) as f64;
+        let latency = self.smoothed_latency(replica).max(time_without_response);
         let calls = replica.open_calls(self.now, self.settings.parts_per_call());
         let queue = latency * (calls + 1.0);
         queue + tuning::CROSS_ZONE_PENALTY * price * self.objective
     }
 
     /// The fleet's mean while the replica has not been heard, and what its own fades to.
-    pub(super) fn smoothed_latency(&self, replica: &Replica) -> f64 {
+    pub(super) fn smoothed_latency(&self, replica: &ReplicaRecord) -> f64 {
         let initial = tuning::INITIAL_LATENCY_SHARE * self.objective;
         let mean = self.fleet_latency.mean().unwrap_or(initial);
         let Some(own) = replica.latency else {
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -8,7 +8,7 @@
 
 impl Policy {
     /// Sends a part to the best replica that may have it; false where there is none.
-    pub(super) fn send_attempt(&mut self, query: &mut Query, index: usize) -> bool {
+    pub(super) fn send_attempt(&mut self, query: &mut QueryState, index: usize) -> bool {
         let class = query.class;
         let until = match self.may_be_late(class) {
             true => query.deadline,
@@ -33,16 +33,16 @@
     }
 
     /// Whether one more attempt, beside those that are out, is allowed and within the budget.
-    fn may_attempt(&self, part: &Part, class: usize) -> bool {
+    fn may_attempt(&self, part: &PartState, class: usize) -> bool {
         if part.attempts.is_empty() {
             return self.may_repeat(part, class);
         }
-        let is_allowed = self.settings.hedging_allowed || !part.has_attempt_out();
+        let is_allowed = self.settings.hedging_allowed || !part.has_attempt_in_flight();
         is_allowed && self.may_repeat(part, class) && self.has_budget(class, self.now)
     }
 
     /// Whether one more attempt is within the limit and can't be executed twice.
-    pub(super) fn may_repeat(&self, part: &Part, class: usize) -> bool {
+    pub(super) fn may_repeat(&self, part: &PartState, class: usize) -> bool {
         let max_attempts = self.settings.max_attempts.unwrap_or(u32::MAX) as usize;
         let is_safe = part.is_safe_to_repeat(&self.settings.classes[class], self.now);
         part.attempts.len() < max_attempts && is_safe
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -9,14 +9,14 @@
 
 impl Policy {
     /// Whether the replica may get one more part now.
-    pub(super) fn has_allowance(&self, replica: &Replica) -> bool {
+    pub(super) fn has_allowance(&self, replica: &ReplicaRecord) -> bool {
         let since = self.now.saturating_sub(self.settings.overload_window);
         let recent = replica.recent_parts.count_since(since);
         (recent as f64) < self.slow_start_allowance(replica)
     }
 
     /// The parts that a replica may get in any overload window.
-    fn slow_start_allowance(&self, replica: &Replica) -> f64 {
+    fn slow_start_allowance(&self, replica: &ReplicaRecord) -> f64 {
         let settings = &self.settings;
         let age = self.now.saturating_sub(replica.started);
         let is_warm = replica.started == 0 || age >= settings.warm_up_time;
--- a/crates/policy/src/policy/tuning.rs
+++ b/crates/policy/src/policy/tuning.rs
@@ -34,7 +34,7 @@
 /// Objectives in which measurements of a replica fade to the mean, so that it is tried again.
 pub const FADE_OBJECTIVES: f64 = 5.0;
 /// Deviations above the mean latency at which an answer is no longer expected.
-pub const SLOW_DEVIATIONS: f64 = 4.0;
+pub const HEDGING_DELAY_DEVIATIONS: f64 = 4.0;
 /// Objectives by which an answer from another zone counts as later, times the price of crossing.
 pub const CROSS_ZONE_PENALTY: f64 = 4.0;
 
@@ -52,13 +52,13 @@
 /// Further ones, as a share of the parts open or lately received.
 pub const HEDGE_RATIO: f64 = 0.15;
 /// Weight of one race between an attempt and its hedged request.
-pub const RACE_WEIGHT: f64 = 0.1;
+pub const HEDGE_LOSS_WEIGHT: f64 = 0.1;
 /// Hedging limit, as a multiple that is cut to 1, where no hedged request loses its race.
-pub const HEDGE_LIMIT_MAX: f64 = 1.5;
+pub const MAX_HEDGE_FACTOR: f64 = 1.5;
 /// What the multiple falls by, times the share of races lost; it is cut to 0.
-pub const HEDGE_LIMIT_SLOPE: f64 = 2.0;
+pub const HEDGE_FACTOR_SLOPE: f64 = 2.0;
 /// Replicas at which a query's attempts lost connections from which on it is taken to crash them.
-pub const CRASHING_REPLICAS: usize = 3;
+pub const QUERY_OF_DEATH_REPLICAS: usize = 3;
 
 // Outlier detection and slow start.
 /// Objectives for which a silent replica is ejected at first; the time doubles each time.
@@ -68,7 +68,7 @@
 /// Share of outliers among the ready replicas from which on the others get health checks.
 pub const HEALTH_CHECK_SHARE: f64 = 0.1;
 /// Share of the objective for which a replica that rejected a part is taken to be full.
-pub const FULL_SHARE: f64 = 0.125;
+pub const SATURATION_SHARE: f64 = 0.125;
 /// Times of warming up over which the results that a replica usually returns are counted.
 pub const SLOW_START_MEMORY: f64 = 4.0;
 
@@ -76,7 +76,7 @@
 /// Share of the objective past which the expected wait has a query rejected.
 pub const REJECT_SHARE: f64 = 0.5;
 /// Range of the factor on that share: least for queries that earn little for their work.
-pub const DENSITY: Range<f64> = 0.7..1.3;
+pub const VALUE_FACTOR_RANGE: Range<f64> = 0.7..1.3;
 /// Greatest lead of the usual client timeout, in first tries: a change is seen soon.
 pub const MAX_TIMEOUT_LEAD: u32 = 16;
 /// Client timeouts are the same if they differ by 1 / this of the objective at most.
@@ -92,7 +92,7 @@
 
 // Endpoint list.
 /// Share of the poll interval to wait after a failed poll; it doubles each time.
-pub const POLL_BACKOFF: f64 = 0.2;
+pub const BASE_POLL_BACKOFF: f64 = 0.2;
 /// The most that it becomes.
 pub const MAX_POLL_BACKOFF: f64 = 0.6;
 /// Jitter of these waits: the range of their multiple.
@@ -110,7 +110,7 @@
 /// Share of attempts lost from which on there is a fault.
 pub const LOSS_THRESHOLD: f64 = 0.2;
 /// Two shares are alike where one is more than this multiple of the other.
-pub const LOSS_LIKENESS: f64 = 0.7;
+pub const MAX_SIMILAR_LOSS_RATIO: f64 = 0.7;
 /// Objectives for which connections are renewed, or renewal stays off.
 pub const RENEWAL_OBJECTIVES: f64 = 15.0;
 /// Timer periods kept free before a point in time that must not be missed.
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -5,10 +5,10 @@
 mod query_table;
 mod replica;
 
-pub use part::{Attempt, InFlightAttempt, Part, RaceWinner};
-pub use query::{Query, StepSums, REACHABLE_TOLERANCE};
-pub use query_table::QueryTable;
-pub use replica::{ConnectionUse, Replica, ReplicaTable};
+pub use part::{AttemptRecord, InFlightAttempt, PartState, RaceWinner};
+pub use query::{QueryState, StepSums, REACHABLE_TOLERANCE};
+pub use query_table::OpenQueries;
+pub use replica::{ConnectionUse, KnownReplicas, ReplicaRecord};
 
 use crate::api::{Action, Nanos, PolicySettings, ReplicaId, RequestId};
 use crate::stats::{
@@ -32,15 +32,15 @@
     /// The time of the first batch; 0 before it.
     pub(crate) started: Nanos,
     /// The replicas.
-    pub(crate) replicas: ReplicaTable,
+    pub(crate) replicas: KnownReplicas,
     /// The queries that have not ended.
-    pub(crate) queries: QueryTable,
+    pub(crate) queries: OpenQueries,
     /// The attempts that have not ended, by part and number.
     pub(crate) in_flight: BTreeMap<(RequestId, u8), InFlightAttempt>,
     /// Renewal of connections.
     pub(crate) renewal: RenewalState,
     /// Share of hedged requests that lost against the attempt before them.
-    pub(crate) races_lost: f64,
+    pub(crate) hedge_loss_rate: f64,
     /// The weight cutoff.
     pub(crate) cutoff: CutoffState,
     /// Latency over all replicas, ns.
@@ -54,13 +54,13 @@
     /// The usual client timeout of first tries, by class and tenant.
     pub(crate) client_timeouts: BTreeMap<(u16, u32), MajorityVote>,
     /// What a part usually earns.
-    pub(crate) usual_density: Ewma,
+    pub(crate) mean_value_per_part: Ewma,
     /// The permits of each class that has lost a query to full replicas.
     pub(crate) permits: BTreeMap<usize, TokenBucket>,
     /// Rounds of health checks.
     pub(crate) health_checks: HealthCheckState,
     /// The polling of the endpoint list.
-    pub(crate) poll: PollState,
+    pub(crate) poll: EndpointPoller,
     /// When the timer is set to fire.
     pub(crate) timer: Option<Nanos>,
     /// The actions of the running batch.
@@ -109,7 +109,7 @@
     }
 
     /// Forgets a query that has ended, and cancels its attempts.
-    pub(crate) fn discard(&mut self, mut query: Query) {
+    pub(crate) fn discard(&mut self, mut query: QueryState) {
         query.cancel_attempts(self.settings.cancellation_allowed, &mut self.actions);
         self.queries.forget(&query);
     }
@@ -117,7 +117,7 @@
     /// Records an attempt at a part that is sent now, on this connection.
     pub(crate) fn record_attempt(
         &mut self,
-        part: &mut Part,
+        part: &mut PartState,
         id: ReplicaId,
         connection: ConnectionUse,
     ) {
@@ -127,7 +127,7 @@
         let key = (part.id, part.attempts.len() as u8);
         let in_flight = InFlightAttempt::new(id, self.now, connection);
         self.in_flight.insert(key, in_flight);
-        part.attempts.push(Attempt::new(id, self.now));
+        part.attempts.push(AttemptRecord::new(id, self.now));
         let oldest = self.now.saturating_sub(self.settings.overload_window);
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.record_part(self.now, oldest);
@@ -156,8 +156,8 @@
 
 impl CutoffState {
     /// Adds a part to the overload signal, once.
-    pub fn judge(&mut self, now: Nanos, part: &mut Part, is_missed: bool) {
-        if !std::mem::replace(&mut part.is_judged, true) {
+    pub fn judge(&mut self, now: Nanos, part: &mut PartState, is_missed: bool) {
+        if !std::mem::replace(&mut part.is_counted, true) {
             self.judged.push(now, is_missed);
         }
     }
@@ -165,17 +165,17 @@
 
 /// When the endpoint list is polled.
 #[derive(Debug, Default)]
-pub struct PollState {
+pub struct EndpointPoller {
     /// When to poll or watch again; none while a watch is open.
     pub due: Option<Nanos>,
     /// Polls that failed in a row.
     pub failures: u32,
 }
 
-impl PollState {
+impl EndpointPoller {
     /// Nothing is due, since an update has come.
     pub fn reset(&mut self) {
-        *self = PollState::default();
+        *self = EndpointPoller::default();
     }
 }
 
@@ -198,7 +198,7 @@
     /// Counts an attempt on one kind of connection.
     pub fn record(&mut self, connection: ConnectionUse, is_lost: bool, weight: f64) {
         let loss = match connection {
-            ConnectionUse::Recent => &mut self.recent_loss,
+            ConnectionUse::RecentlyUsed => &mut self.recent_loss,
             ConnectionUse::LongIdle => &mut self.long_idle_loss,
             ConnectionUse::Renewed => &mut self.renewed_loss,
         };
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -7,13 +7,13 @@
 
 /// One attempt at a part.
 #[derive(Clone, Debug, Default)]
-pub struct Attempt {
+pub struct AttemptRecord {
     /// The replica that it was sent to.
     pub replica: ReplicaId,
     /// When it was sent.
     pub sent: Nanos,
     /// It has not ended.
-    pub is_out: bool,
+    pub is_in_flight: bool,
     /// It is known not to have been executed.
     pub not_executed: bool,
     /// Its connection was lost.
@@ -22,21 +22,21 @@
     pub rejected: bool,
 }
 
-impl Attempt {
+impl AttemptRecord {
     /// An attempt that is sent now.
-    pub fn new(replica: ReplicaId, now: Nanos) -> Attempt {
-        Attempt {
+    pub fn new(replica: ReplicaId, now: Nanos) -> AttemptRecord {
+        AttemptRecord {
             replica,
             sent: now,
-            is_out: true,
-            ..Attempt::default()
+            is_in_flight: true,
+            ..AttemptRecord::default()
         }
     }
 
     /// Records how the attempt ended.
     pub fn end(&mut self, outcome: AttemptOutcome) {
         use AttemptOutcome::{ConnectionLost, NotSent, Rejected, Unreachable};
-        self.is_out = false;
+        self.is_in_flight = false;
         self.connection_lost = outcome == ConnectionLost;
         self.rejected = outcome == Rejected;
         self.not_executed = matches!(outcome, Rejected | Unreachable | NotSent);
@@ -54,7 +54,7 @@
 
 /// One part of a query.
 #[derive(Debug, Default)]
-pub struct Part {
+pub struct PartState {
     /// Its identifier.
     pub id: RequestId,
     /// The shard that it asks.
@@ -68,16 +68,16 @@
     /// It is left out of the answer.
     pub is_dropped: bool,
     /// It counts in the overload signal already.
-    pub is_judged: bool,
+    pub is_counted: bool,
     /// The attempts so far.
-    pub attempts: Vec<Attempt>,
+    pub attempts: Vec<AttemptRecord>,
 }
 
-impl Part {
+impl PartState {
     /// A part that has come in. A weight that is no number counts as none.
-    pub fn new(received: &PartReceived) -> Part {
+    pub fn new(received: &PartReceived) -> PartState {
         let has_weight = received.weight.is_finite();
-        Part {
+        PartState {
             id: received.id,
             shard: received.shard,
             weight: if has_weight {
@@ -85,31 +85,31 @@
             } else {
                 0.0
             },
-            ..Part::default()
+            ..PartState::default()
         }
     }
 
     /// Whether an attempt has not ended.
-    pub fn has_attempt_out(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.is_out)
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
 
     /// Whether an attempt at this replica has not ended.
-    pub fn is_out_at(&self, replica: ReplicaId) -> bool {
+    pub fn is_in_flight_at(&self, replica: ReplicaId) -> bool {
         self.attempts
             .iter()
-            .any(|attempt| attempt.is_out && attempt.replica == replica)
+            .any(|attempt| attempt.is_in_flight && attempt.replica == replica)
     }
 
     /// Whether an attempt was sent to this replica.
-    pub fn has_tried(&self, replica: ReplicaId) -> bool {
+    pub fn was_sent_to(&self, replica: ReplicaId) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.replica == replica)
     }
 
     /// The first attempt that may have been executed.
-    pub fn first_executed(&self) -> Option<&Attempt> {
+    pub fn first_executed(&self) -> Option<&AttemptRecord> {
         self.attempts.iter().find(|attempt| !attempt.not_executed)
     }
 
@@ -124,11 +124,11 @@
             return None;
         }
         let was_answered = std::mem::replace(&mut self.is_answered, true);
-        if was_answered || !self.has_attempt_out() {
+        if was_answered || !self.has_attempt_in_flight() {
             return None;
         }
         let mut earlier = self.attempts.iter().take(number);
-        Some(if earlier.all(|attempt| !attempt.is_out) {
+        Some(if earlier.all(|attempt| !attempt.is_in_flight) {
             RaceWinner::First
         } else {
             RaceWinner::Later
@@ -139,7 +139,7 @@
     pub fn cancel_attempts(&mut self, allowed: bool, actions: &mut Vec<Action>) {
         let part = self.id;
         for (attempt, record) in (0..).zip(&mut self.attempts) {
-            let was_out = std::mem::replace(&mut record.is_out, false);
+            let was_out = std::mem::replace(&mut record.is_in_flight, false);
             if was_out && allowed {
                 actions.push(Action::CancelAttempt { part, attempt });
             }
@@ -166,7 +166,7 @@
     }
 
     /// Whether a full replica rejected it and no other answered.
-    pub fn is_lost_to_full_replicas(&self) -> bool {
+    pub fn is_lost_to_saturation(&self) -> bool {
         !self.is_answered && self.attempts.iter().any(|attempt| attempt.rejected)
     }
 }
--- a/crates/policy/src/state/query.rs
+++ b/crates/policy/src/state/query.rs
@@ -1,6 +1,6 @@
 //! Queries: when they came, how far they are, and their parts.
 
-use super::{Attempt, Part};
+use super::{AttemptRecord, PartState};
 use crate::api::{Action, Nanos, QueryClass, QueryReceived, ReplicaId, RequestId};
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 /// A query that has not ended.
 #[derive(Debug, Default)]
-pub struct Query {
+pub struct QueryState {
     /// Its identifier.
     pub id: RequestId,
     /// Joins the query and its parts.
@@ -37,7 +37,7 @@
     /// The answers to earlier steps, if there are any, were complete.
     pub earlier_steps_complete: bool,
     /// Its parts, in the order received.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PartState>,
 }
 
 /// Counts of the parts of the running step.
@@ -66,7 +66,7 @@
 
 impl StepSums {
     /// Whether the answer would be complete.
-    pub fn is_complete(&self, query: &Query, class: &QueryClass) -> bool {
+    pub fn is_complete(&self, query: &QueryState, class: &QueryClass) -> bool {
         let answered_weight = self.answered_weight + ANSWERED_TOLERANCE;
         let has_threshold = answered_weight >= class.completeness_threshold;
         let is_threshold_enough = query.step == 1 && has_threshold;
@@ -75,25 +75,25 @@
     }
 
     /// Whether an incomplete answer may be given.
-    pub fn is_sufficient(&self, query: &Query, class: &QueryClass) -> bool {
+    pub fn is_sufficient(&self, query: &QueryState, class: &QueryClass) -> bool {
         let minimum = class.minimum_of_step(query.step);
         let has_minimum = self.answered_weight + ANSWERED_TOLERANCE >= minimum;
         self.answered_weight > 0.0 && has_minimum
     }
 
     /// Whether the minimum can't be reached any more.
-    pub fn is_out_of_reach(&self, query: &Query, class: &QueryClass) -> bool {
+    pub fn is_out_of_reach(&self, query: &QueryState, class: &QueryClass) -> bool {
         let minimum = class.minimum_of_step(query.step);
         let reachable = self.answered_weight + self.open_weight + REACHABLE_TOLERANCE;
         self.has_parts && (!self.any_open || reachable < minimum)
     }
 }
 
-impl Query {
+impl QueryState {
     /// A query that has come in. Its objective is its deadline until it is set.
-    pub fn new(received: &QueryReceived, now: Nanos) -> Query {
+    pub fn new(received: &QueryReceived, now: Nanos) -> QueryState {
         let deadline = now + received.client_timeout;
-        Query {
+        QueryState {
             id: received.id,
             group: received.group,
             class: usize::from(received.class),
@@ -103,7 +103,7 @@
             step: 1,
             step_started: now,
             earlier_steps_complete: true,
-            ..Query::default()
+            ..QueryState::default()
         }
     }
 
@@ -114,7 +114,7 @@
         self.earlier_steps_complete = first_step_complete;
     }
 
-    /// Ends all attempts that are out; see [`Part::cancel_attempts`].
+    /// Ends all attempts that are out; see [`PartState::cancel_attempts`].
     pub fn cancel_attempts(&mut self, allowed: bool, actions: &mut Vec<Action>) {
         for part in &mut self.parts {
             part.cancel_attempts(allowed, actions);
@@ -159,7 +159,7 @@
     }
 
     /// Sums over the parts of the running step, of which some are open.
-    pub fn step_sums(&self, is_open: impl Fn(&Part) -> bool) -> StepSums {
+    pub fn step_sums(&self, is_open: impl Fn(&PartState) -> bool) -> StepSums {
         let answered = self.step_parts().filter(|part| part.is_answered);
         let wanted = self
             .step_parts()
@@ -184,12 +184,12 @@
     }
 
     /// The parts of the running step.
-    pub fn step_parts(&self) -> impl Iterator<Item = &Part> + Clone {
+    pub fn step_parts(&self) -> impl Iterator<Item = &PartState> + Clone {
         self.parts.iter().filter(|part| part.step == self.step)
     }
 
     /// All attempts at its parts.
-    pub fn attempts(&self) -> impl Iterator<Item = &Attempt> {
+    pub fn attempts(&self) -> impl Iterator<Item = &AttemptRecord> {
         self.parts.iter().flat_map(|part| &part.attempts)
     }
 }
--- a/crates/policy/src/state/query_table.rs
+++ b/crates/policy/src/state/query_table.rs
@@ -1,26 +1,26 @@
 //! The queries that have not ended.
 
-use super::{Part, Query};
+use super::{PartState, QueryState};
 use crate::api::RequestId;
 use std::collections::BTreeMap;
 
 /// The open queries, found by their own identifier, their group or one of their parts.
 #[derive(Debug, Default)]
-pub struct QueryTable {
-    queries: BTreeMap<RequestId, Query>,
+pub struct OpenQueries {
+    queries: BTreeMap<RequestId, QueryState>,
     groups: BTreeMap<u32, RequestId>,
     owners: BTreeMap<RequestId, RequestId>,
 }
 
-impl QueryTable {
+impl OpenQueries {
     /// Adds a query that has come in.
-    pub fn insert(&mut self, query: Query) {
+    pub fn insert(&mut self, query: QueryState) {
         self.groups.insert(query.group, query.id);
         self.queries.insert(query.id, query);
     }
 
     /// Adds a part to the query of its group and returns that query's identifier.
-    pub fn insert_part(&mut self, group: u32, mut part: Part) -> Option<RequestId> {
+    pub fn insert_part(&mut self, group: u32, mut part: PartState) -> Option<RequestId> {
         let owner = *self.groups.get(&group)?;
         let query = self.queries.get_mut(&owner)?;
         part.step = query.step;
@@ -30,23 +30,23 @@
     }
 
     /// The part with this identifier.
-    pub fn part_mut(&mut self, id: RequestId) -> Option<&mut Part> {
+    pub fn part_mut(&mut self, id: RequestId) -> Option<&mut PartState> {
         let query = self.queries.get_mut(self.owners.get(&id)?)?;
         query.parts.iter_mut().find(|part| part.id == id)
     }
 
-    /// Takes a query out, to work on it; see [`QueryTable::put_back`].
-    pub fn take(&mut self, id: RequestId) -> Option<Query> {
+    /// Takes a query out, to work on it; see [`OpenQueries::put_back`].
+    pub fn take(&mut self, id: RequestId) -> Option<QueryState> {
         self.queries.remove(&id)
     }
 
     /// Puts a query back that was taken out.
-    pub fn put_back(&mut self, query: Query) {
+    pub fn put_back(&mut self, query: QueryState) {
         self.queries.insert(query.id, query);
     }
 
     /// Forgets what leads to a query that was taken out.
-    pub fn forget(&mut self, query: &Query) {
+    pub fn forget(&mut self, query: &QueryState) {
         self.groups.remove(&query.group);
         for part in &query.parts {
             self.owners.remove(&part.id);
@@ -65,7 +65,7 @@
 
     /// The number of queries of a class, without those taken out.
     pub fn count_of_class(&self, class: usize) -> usize {
-        let of_class = |query: &&Query| query.class == class;
+        let of_class = |query: &&QueryState| query.class == class;
         self.queries.values().filter(of_class).count()
     }
 
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -11,7 +11,7 @@
 pub enum ConnectionUse {
     /// Used a short while ago.
     #[default]
-    Recent,
+    RecentlyUsed,
     /// Without use for long: something on the way may have dropped it unnoticed.
     LongIdle,
     /// Opened anew in place of one without use for long.
@@ -20,7 +20,7 @@
 
 /// A replica as this aggregator knows it.
 #[derive(Debug, Default)]
-pub struct Replica {
+pub struct ReplicaRecord {
     /// Its placement cell.
     pub cell: u16,
     /// Its zone.
@@ -34,7 +34,7 @@
     /// When `latency` last changed.
     pub latency_updated: Nanos,
     /// The last sign of life.
-    pub last_seen: Nanos,
+    pub last_response: Nanos,
     /// Smoothed time between two results while it had work of ours, ns.
     pub result_interval: Ewma,
     /// When the last result came.
@@ -42,7 +42,7 @@
     /// The connection of the last attempt.
     pub connection: ConnectionUse,
     /// The connections of the attempts lost since it was last heard.
-    pub lost_on: Vec<ConnectionUse>,
+    pub lost_connections: Vec<ConnectionUse>,
     /// Calls of ours that are still out.
     pub outstanding: OutstandingCalls,
     /// Times in a row that it swallowed work.
@@ -52,16 +52,16 @@
     /// No attempts go to it before this, if others can have them.
     pub ejected_until: Nanos,
     /// It is taken to be full until then.
-    pub full_until: Nanos,
+    pub saturated_until: Nanos,
     /// Parts sent to it lately.
     pub recent_parts: SlidingWindow<()>,
 }
 
-impl Replica {
+impl ReplicaRecord {
     /// For how long the oldest call has been out without a sign of life.
-    pub fn oldest_age(&self, now: Nanos) -> Nanos {
+    pub fn time_without_response(&self, now: Nanos) -> Nanos {
         let oldest = self.outstanding.oldest();
-        oldest.map_or(0, |sent| now - sent.max(self.last_seen))
+        oldest.map_or(0, |sent| now - sent.max(self.last_response))
     }
 
     /// The number of calls that are out; see [`OutstandingCalls::count`].
@@ -76,12 +76,12 @@
         let fading = (-(since_result / fade_time)).exp();
         let interval = self.result_interval.value().unwrap_or(0.0);
         let queued = interval * f64::from(self.outstanding.parts() + 1) * fading;
-        queued.max(self.oldest_age(now) as f64)
+        queued.max(self.time_without_response(now) as f64)
     }
 
     /// The latest sign of life or measurement.
-    pub fn last_news(&self) -> Nanos {
-        self.last_seen.max(self.latency_updated)
+    pub fn last_activity(&self) -> Nanos {
+        self.last_response.max(self.latency_updated)
     }
 
     /// Records that a part is sent now; parts sent before `oldest` are no longer recent.
@@ -106,12 +106,12 @@
     }
 
     /// Records a sign of life. Returns the connections of the attempts lost since the last one.
-    pub fn record_sign_of_life(&mut self, now: Nanos) -> Vec<ConnectionUse> {
-        self.last_seen = now;
+    pub fn record_response(&mut self, now: Nanos) -> Vec<ConnectionUse> {
+        self.last_response = now;
         self.is_outlier = false;
         self.ejected_until = 0;
         self.consecutive_failures = 0;
-        std::mem::take(&mut self.lost_on)
+        std::mem::take(&mut self.lost_connections)
     }
 
     /// Records that it has swallowed work.
@@ -191,29 +191,29 @@
 
 /// All replicas that are known.
 #[derive(Debug, Default)]
-pub struct ReplicaTable {
-    replicas: BTreeMap<ReplicaId, Replica>,
+pub struct KnownReplicas {
+    replicas: BTreeMap<ReplicaId, ReplicaRecord>,
 }
 
-impl ReplicaTable {
+impl KnownReplicas {
     /// The number of replicas known, those gone included.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
     /// A replica by its identifier.
-    pub fn get(&self, id: ReplicaId) -> Option<&Replica> {
+    pub fn get(&self, id: ReplicaId) -> Option<&ReplicaRecord> {
         self.replicas.get(&id)
     }
 
     /// A replica by its identifier, to change it.
-    pub fn get_mut(&mut self, id: ReplicaId) -> Option<&mut Replica> {
+    pub fn get_mut(&mut self, id: ReplicaId) -> Option<&mut ReplicaRecord> {
         self.replicas.get_mut(&id)
     }
 
     /// The replicas that are ready, in order of their identifiers.
-    pub fn ready(&self) -> impl Iterator<Item = (ReplicaId, &Replica)> {
-        let ready = |replica: &Replica| replica.state == ReplicaState::Ready;
+    pub fn ready(&self) -> impl Iterator<Item = (ReplicaId, &ReplicaRecord)> {
+        let ready = |replica: &ReplicaRecord| replica.state == ReplicaState::Ready;
         let replicas = self.replicas.iter().map(|(id, replica)| (*id, replica));
         replicas.filter(move |(_, replica)| ready(replica))
     }
@@ -223,7 +223,7 @@
         &self,
         settings: &PolicySettings,
         shard: u32,
-    ) -> impl Iterator<Item = (ReplicaId, &Replica)> {
+    ) -> impl Iterator<Item = (ReplicaId, &ReplicaRecord)> {
         let (cells, per_shard) = (settings.placement_cells.max(1), settings.cells_per_shard);
         let distance = move |cell: u16| (u32::from(cell) + cells - shard % cells) % cells;
         self.ready()
@@ -241,9 +241,9 @@
             }
         }
         for entry in entries {
-            let new = Replica {
+            let new = ReplicaRecord {
                 started: entry.started,
-                ..Replica::default()
+                ..ReplicaRecord::default()
             };
             let replica = self.replicas.entry(entry.replica).or_insert(new);
             replica.cell = entry.cell;
