--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -9,4 +9,4 @@
 mod state;
 mod stats;
 
-pub use state::Policy;
+pub use policy::Policy;
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -3,27 +3,34 @@
 //! Invariant: of a class without permits, one query is admitted now and then. The design leaves
 //! rejections to us; a query that can't be answered by its objective only delays others.
 
-use super::*;
+use super::{tuning, Policy};
+use crate::api::{Nanos, PartReceived, QueryClass, QueryReceived, RequestId};
+use crate::state::{PartState, QueryState, REACHABLE_TOLERANCE};
+use crate::stats::{MajorityVote, TokenBucket};
 
 impl Policy {
     pub(super) fn on_query_received(&mut self, received: &QueryReceived) {
-        self.received.push(self.now, ());
-        let class = self.settings.classes.get(usize::from(received.class));
+        self.received.push(self.context.now, ());
+        let class = self
+            .context
+            .settings
+            .classes
+            .get(usize::from(received.class));
         let Some(class) = class else { return };
         let key = (received.class, received.tenant);
         let usual = self.client_timeouts.entry(key).or_default();
-        let marked = self.settings.retries_marked;
+        let marked = self.context.settings.retries_marked;
         let spent = time_spent_by_earlier_attempts(received, class, usual, marked);
-        let objective = self.now + class.objective_for(received.work);
+        let objective = self.context.now + class.objective_for(received.work);
         let is_short = received.client_timeout < class.latency_objective;
-        let mut query = QueryState::new(received, self.now);
+        let mut query = QueryState::new(received, self.context.now);
         query.has_short_timeout = received.is_retry && spent == 0 && is_short;
         query.set_objective(objective.saturating_sub(spent));
         self.queries.insert(query);
     }
 
     pub(super) fn on_part_received(&mut self, received: &PartReceived) -> Option<RequestId> {
-        self.received.push(self.now, ());
+        self.received.push(self.context.now, ());
         self.queries
             .insert_part(received.group, PartState::new(received))
     }
@@ -32,11 +39,11 @@
     pub(super) fn cannot_meet_objective(&mut self, query: &mut QueryState) -> bool {
         let share = tuning::REJECT_SHARE * self.density(query);
         let time_left = (query.objective - query.arrived) as f64;
-        let limit = share * time_left / f64::from(self.settings.steps(query.class));
-        let class = &self.settings.classes[query.class];
+        let limit = share * time_left / f64::from(self.context.settings.steps(query.class));
+        let class = self.context.class(query.class);
         // Bounded by the objective, or a slow spell would never end.
         let longest = tuning::REJECT_SHARE * class.latency_objective as f64;
-        let usual_latency = self.fleet_latency.mean().unwrap_or(0.0).min(longest);
+        let usual_latency = self.context.latency.mean().unwrap_or(0.0).min(longest);
         let is_expired = query.arrived_late && class.late_value <= 0.0;
         if is_expired || query.has_short_timeout || time_left < usual_latency {
             return true;
@@ -60,7 +67,7 @@
         let permits = self.permits.get_mut(&query.class);
         let Some(permits) = permits else { return true };
         // Now and then one is admitted without, or nobody would learn that the overload is over.
-        query.has_permit = permits.try_take(self.now, tuning::MAX_ADMISSION_GAP);
+        query.has_permit = permits.try_take(self.context.now, tuning::MAX_ADMISSION_GAP);
         query.has_permit
     }
 
@@ -69,7 +76,7 @@
         let open = self.queries.count_of_class(query.class) as f64;
         match self.permits.get_mut(&query.class) {
             None => {
-                let permits = TokenBucket::new(self.now, tuning::SPARE_PERMITS + open);
+                let permits = TokenBucket::new(self.context.now, tuning::SPARE_PERMITS + open);
                 self.permits.insert(query.class, permits);
             }
             Some(permits) if !query.has_permit => permits.set(permits.tokens() - 1.0),
@@ -91,12 +98,12 @@
     /// Whether an answer past the objective is worth its work. While permits are short it is not:
     /// what waits at full replicas keeps others from theirs until its own time is over.
     pub(super) fn may_be_late(&self, class: usize) -> bool {
-        self.settings.classes[class].late_value > 0.0 && !self.permits.contains_key(&class)
+        self.context.class(class).late_value > 0.0 && !self.permits.contains_key(&class)
     }
 
     /// What a part earns, to the usual part: those that earn much may wait in longer queues.
     fn density(&mut self, query: &QueryState) -> f64 {
-        let weight = self.settings.classes[query.class].priority_weight;
+        let weight = self.context.class(query.class).priority_weight;
         let own = weight.unwrap_or(1.0) / query.parts.len().max(1) as f64;
         let usual = self.mean_value_per_part.add(own, tuning::FLEET_WEIGHT);
         (own / usual.max(f64::MIN_POSITIVE)).clamp(
@@ -107,9 +114,13 @@
 
     /// When a part should be back from the holder of its shard that is the fastest.
     fn shortest_wait(&self, part: &PartState) -> f64 {
-        let holders = self.replicas.holders(&self.settings, part.shard);
-        let free = holders.filter(|(_, replica)| self.now >= replica.saturated_until);
-        let waits = free.map(|(_, replica)| replica.expected_wait(self.now, self.objective));
+        let holders = self
+            .context
+            .replicas
+            .holders(&self.context.settings, part.shard);
+        let free = holders.filter(|(_, replica)| self.context.now >= replica.saturated_until);
+        let waits = free
+            .map(|(_, replica)| replica.expected_wait(self.context.now, self.context.objective));
         waits.fold(f64::INFINITY, f64::min)
     }
 }
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -4,7 +4,9 @@
 //! answer rests on the class's minimum coverage, and is marked complete only if it is; a rejection
 //! says that trying again is harmless, so it is made only where that is so.
 
-use super::*;
+use super::{tuning, Policy};
+use crate::api::{Action, Nanos, RequestId};
+use crate::state::{PartState, QueryState, StepSums};
 
 impl Policy {
     /// Starts a step of a query, unless overload has the query rejected.
@@ -31,7 +33,7 @@
         let query = self.queries.take(id);
         let Some(mut query) = query else { return };
         let sums = query.step_sums(|part| self.is_open(part, &query));
-        let class = &self.settings.classes[query.class];
+        let class = self.context.class(query.class);
         let is_complete = sums.is_complete(&query, class);
         let is_sufficient = sums.is_sufficient(&query, class);
         let is_out_of_reach = sums.is_out_of_reach(&query, class);
@@ -41,10 +43,11 @@
         let is_query_of_death = is_query_of_death(&query);
         let is_idle = query.attempts().all(|attempt| !attempt.is_in_flight);
         let is_useless = is_out_of_reach || is_query_of_death && is_idle;
-        if is_useless || self.now >= self.last_useful_moment(&query) {
+        if is_useless || self.context.now >= self.last_useful_moment(&query) {
             return self.give_up(query);
         }
-        let waited = (self.now - query.step_started) as f64 > self.hedging_delay(self.objective);
+        let waited = (self.context.now - query.step_started) as f64
+            > self.context.latency.hedging_delay(self.context.objective);
         if !is_query_of_death || waited {
             self.advance_attempts(&mut query);
         }
@@ -57,7 +60,10 @@
             return true;
         }
         let has_budget = part.attempts.is_empty() || self.has_budget(query.class, query.objective);
-        let mut holders = self.replicas.holders(&self.settings, part.shard);
+        let mut holders = self
+            .context
+            .replicas
+            .holders(&self.context.settings, part.shard);
         has_budget && self.may_repeat(part, query.class) && holders.next().is_some()
     }
 
@@ -65,20 +71,20 @@
     /// objective, earlier where a second step follows, or the last moment if a late complete answer
     /// earns more.
     fn is_time_to_answer(&self, query: &QueryState, sums: &StepSums) -> bool {
-        let class = &self.settings.classes[query.class];
+        let class = self.context.class(query.class);
         let value = class.partial_value * sums.answered_weight / class.completeness_threshold;
-        let mut end = self.before(query.objective);
+        let mut end = self.timer.safely_before(query.objective);
         if class.late_value > value {
-            end = self.before(query.deadline);
-        } else if query.step < self.settings.steps(query.class) {
+            end = self.timer.safely_before(query.deadline);
+        } else if query.step < self.context.settings.steps(query.class) {
             end = query.arrived + (end - query.arrived) / 2;
         }
-        sums.all_answered || !sums.any_open || self.now >= end
+        sums.all_answered || !sums.any_open || self.context.now >= end
     }
 
     fn last_useful_moment(&self, query: &QueryState) -> Nanos {
-        let last_moment = self.before(query.deadline);
-        let in_time = query.objective.saturating_sub(self.timer_period());
+        let last_moment = self.timer.safely_before(query.deadline);
+        let in_time = query.objective.saturating_sub(self.timer.period());
         let is_late_useful = self.may_be_late(query.class);
         let end = if is_late_useful { last_moment } else { in_time };
         end.min(last_moment)
@@ -86,13 +92,16 @@
 
     fn answer(&mut self, mut open: QueryState, complete: bool) {
         let query = open.id;
-        self.actions.push(Action::Answer { query, complete });
-        open.cancel_attempts(self.settings.cancellation_allowed, &mut self.actions);
-        if open.step < self.settings.steps(open.class) {
-            open.start_second_step(self.now, complete);
+        self.output.push(Action::Answer { query, complete });
+        open.cancel_attempts(
+            self.context.settings.cancellation_allowed,
+            self.output.actions(),
+        );
+        if open.step < self.context.settings.steps(open.class) {
+            open.start_second_step(self.context.now, complete);
             return self.queries.put_back(open);
         }
-        let change = match self.now <= open.objective {
+        let change = match self.context.now <= open.objective {
             true => tuning::PERMIT_REWARD,
             false => -tuning::PERMIT_PENALTY,
         };
@@ -103,14 +112,14 @@
     /// Ends a query without an answer, at once.
     fn give_up(&mut self, open: QueryState) {
         let query = open.id;
-        let max_retry_after = self.settings.max_retry_after;
+        let max_retry_after = self.context.settings.max_retry_after;
         let retry_after = (max_retry_after > 0).then_some(max_retry_after);
-        let class = &self.settings.classes[open.class];
-        let end = match open.is_safe_to_repeat(class, self.now + max_retry_after) {
+        let class = self.context.class(open.class);
+        let end = match open.is_safe_to_repeat(class, self.context.now + max_retry_after) {
             true => Action::Reject { query, retry_after },
             false => Action::Fail { query },
         };
-        self.actions.push(end);
+        self.output.push(end);
         match open.parts.iter().any(PartState::is_lost_to_saturation) {
             true => self.lose_permit(&open),
             false => self.return_permit(&open, 0.0),
--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -6,12 +6,13 @@
 //!
 //! Invariant: the cutoff rests at zero without overload, and acts once for a query.
 
-use super::*;
+use super::{tuning, Policy};
+use crate::state::QueryState;
 
 impl Policy {
     /// Drops parts below the cutoff. Each step of it lets go a share of what may go, not all.
     pub(super) fn drop_light_parts(&self, query: &mut QueryState) {
-        let minimum_coverage = self.settings.classes[query.class].minimum_coverage;
+        let minimum_coverage = self.context.class(query.class).minimum_coverage;
         let cutoff = self.cutoff.value;
         if cutoff <= 0.0 || minimum_coverage >= 1.0 {
             return;
@@ -39,13 +40,13 @@
         let threshold = tuning::OVERLOAD_SHARE * judged as f64;
         let is_overloaded = judged >= tuning::OVERLOAD_MIN_PARTS && missed > threshold;
         if is_overloaded {
-            self.cutoff.last_overload = self.now;
+            self.cutoff.last_overload = self.context.now;
         }
-        let unmoved = self.now.saturating_sub(self.cutoff.moved);
-        let quiet = self.now.saturating_sub(self.cutoff.last_overload);
+        let unmoved = self.context.now.saturating_sub(self.cutoff.moved);
+        let quiet = self.context.now.saturating_sub(self.cutoff.last_overload);
         // The design's second between two steps up, at objectives of two seconds.
         let value = self.cutoff.value;
-        if is_overloaded && unmoved as f64 >= self.objective / 2.0 {
+        if is_overloaded && unmoved as f64 >= self.context.objective / 2.0 {
             let climb = tuning::CUTOFF_STEP * (missed / threshold).max(1.0);
             self.set_cutoff((value + climb).min(tuning::CUTOFF_CEILING));
         } else if unmoved >= tuning::OVERLOAD_WINDOW && quiet >= tuning::CUTOFF_QUIET_TIME {
@@ -58,12 +59,12 @@
         if value == before {
             return;
         }
-        self.cutoff.moved = self.now;
+        self.cutoff.moved = self.context.now;
         if before == 0.0 {
             let line = "cutoff off zero: light parts are dropped";
-            self.log_lines.push(line.into());
+            self.output.log(line);
         } else if value == 0.0 {
-            self.log_lines.push("cutoff back at zero".into());
+            self.output.log("cutoff back at zero");
         }
     }
 }
--- /dev/null
+++ b/crates/policy/src/policy/fleet_latency.rs
@@ -0,0 +1,64 @@
+//! Latency over all replicas: what a replica is expected to take, and when an answer is overdue.
+
+use super::tuning;
+use crate::api::Nanos;
+use crate::state::ReplicaRecord;
+use crate::stats::MeanDeviation;
+
+/// Mean latency of all replicas and the deviation from it, ns.
+#[derive(Debug)]
+pub struct FleetLatency {
+    objective: f64,
+    samples: MeanDeviation,
+}
+
+impl FleetLatency {
+    /// Before the first sample. `objective` is the shortest latency objective of a class, ns.
+    pub fn new(objective: f64) -> FleetLatency {
+        FleetLatency {
+            objective,
+            samples: MeanDeviation::default(),
+        }
+    }
+
+    /// Adds the latency of a result, ns.
+    pub fn record(&mut self, latency: f64) {
+        self.samples.add(latency, tuning::FLEET_WEIGHT);
+    }
+
+    /// The mean latency; none before the first sample.
+    pub fn mean(&self) -> Option<f64> {
+        self.samples.mean()
+    }
+
+    /// The expected latency of a replica. Its own measurement fades to the mean of all replicas; a
+    /// replica without a measurement has that mean.
+    pub fn smoothed_latency(&self, now: Nanos, replica: &ReplicaRecord) -> f64 {
+        let initial = tuning::INITIAL_LATENCY_SHARE * self.objective;
+        let mean = self.mean().unwrap_or(initial);
+        let Some(own) = replica.latency else {
+            return mean;
+        };
+        mean + (own - mean) * (-self.staleness(now, replica.latency_updated)).exp()
+    }
+
+    /// The age of a measurement, as a multiple of [`FleetLatency::fade_time`].
+    pub fn staleness(&self, now: Nanos, measured: Nanos) -> f64 {
+        now.saturating_sub(measured) as f64 / self.fade_time()
+    }
+
+    /// The time in which a measurement of a replica loses most of its weight, ns.
+    pub fn fade_time(&self) -> f64 {
+        tuning::FADE_OBJECTIVES * self.objective
+    }
+
+    /// How long to wait for an answer before a hedged request, ns. It leaves enough of `objective`
+    /// for the hedged request to be answered.
+    pub fn hedging_delay(&self, objective: f64) -> f64 {
+        let initial = tuning::INITIAL_LATENCY_SHARE * objective;
+        let mean = self.mean().unwrap_or(initial);
+        let slow = mean + tuning::HEDGING_DELAY_DEVIATIONS * self.samples.deviation();
+        let min_wait = tuning::MIN_WAIT_SHARE * objective;
+        slow.clamp(min_wait, tuning::MAX_WAIT_SHARE * objective)
+    }
+}
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -1,33 +1,100 @@
-//! Every decision of a policy, one concern to a file, and the order of the phases of a batch.
+//! Every decision of a policy, one concern to a file. [`Policy`] dispatches the events, runs the
+//! phases of a batch in their order, and owns the state of each decision.
 //!
 //! Invariant: the same settings, seed and batches of events give the same actions.
 
 mod admission;
 mod completion;
 mod connection_renewal;
+mod context;
 mod cutoff;
-mod endpoint_list;
+mod endpoint_poller;
+mod fleet_latency;
 mod hedging;
 mod outlier;
+mod output;
 mod replica_selection;
 mod retry;
 mod slow_start;
+mod timer;
 mod tuning;
 
-use crate::api::*;
-use crate::state::REACHABLE_TOLERANCE;
+use crate::api::ReplicaId;
+use crate::api::{
+    Action, EndpointUpdateKind, Event, Nanos, PolicySettings, ReplicaEntry, RequestId,
+};
 use crate::state::{
-    ConnectionUse, InFlightAttempt, PartState, QueryState, RaceWinner, ReplicaRecord, StepSums,
+    AttemptId, AttemptRecord, ConnectionUse, CutoffState, HealthCheckState, InFlightAttempt,
+    OpenQueries, PartState, QueryState, RenewalState,
 };
-use crate::stats::{blend, exponential_backoff, uniform, MajorityVote, TokenBucket};
-use crate::Policy;
-use std::collections::BTreeSet;
-use std::ops::Range;
+use crate::stats::{DecayingCounter, Ewma, MajorityVote, SlidingWindow, TokenBucket};
+use context::Context;
+use endpoint_poller::EndpointPoller;
+use output::BatchOutput;
+use std::collections::{BTreeMap, BTreeSet};
+use timer::BatchTimer;
+
+/// The decisions of one aggregator, and all state that they rest on.
+#[derive(Debug)]
+pub struct Policy {
+    /// What every decision may read.
+    context: Context,
+    /// The queries that have not ended.
+    queries: OpenQueries,
+    /// The attempts that have not ended.
+    in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+    seed: u64,
+    started: Nanos,
+    renewal: RenewalState,
+    hedge_loss_rate: f64,
+    cutoff: CutoffState,
+    received: SlidingWindow<()>,
+    retries: SlidingWindow<()>,
+    results: DecayingCounter,
+    client_timeouts: BTreeMap<(u16, u32), MajorityVote>,
+    mean_value_per_part: Ewma,
+    permits: BTreeMap<usize, TokenBucket>,
+    health_checks: HealthCheckState,
+    endpoint_poller: EndpointPoller,
+    timer: BatchTimer,
+    /// The generator of every random choice.
+    random: fastrand::Rng,
+    /// What the running batch results in.
+    output: BatchOutput,
+}
 
 impl Policy {
+    /// A policy that has received nothing yet. The seed distinguishes it from other processes.
+    pub fn new(settings: PolicySettings, seed: u64) -> Self {
+        let context = Context::new(settings);
+        let settings = &context.settings;
+        Policy {
+            endpoint_poller: EndpointPoller::new(settings, context.latency.fade_time()),
+            timer: BatchTimer::new(settings, context.objective),
+            queries: OpenQueries::default(),
+            in_flight: BTreeMap::new(),
+            seed,
+            started: 0,
+            renewal: RenewalState::default(),
+            hedge_loss_rate: 0.0,
+            cutoff: CutoffState::default(),
+            received: SlidingWindow::default(),
+            retries: SlidingWindow::default(),
+            results: DecayingCounter::default(),
+            client_timeouts: BTreeMap::new(),
+            mean_value_per_part: Ewma::default(),
+            permits: BTreeMap::new(),
+            health_checks: HealthCheckState::default(),
+            random: fastrand::Rng::with_seed(seed),
+            output: BatchOutput::default(),
+            context,
+        }
+    }
+
     /// Handles what happened by `now`, in order, and appends what to do about it to `actions`.
     pub fn handle(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
-        self.now = now;
+        self.context.now = now;
+        self.start_if_new();
         self.poll_endpoints();
         let mut new_queries = BTreeSet::new();
         for event in events {
@@ -42,10 +109,17 @@
             self.advance(id);
         }
         self.check_silent_replicas();
-        let log_lines = self.log_lines.drain(..).map(Action::Log);
-        self.actions.extend(log_lines);
-        self.set_timer(self.timer_period());
-        actions.append(&mut self.actions);
+        let timer = self.set_timer();
+        self.output.move_to(actions, timer);
+    }
+
+    /// The number of records held, of every kind whose number changes with the load.
+    pub fn retained_records(&self) -> usize {
+        self.queries.record_count()
+            + self.in_flight.len()
+            + self.received.len()
+            + self.client_timeouts.len()
+            + self.context.replicas.len()
     }
 
     fn on_event(&mut self, event: &Event, new_queries: &mut BTreeSet<RequestId>) {
@@ -65,13 +139,86 @@
         }
     }
 
-    fn timer_period(&self) -> Nanos {
-        let period = self.objective as Nanos / tuning::PERIODS_PER_OBJECTIVE;
-        period.max(2 * self.settings.tick).max(1)
+    fn start_if_new(&mut self) {
+        if self.started == 0 {
+            self.started = self.context.now;
+        }
+    }
+
+    fn poll_endpoints(&mut self) {
+        if self
+            .endpoint_poller
+            .take_due(self.context.now, &mut self.random)
+        {
+            let enabled = true;
+            self.output.push(Action::WatchEndpoints { enabled });
+        }
     }
 
-    /// A few timer periods before a point in time that must not be missed.
-    fn before(&self, at: Nanos) -> Nanos {
-        at.saturating_sub(tuning::SPARE_PERIODS * self.timer_period())
+    fn on_endpoints_updated(&mut self, kind: EndpointUpdateKind, entries: &[ReplicaEntry]) {
+        let now = self.context.now;
+        match kind {
+            EndpointUpdateKind::Unavailable => {
+                return self.endpoint_poller.on_failure(now, &mut self.random);
+            }
+            EndpointUpdateKind::Cached => {}
+            EndpointUpdateKind::Delta | EndpointUpdateKind::Snapshot => {
+                self.endpoint_poller.on_update();
+            }
+        }
+        self.context.replicas.apply(kind, entries);
+        // New replicas have new identifiers: without this, records would accumulate.
+        let fade_time = self.context.latency.fade_time() as Nanos;
+        let oldest = now.saturating_sub(fade_time);
+        self.context.replicas.forget_gone(oldest);
+    }
+
+    /// Sets the timer. Without an open query, only the endpoint list is due.
+    fn set_timer(&mut self) -> Option<Action> {
+        let now = self.context.now;
+        let next = if self.queries.is_empty() {
+            self.endpoint_poller.due()?
+        } else {
+            now + self.timer.period()
+        };
+        self.timer.set(now, next)
+    }
+
+    /// Drops what is older than the windows of recent retries and of the overload signal.
+    fn expire_windows(&mut self, recent: Nanos, overload: Nanos) {
+        let budget = self.context.settings.retry_budget.as_ref();
+        let recent = budget.map_or(0, |budget| budget.window).max(recent);
+        let oldest = self.context.now.saturating_sub(recent);
+        self.received.expire(oldest);
+        self.retries.expire(oldest);
+        self.cutoff
+            .judged
+            .expire(self.context.now.saturating_sub(overload));
+    }
+
+    /// Forgets a query that has ended, and cancels its attempts.
+    fn discard(&mut self, mut query: QueryState) {
+        let allowed = self.context.settings.cancellation_allowed;
+        query.cancel_attempts(allowed, self.output.actions());
+        self.queries.forget(&query);
+    }
+
+    /// Records an attempt at a part that is sent now, on this connection.
+    fn record_attempt(&mut self, part: &mut PartState, id: ReplicaId, connection: ConnectionUse) {
+        let now = self.context.now;
+        if !part.attempts.is_empty() {
+            self.retries.push(now, ());
+        }
+        let attempt = AttemptId {
+            part: part.id,
+            number: part.attempts.len() as u8,
+        };
+        self.in_flight
+            .insert(attempt, InFlightAttempt::new(id, now, connection));
+        part.attempts.push(AttemptRecord::new(id, now));
+        let oldest = now.saturating_sub(self.context.settings.overload_window);
+        if let Some(replica) = self.context.replicas.get_mut(id) {
+            replica.record_part(now, oldest);
+        }
     }
 }
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -171,6 +171,15 @@
     }
 }
 
+/// Identifies an attempt: its part and its number, from 0 in the order sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The part.
+    pub part: RequestId,
+    /// The number of the attempt.
+    pub number: u8,
+}
+
 /// An attempt that has not ended; it may outlive its query.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
--- a/crates/policy/src/stats.rs
+++ b/crates/policy/src/stats.rs
@@ -15,12 +15,9 @@
     (base * f64::from(1u32 << failures.min(16))).min(max)
 }
 
-/// A random number in the range. `state` is the generator's, and moves on.
-pub fn uniform(state: &mut u64, range: Range<f64>) -> f64 {
-    let mut random = fastrand::Rng::with_seed(*state);
-    let share = random.f64();
-    *state = random.get_seed();
-    range.start + (range.end - range.start) * share
+/// A random number in the range.
+pub fn uniform(random: &mut fastrand::Rng, range: Range<f64>) -> f64 {
+    range.start + (range.end - range.start) * random.f64()
 }
 
 /// An exponentially weighted moving average.
