--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -17,7 +17,8 @@
             if self.cannot_meet_objective(&mut query) || !self.admit(&mut query) {
                 return self.give_up(query);
             }
-            self.drop_light_parts(&mut query);
+            let class = self.context.class(query.class);
+            self.cutoff.drop_light_parts(&mut query, class);
         }
         for index in query.lightest_first().into_iter().rev() {
             let part = &query.parts[index];
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -25,7 +25,7 @@
                 continue;
             }
             if is_late {
-                self.cutoff.judge(self.context.now, part, true);
+                self.cutoff.record(self.context.now, part, true);
             }
             if !part.has_attempt_in_flight() {
                 self.retry(query, index);
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -24,13 +24,16 @@
     Action, EndpointUpdateKind, Event, Nanos, PolicySettings, ReplicaEntry, RequestId,
 };
 use crate::state::{
-    AttemptId, AttemptRecord, ConnectionUse, CutoffState, HealthCheckState, InFlightAttempt,
-    OpenQueries, PartState, QueryState, RenewalState,
+    AttemptId, AttemptRecord, ConnectionUse, HealthCheckState, InFlightAttempt, OpenQueries,
+    PartState, QueryState,
 };
-use crate::stats::{DecayingCounter, Ewma, MajorityVote, SlidingWindow, TokenBucket};
+use crate::stats::{Ewma, MajorityVote, SlidingWindow, TokenBucket};
+use connection_renewal::ConnectionRenewal;
 use context::Context;
+use cutoff::WeightCutoff;
 use endpoint_poller::EndpointPoller;
 use output::BatchOutput;
+use slow_start::SlowStart;
 use std::collections::{BTreeMap, BTreeSet};
 use timer::BatchTimer;
 
@@ -43,14 +46,12 @@
     queries: OpenQueries,
     /// The attempts that have not ended.
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
-    seed: u64,
-    started: Nanos,
-    renewal: RenewalState,
+    renewal: ConnectionRenewal,
     hedge_loss_rate: f64,
-    cutoff: CutoffState,
+    cutoff: WeightCutoff,
     received: SlidingWindow<()>,
     retries: SlidingWindow<()>,
-    results: DecayingCounter,
+    slow_start: SlowStart,
     client_timeouts: BTreeMap<(u16, u32), MajorityVote>,
     mean_value_per_part: Ewma,
     permits: BTreeMap<usize, TokenBucket>,
@@ -73,14 +74,12 @@
             timer: BatchTimer::new(settings, context.objective),
             queries: OpenQueries::default(),
             in_flight: BTreeMap::new(),
-            seed,
-            started: 0,
-            renewal: RenewalState::default(),
+            renewal: ConnectionRenewal::new(settings, context.objective),
             hedge_loss_rate: 0.0,
-            cutoff: CutoffState::default(),
+            cutoff: WeightCutoff::new(context.objective),
             received: SlidingWindow::default(),
             retries: SlidingWindow::default(),
-            results: DecayingCounter::default(),
+            slow_start: SlowStart::new(settings, seed),
             client_timeouts: BTreeMap::new(),
             mean_value_per_part: Ewma::default(),
             permits: BTreeMap::new(),
@@ -94,14 +93,14 @@
     /// Handles what happened by `now`, in order, and appends what to do about it to `actions`.
     pub fn handle(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         self.context.now = now;
-        self.start_if_new();
+        self.slow_start.start(now);
         self.poll_endpoints();
         let mut new_queries = BTreeSet::new();
         for event in events {
             self.on_event(event, &mut new_queries);
         }
-        self.expire_windows(tuning::RECENT_WINDOW, tuning::OVERLOAD_WINDOW);
-        self.move_cutoff();
+        self.expire_windows(tuning::RECENT_WINDOW);
+        self.cutoff.update(now, &mut self.output);
         for id in new_queries {
             self.start_step(id);
         }
@@ -139,12 +138,6 @@
         }
     }
 
-    fn start_if_new(&mut self) {
-        if self.started == 0 {
-            self.started = self.context.now;
-        }
-    }
-
     fn poll_endpoints(&mut self) {
         if self
             .endpoint_poller
@@ -184,16 +177,13 @@
         self.timer.set(now, next)
     }
 
-    /// Drops what is older than the windows of recent retries and of the overload signal.
-    fn expire_windows(&mut self, recent: Nanos, overload: Nanos) {
+    /// Drops what is older than the window of recent retries.
+    fn expire_windows(&mut self, recent: Nanos) {
         let budget = self.context.settings.retry_budget.as_ref();
         let recent = budget.map_or(0, |budget| budget.window).max(recent);
         let oldest = self.context.now.saturating_sub(recent);
         self.received.expire(oldest);
         self.retries.expire(oldest);
-        self.cutoff
-            .judged
-            .expire(self.context.now.saturating_sub(overload));
     }
 
     /// Forgets a query that has ended, and cancels its attempts.
@@ -203,6 +193,25 @@
         self.queries.forget(&query);
     }
 
+    /// The connection for an attempt that is sent now.
+    fn connection_for(&mut self, id: ReplicaId) -> ConnectionUse {
+        let now = self.context.now;
+        let Some(replica) = self.context.replicas.get_mut(id) else {
+            return ConnectionUse::RecentlyUsed;
+        };
+        if !self.renewal.is_enabled() {
+            return ConnectionUse::RecentlyUsed;
+        }
+        if !replica.outstanding.has_call_of(now) {
+            replica.connection = self.renewal.connection_for_call(now, replica);
+            if replica.connection == ConnectionUse::Renewed {
+                let close = Action::CloseIdleConnections { replica: id };
+                self.output.push(close);
+            }
+        }
+        replica.connection
+    }
+
     /// Records an attempt at a part that is sent now, on this connection.
     fn record_attempt(&mut self, part: &mut PartState, id: ReplicaId, connection: ConnectionUse) {
         let now = self.context.now;
@@ -216,7 +225,7 @@
         self.in_flight
             .insert(attempt, InFlightAttempt::new(id, now, connection));
         part.attempts.push(AttemptRecord::new(id, now));
-        let oldest = now.saturating_sub(self.context.settings.overload_window);
+        let oldest = self.slow_start.window_start(now);
         if let Some(replica) = self.context.replicas.get_mut(id) {
             replica.record_part(now, oldest);
         }
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -38,7 +38,7 @@
         let is_unreachable = ended.outcome == Unreachable;
         let is_missed = ended.outcome == Rejected || is_unreachable && is_capacity_lost;
         if part.is_answered || is_missed {
-            self.cutoff.judge(self.context.now, part, is_missed);
+            self.cutoff.record(self.context.now, part, is_missed);
         }
     }
 
@@ -55,10 +55,11 @@
     }
 
     pub(super) fn on_response(&mut self, id: ReplicaId) {
+        let now = self.context.now;
         let replica = self.context.replicas.get_mut(id);
         let Some(replica) = replica else { return };
         for connection in replica.record_response(self.context.now) {
-            self.record_connection_loss(connection, true);
+            self.renewal.record(now, connection, true, &mut self.output);
         }
     }
 
@@ -111,11 +112,12 @@
     }
 
     fn record_success(&mut self, attempt: InFlightAttempt, latency: f64) {
-        self.results
-            .increment(self.context.now, self.slow_start_memory());
+        let now = self.context.now;
+        self.slow_start.record_result(now);
         self.context.latency.record(latency);
         self.on_response(attempt.replica);
-        self.record_connection_loss(attempt.connection, false);
+        self.renewal
+            .record(now, attempt.connection, false, &mut self.output);
     }
 
     /// Silence, whatever its cause: the replica is ejected, longer each time.
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -28,7 +28,7 @@
             .replicas
             .holders(&self.context.settings, part.shard)
         {
-            if part.is_in_flight_at(id) || !self.has_allowance(replica) {
+            if part.is_in_flight_at(id) || !self.slow_start.has_allowance(replica, &self.context) {
                 continue;
             }
             let was_tried = u32::from(part.was_sent_to(id));
