--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -10,7 +10,7 @@
 
 impl Policy {
     pub(super) fn on_query_received(&mut self, received: &QueryReceived) {
-        self.received.push(self.context.now, ());
+        self.retries.record_received(self.context.now);
         let class = self
             .context
             .settings
@@ -30,7 +30,7 @@
     }
 
     pub(super) fn on_part_received(&mut self, received: &PartReceived) -> Option<RequestId> {
-        self.received.push(self.context.now, ());
+        self.retries.record_received(self.context.now);
         self.queries
             .insert_part(received.group, PartState::new(received))
     }
--- /dev/null
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -0,0 +1,215 @@
+//! The end of an attempt, and every measurement that it changes.
+
+use super::context::Context;
+use super::{tuning, Policy};
+use crate::api::{AttemptEnded, AttemptOutcome, HealthCheckEnded, Nanos, ReplicaId};
+use crate::state::{AttemptId, ConnectionUse, InFlightAttempt, ReplicaRecord};
+use AttemptOutcome::{
+    Cancelled, ConnectionLost, Error, NotSent, Rejected, Success, TimedOut, Unreachable,
+};
+
+/// The end of an attempt or of a health check, as its replica's measurements see it.
+#[derive(Debug)]
+pub struct AttemptEnd {
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// The replica that it was sent to.
+    pub replica: ReplicaId,
+    /// The connection that it was sent on.
+    pub connection: ConnectionUse,
+    /// When it was sent.
+    pub sent: Nanos,
+    /// When it ended.
+    pub ended: Nanos,
+    /// The time between the two, ns.
+    pub latency: f64,
+    /// The replica failed: an attempt that we cancelled counts if it was overdue and the replica
+    /// had not responded since it was sent.
+    is_failure: bool,
+    /// The replica's smoothed latency so far, ns.
+    smoothed_latency: f64,
+    /// The sample for the smoothed latency, ns. A failure counts as much as a late answer.
+    latency_sample: f64,
+    /// How long the replica counts as saturated if it rejected the attempt.
+    saturation_time: Nanos,
+}
+
+impl AttemptEnd {
+    /// The end of an attempt now, by what was known of its replica until then.
+    fn new(
+        attempt: InFlightAttempt,
+        outcome: AttemptOutcome,
+        replica: &ReplicaRecord,
+        context: &Context,
+    ) -> AttemptEnd {
+        let now = context.now;
+        let latency = (now - attempt.sent) as f64;
+        let smoothed_latency = context.latency.smoothed_latency(now, replica);
+        let known_latency = smoothed_latency.max(replica.time_without_response(now) as f64);
+        let late = tuning::LATE_SHARE * context.objective;
+        let latency_sample = match outcome {
+            Success => latency,
+            NotSent => known_latency,
+            Cancelled => latency.max(known_latency),
+            _ => known_latency.max(late),
+        };
+        let hedging_delay = context.latency.hedging_delay(context.objective);
+        let is_overdue = latency > hedging_delay && replica.last_response <= attempt.sent;
+        AttemptEnd {
+            outcome,
+            replica: attempt.replica,
+            connection: attempt.connection,
+            sent: attempt.sent,
+            ended: now,
+            latency,
+            is_failure: outcome != Success && (outcome != Cancelled || is_overdue),
+            smoothed_latency,
+            latency_sample,
+            saturation_time: (tuning::SATURATION_SHARE * context.objective) as Nanos,
+        }
+    }
+
+    /// Whether a result was returned.
+    pub fn is_success(&self) -> bool {
+        self.outcome == Success
+    }
+
+    /// Whether the replica responded, with or without a result.
+    fn is_response(&self) -> bool {
+        matches!(self.outcome, Success | Error | Rejected)
+    }
+
+    /// Whether the replica did not respond, or not in time.
+    fn is_without_response(&self) -> bool {
+        matches!(self.outcome, Unreachable | ConnectionLost | TimedOut)
+    }
+
+    /// A replica that rejected an attempt is saturated.
+    fn update_saturation(&self, replica: &mut ReplicaRecord) {
+        if self.outcome == Rejected {
+            replica.saturated_until = self.ended + self.saturation_time;
+        }
+    }
+
+    fn update_result_interval(&self, replica: &mut ReplicaRecord) {
+        if self.is_success() {
+            replica.record_result(self.sent, self.ended, tuning::LATENCY_WEIGHT);
+        }
+    }
+
+    fn update_latency(&self, replica: &mut ReplicaRecord) {
+        if self.outcome == NotSent {
+            return;
+        }
+        let weight = if self.is_failure {
+            tuning::FAILURE_LATENCY_WEIGHT
+        } else {
+            tuning::LATENCY_WEIGHT
+        };
+        let (smoothed, sample) = (self.smoothed_latency, self.latency_sample);
+        replica.record_latency(self.ended, smoothed, sample, weight);
+    }
+
+    /// Without a response, the connection may be lost.
+    fn update_lost_connections(&self, replica: &mut ReplicaRecord) {
+        if self.is_failure && !matches!(self.outcome, Error | Rejected | NotSent) {
+            replica.lost_connections.push(self.connection);
+        }
+    }
+
+    /// Returns the connections of the attempts that were lost before this response.
+    fn update_last_response(&self, replica: &mut ReplicaRecord) -> Vec<ConnectionUse> {
+        if self.is_response() {
+            replica.record_response(self.ended)
+        } else {
+            Vec::new()
+        }
+    }
+}
+
+impl Policy {
+    pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded) {
+        let id = AttemptId {
+            part: ended.part,
+            number: ended.attempt,
+        };
+        let Some(attempt) = self.in_flight.remove(&id) else {
+            return;
+        };
+        let is_missed = self.is_missed(&attempt, ended.outcome);
+        self.record_end_at_replica(attempt, ended.outcome);
+        self.record_end_at_part(id, ended.outcome, is_missed);
+    }
+
+    pub(super) fn on_health_check_ended(&mut self, ended: &HealthCheckEnded) {
+        match ended.outcome {
+            Success => self.on_response(ended.replica),
+            TimedOut | Unreachable | ConnectionLost => {
+                let sent = self.context.now.saturating_sub(ended.latency);
+                let connection = ConnectionUse::RecentlyUsed;
+                let check = InFlightAttempt::new(ended.replica, sent, connection);
+                self.record_end_at_replica(check, ended.outcome);
+            }
+            Error | Rejected | Cancelled | NotSent => {}
+        }
+    }
+
+    /// Handles a response that is no end of an attempt.
+    pub(super) fn on_response(&mut self, id: ReplicaId) {
+        let now = self.context.now;
+        if let Some(replica) = self.context.replicas.get_mut(id) {
+            let lost = replica.record_response(now);
+            self.renewal.record_losses(now, lost, &mut self.output);
+        }
+    }
+
+    /// Whether the attempt shows missing capacity. A failed connection does where the replica
+    /// responded lately or attempts are limited by a budget; elsewhere it may just be slow, and
+    /// dropping light parts would not help.
+    fn is_missed(&self, attempt: &InFlightAttempt, outcome: AttemptOutcome) -> bool {
+        let Context { now, latency, .. } = &self.context;
+        let replica = self.context.replicas.get(attempt.replica);
+        let has_responded =
+            replica.is_some_and(|replica| latency.staleness(*now, replica.last_response) < 1.0);
+        let is_capacity_lost = has_responded || self.context.settings.retry_budget.is_some();
+        outcome == Rejected || outcome == Unreachable && is_capacity_lost
+    }
+
+    /// All that the end of an attempt changes about its replica and the measurements of replicas.
+    fn record_end_at_replica(&mut self, attempt: InFlightAttempt, outcome: AttemptOutcome) {
+        let Some(replica) = self.context.replicas.get(attempt.replica) else {
+            return;
+        };
+        let end = AttemptEnd::new(attempt, outcome, replica, &self.context);
+        let Some(replica) = self.context.replicas.get_mut(attempt.replica) else {
+            return;
+        };
+        end.update_saturation(replica);
+        end.update_result_interval(replica);
+        replica.outstanding.remove_part(end.sent);
+        end.update_latency(replica);
+        end.update_lost_connections(replica);
+        let lost = end.update_last_response(replica);
+        self.slow_start.on_attempt_end(&end);
+        self.context.latency.on_attempt_end(&end);
+        self.renewal.on_attempt_end(&end, lost, &mut self.output);
+        if end.is_without_response() {
+            let replica = (end.replica, replica);
+            self.outliers
+                .on_no_response(end.ended, replica, end.sent, &mut self.output);
+        }
+    }
+
+    /// All that the end of an attempt changes about its part and the measurements of parts.
+    fn record_end_at_part(&mut self, id: AttemptId, outcome: AttemptOutcome, is_missed: bool) {
+        let Some(part) = self.queries.part_mut(id.part) else {
+            return;
+        };
+        if let Some(winner) = part.end_attempt(id.number, outcome) {
+            self.hedging.record_race(winner);
+        }
+        if part.is_answered || is_missed {
+            self.cutoff.record(self.context.now, part, is_missed);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/policy/attempts.rs
@@ -0,0 +1,183 @@
+//! Sending attempts: the first one of a part, retries of failed ones and hedged requests.
+
+use super::replica_selection::ReplicaSelector;
+use super::{tuning, Policy};
+use crate::api::{Action, ReplicaId};
+use crate::state::{
+    AttemptId, AttemptRecord, ConnectionUse, InFlightAttempt, PartState, QueryState,
+};
+
+impl Policy {
+    /// Records parts of the running step that are late, cancels attempts that are no longer needed,
+    /// and sends retries and hedged requests.
+    pub(super) fn advance_attempts(&mut self, query: &mut QueryState) {
+        let now = self.context.now;
+        let counts = query.step_counts();
+        let is_mostly_answered = 2 * counts.answered >= counts.wanted;
+        let step_objective = self.context.settings.step_objective(query.class);
+        let late_after = tuning::LATE_SHARE * step_objective;
+        let is_late = (now - query.step_started) as f64 > late_after;
+        for index in 0..query.parts.len() {
+            let part = &mut query.parts[index];
+            if part.is_answered {
+                let allowed = self.context.settings.cancellation_allowed;
+                part.cancel_attempts(allowed, self.output.actions());
+            }
+            if part.is_answered || part.is_dropped || part.step != query.step {
+                continue;
+            }
+            if is_late {
+                self.cutoff.record(now, part, true);
+            }
+            if !part.has_attempt_in_flight() {
+                self.retry(query, index);
+            } else if self.should_hedge(query, &query.parts[index], is_mostly_answered) {
+                self.hedge(query, index);
+            }
+        }
+    }
+
+    /// Sends a part to the best replica that may have it; false where there is none.
+    pub(super) fn send_attempt(&mut self, query: &mut QueryState, index: usize) -> bool {
+        let class = query.class;
+        let until = if self.may_be_late(class) {
+            query.deadline
+        } else {
+            query.objective
+        };
+        let part = &mut query.parts[index];
+        if until <= self.context.now || !self.may_attempt(part, class) {
+            return false;
+        }
+        let Some(replica) = self.select_replica(part) else {
+            return false;
+        };
+        let latest_start = part.idempotency_expiry(self.context.class(class));
+        self.record_attempt(part, replica);
+        self.output.push(Action::SendAttempt {
+            part: part.id,
+            replica,
+            until,
+            latest_start,
+        });
+        true
+    }
+
+    /// Sends a failed part again. The first retry is sent at once; later ones wait, so that a brief
+    /// outage does not use up all attempts.
+    fn retry(&mut self, query: &mut QueryState, index: usize) {
+        let attempts = &query.parts[index].attempts;
+        let now = self.context.now;
+        let age = attempts.last().map_or(0, |last| now - last.sent) as f64;
+        let step_objective = self.context.settings.step_objective(query.class);
+        let wait = tuning::MIN_WAIT_SHARE * step_objective;
+        if attempts.len() < 2 || age > wait {
+            self.send_attempt(query, index);
+        }
+    }
+
+    /// Whether the last attempt is slow, this is confirmed by the rest of the query or by a replica
+    /// that has not responded since, and another replica is likely to be faster.
+    fn should_hedge(
+        &mut self,
+        query: &QueryState,
+        part: &PartState,
+        is_mostly_answered: bool,
+    ) -> bool {
+        let Some(last) = part.attempts.last() else {
+            return false;
+        };
+        let now = self.context.now;
+        let age = (now - last.sent) as f64;
+        let step_objective = self.context.settings.step_objective(query.class);
+        let is_slow = age > self.context.latency.hedging_delay(step_objective);
+        let replica = self.context.replicas.get(last.replica);
+        let is_silent = replica.is_none_or(|replica| replica.last_response <= last.sent);
+        if !is_slow || !(is_mostly_answered || is_silent) {
+            return false;
+        }
+        let selected = self.select_replica(part);
+        let Some(other) = selected.and_then(|id| self.context.replicas.get(id)) else {
+            return false;
+        };
+        let calls = other.open_calls(now, self.context.settings.parts_per_call());
+        let expected = self.context.latency.smoothed_latency(now, other) * (calls + 1.0);
+        let open_parts = self.queries.part_count();
+        expected < age && self.hedging.allows_hedge(&self.retries, open_parts)
+    }
+
+    /// Sends a hedged request. The replica of the attempt before it did not respond in time.
+    fn hedge(&mut self, query: &mut QueryState, index: usize) {
+        let Some(last) = query.parts[index].attempts.last().cloned() else {
+            return;
+        };
+        if !self.send_attempt(query, index) {
+            return;
+        }
+        let now = self.context.now;
+        if let Some(replica) = self.context.replicas.get_mut(last.replica) {
+            let replica = (last.replica, replica);
+            self.outliers
+                .on_no_response(now, replica, last.sent, &mut self.output);
+        }
+    }
+
+    /// Whether one more attempt, beside those in flight, is allowed and within the budget.
+    fn may_attempt(&self, part: &PartState, class: usize) -> bool {
+        let now = self.context.now;
+        let class = self.context.class(class);
+        if part.attempts.is_empty() {
+            return self.retries.may_repeat(part, class, now);
+        }
+        let hedging_allowed = self.context.settings.hedging_allowed;
+        let is_allowed = hedging_allowed || !part.has_attempt_in_flight();
+        is_allowed
+            && self.retries.may_repeat(part, class, now)
+            && self.retries.has_budget(class, now)
+    }
+
+    fn select_replica(&mut self, part: &PartState) -> Option<ReplicaId> {
+        let selector = ReplicaSelector::new(&self.context, &self.slow_start);
+        selector.select(part, &mut self.random)
+    }
+
+    /// Records an attempt at a part that is sent now.
+    fn record_attempt(&mut self, part: &mut PartState, id: ReplicaId) {
+        let now = self.context.now;
+        let connection = self.connection_for(id);
+        if !part.attempts.is_empty() {
+            self.retries.record_retry(now);
+        }
+        let attempt = AttemptId {
+            part: part.id,
+            number: part.attempts.len() as u8,
+        };
+        let in_flight = InFlightAttempt::new(id, now, connection);
+        self.in_flight.insert(attempt, in_flight);
+        part.attempts.push(AttemptRecord::new(id, now));
+        let oldest = self.slow_start.window_start(now);
+        if let Some(replica) = self.context.replicas.get_mut(id) {
+            replica.record_part(now, oldest);
+        }
+    }
+
+    /// The connection for an attempt that is sent now. Parts of one call share it; if it is to be
+    /// renewed, idle connections are closed first.
+    fn connection_for(&mut self, id: ReplicaId) -> ConnectionUse {
+        let now = self.context.now;
+        let Some(replica) = self.context.replicas.get_mut(id) else {
+            return ConnectionUse::RecentlyUsed;
+        };
+        if !self.renewal.is_enabled() {
+            return ConnectionUse::RecentlyUsed;
+        }
+        if !replica.outstanding.has_call_of(now) {
+            replica.connection = self.renewal.connection_for_call(now, replica);
+            if replica.connection == ConnectionUse::Renewed {
+                let close = Action::CloseIdleConnections { replica: id };
+                self.output.push(close);
+            }
+        }
+        replica.connection
+    }
+}
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -4,6 +4,7 @@
 //! answer rests on the class's minimum coverage, and is marked complete only if it is; a rejection
 //! says that trying again is harmless, so it is made only where that is so.
 
+use super::context::Context;
 use super::{tuning, Policy};
 use crate::api::{Action, Nanos, RequestId};
 use crate::state::{PartState, QueryState, StepSums};
@@ -60,12 +61,17 @@
         if part.has_attempt_in_flight() {
             return true;
         }
-        let has_budget = part.attempts.is_empty() || self.has_budget(query.class, query.objective);
-        let mut holders = self
-            .context
-            .replicas
-            .holders(&self.context.settings, part.shard);
-        has_budget && self.may_repeat(part, query.class) && holders.next().is_some()
+        let Context {
+            now,
+            settings,
+            replicas,
+            ..
+        } = &self.context;
+        let class = self.context.class(query.class);
+        let has_budget =
+            part.attempts.is_empty() || self.retries.has_budget(class, query.objective);
+        let mut holders = replicas.holders(settings, part.shard);
+        has_budget && self.retries.may_repeat(part, class, *now) && holders.next().is_some()
     }
 
     /// Whether a sufficient answer goes out: nothing more can come in, or it is just before the
--- a/crates/policy/src/policy/connection_renewal.rs
+++ b/crates/policy/src/policy/connection_renewal.rs
@@ -5,6 +5,7 @@
 //! on others. It ends where it does not help: an unresponsive replica, a network partition or a
 //! slow network affects all connections alike.
 
+use super::attempt_end::AttemptEnd;
 use super::output::BatchOutput;
 use super::tuning;
 use crate::api::{Nanos, PolicySettings};
@@ -64,9 +65,34 @@
         self.long_idle_time > 0
     }
 
-    /// Counts an attempt on a connection. A loss is counted only after the replica has responded
+    /// Counts the connection of an attempt that was answered, and those lost before.
+    pub fn on_attempt_end(
+        &mut self,
+        end: &AttemptEnd,
+        lost: Vec<ConnectionUse>,
+        output: &mut BatchOutput,
+    ) {
+        self.record_losses(end.ended, lost, output);
+        if end.is_success() {
+            self.record(end.ended, end.connection, false, output);
+        }
+    }
+
+    /// Counts connections on which attempts were lost. Called only after the replica has responded
     /// again: until then the replica itself may be at fault.
-    pub fn record(
+    pub fn record_losses(
+        &mut self,
+        now: Nanos,
+        lost: Vec<ConnectionUse>,
+        output: &mut BatchOutput,
+    ) {
+        for connection in lost {
+            self.record(now, connection, true, output);
+        }
+    }
+
+    /// Counts an attempt on a connection, and starts or ends renewal.
+    fn record(
         &mut self,
         now: Nanos,
         connection: ConnectionUse,
--- a/crates/policy/src/policy/fleet_latency.rs
+++ b/crates/policy/src/policy/fleet_latency.rs
@@ -1,5 +1,6 @@
 //! Latency over all replicas: what a replica is expected to take, and when an answer is overdue.
 
+use super::attempt_end::AttemptEnd;
 use super::tuning;
 use crate::api::Nanos;
 use crate::state::ReplicaRecord;
@@ -21,9 +22,11 @@
         }
     }
 
-    /// Adds the latency of a result, ns.
-    pub fn record(&mut self, latency: f64) {
-        self.samples.add(latency, tuning::FLEET_WEIGHT);
+    /// Adds the latency of a result.
+    pub fn on_attempt_end(&mut self, end: &AttemptEnd) {
+        if end.is_success() {
+            self.samples.add(end.latency, tuning::FLEET_WEIGHT);
+        }
     }
 
     /// The mean latency; none before the first sample.
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -4,6 +4,8 @@
 //! Invariant: the same settings, seed and batches of events give the same actions.
 
 mod admission;
+mod attempt_end;
+mod attempts;
 mod completion;
 mod connection_renewal;
 mod context;
@@ -19,20 +21,19 @@
 mod timer;
 mod tuning;
 
-use crate::api::ReplicaId;
 use crate::api::{
     Action, EndpointUpdateKind, Event, Nanos, PolicySettings, ReplicaEntry, RequestId,
 };
-use crate::state::{
-    AttemptId, AttemptRecord, ConnectionUse, HealthCheckState, InFlightAttempt, OpenQueries,
-    PartState, QueryState,
-};
-use crate::stats::{Ewma, MajorityVote, SlidingWindow, TokenBucket};
+use crate::state::{AttemptId, InFlightAttempt, OpenQueries, QueryState};
+use crate::stats::{Ewma, MajorityVote, TokenBucket};
 use connection_renewal::ConnectionRenewal;
 use context::Context;
 use cutoff::WeightCutoff;
 use endpoint_poller::EndpointPoller;
+use hedging::HedgingBudget;
+use outlier::OutlierDetector;
 use output::BatchOutput;
+use retry::RetryLimiter;
 use slow_start::SlowStart;
 use std::collections::{BTreeMap, BTreeSet};
 use timer::BatchTimer;
@@ -47,15 +48,14 @@
     /// The attempts that have not ended.
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
     renewal: ConnectionRenewal,
-    hedge_loss_rate: f64,
+    hedging: HedgingBudget,
     cutoff: WeightCutoff,
-    received: SlidingWindow<()>,
-    retries: SlidingWindow<()>,
+    retries: RetryLimiter,
     slow_start: SlowStart,
     client_timeouts: BTreeMap<(u16, u32), MajorityVote>,
     mean_value_per_part: Ewma,
     permits: BTreeMap<usize, TokenBucket>,
-    health_checks: HealthCheckState,
+    outliers: OutlierDetector,
     endpoint_poller: EndpointPoller,
     timer: BatchTimer,
     /// The generator of every random choice.
@@ -75,15 +75,14 @@
             queries: OpenQueries::default(),
             in_flight: BTreeMap::new(),
             renewal: ConnectionRenewal::new(settings, context.objective),
-            hedge_loss_rate: 0.0,
+            hedging: HedgingBudget::default(),
             cutoff: WeightCutoff::new(context.objective),
-            received: SlidingWindow::default(),
-            retries: SlidingWindow::default(),
+            retries: RetryLimiter::new(settings),
             slow_start: SlowStart::new(settings, seed),
             client_timeouts: BTreeMap::new(),
             mean_value_per_part: Ewma::default(),
             permits: BTreeMap::new(),
-            health_checks: HealthCheckState::default(),
+            outliers: OutlierDetector::new(settings.health_checks_allowed, context.objective),
             random: fastrand::Rng::with_seed(seed),
             output: BatchOutput::default(),
             context,
@@ -99,7 +98,7 @@
         for event in events {
             self.on_event(event, &mut new_queries);
         }
-        self.expire_windows(tuning::RECENT_WINDOW);
+        self.retries.expire(now);
         self.cutoff.update(now, &mut self.output);
         for id in new_queries {
             self.start_step(id);
@@ -107,7 +106,7 @@
         for id in self.queries.ids() {
             self.advance(id);
         }
-        self.check_silent_replicas();
+        self.outliers.check_health(&self.context, &mut self.output);
         let timer = self.set_timer();
         self.output.move_to(actions, timer);
     }
@@ -116,7 +115,7 @@
     pub fn retained_records(&self) -> usize {
         self.queries.record_count()
             + self.in_flight.len()
-            + self.received.len()
+            + self.retries.recently_received()
             + self.client_timeouts.len()
             + self.context.replicas.len()
     }
@@ -177,57 +176,10 @@
         self.timer.set(now, next)
     }
 
-    /// Drops what is older than the window of recent retries.
-    fn expire_windows(&mut self, recent: Nanos) {
-        let budget = self.context.settings.retry_budget.as_ref();
-        let recent = budget.map_or(0, |budget| budget.window).max(recent);
-        let oldest = self.context.now.saturating_sub(recent);
-        self.received.expire(oldest);
-        self.retries.expire(oldest);
-    }
-
     /// Forgets a query that has ended, and cancels its attempts.
     fn discard(&mut self, mut query: QueryState) {
         let allowed = self.context.settings.cancellation_allowed;
         query.cancel_attempts(allowed, self.output.actions());
         self.queries.forget(&query);
     }
-
-    /// The connection for an attempt that is sent now.
-    fn connection_for(&mut self, id: ReplicaId) -> ConnectionUse {
-        let now = self.context.now;
-        let Some(replica) = self.context.replicas.get_mut(id) else {
-            return ConnectionUse::RecentlyUsed;
-        };
-        if !self.renewal.is_enabled() {
-            return ConnectionUse::RecentlyUsed;
-        }
-        if !replica.outstanding.has_call_of(now) {
-            replica.connection = self.renewal.connection_for_call(now, replica);
-            if replica.connection == ConnectionUse::Renewed {
-                let close = Action::CloseIdleConnections { replica: id };
-                self.output.push(close);
-            }
-        }
-        replica.connection
-    }
-
-    /// Records an attempt at a part that is sent now, on this connection.
-    fn record_attempt(&mut self, part: &mut PartState, id: ReplicaId, connection: ConnectionUse) {
-        let now = self.context.now;
-        if !part.attempts.is_empty() {
-            self.retries.push(now, ());
-        }
-        let attempt = AttemptId {
-            part: part.id,
-            number: part.attempts.len() as u8,
-        };
-        self.in_flight
-            .insert(attempt, InFlightAttempt::new(id, now, connection));
-        part.attempts.push(AttemptRecord::new(id, now));
-        let oldest = self.slow_start.window_start(now);
-        if let Some(replica) = self.context.replicas.get_mut(id) {
-            replica.record_part(now, oldest);
-        }
-    }
 }
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -4,10 +4,13 @@
 //! parts plus one, counted by call where parts share calls; latency starts at a tenth of the aim,
 //! unheard servers count as average."
 //!
-//! Invariant: replicas to avoid come last, and those that the part has tried after others; nothing
-//! goes to one that is not ready or has no slow-start allowance left.
+//! Invariant: replicas to avoid come last, and those that the part was sent to after others;
+//! nothing goes to one that is not ready or has no slow-start allowance left.
 
-use super::{tuning, Policy};
+use super::context::Context;
+use super::outlier::is_avoided;
+use super::slow_start::SlowStart;
+use super::tuning;
 use crate::api::ReplicaId;
 use crate::state::{PartState, ReplicaRecord};
 
@@ -20,23 +23,37 @@
     tie_breaker: u32,
 }
 
-impl Policy {
-    pub(super) fn select_replica(&mut self, part: &PartState) -> Option<ReplicaId> {
+/// Selects replicas in the running batch.
+pub struct ReplicaSelector<'a> {
+    context: &'a Context,
+    slow_start: &'a SlowStart,
+}
+
+impl<'a> ReplicaSelector<'a> {
+    /// A selector for the state as it is now.
+    pub fn new(context: &'a Context, slow_start: &'a SlowStart) -> ReplicaSelector<'a> {
+        ReplicaSelector {
+            context,
+            slow_start,
+        }
+    }
+
+    /// The best replica for one more attempt at the part; none where no replica may have it.
+    pub fn select(&self, part: &PartState, random: &mut fastrand::Rng) -> Option<ReplicaId> {
+        let context = self.context;
+        let max_silence = context.latency.hedging_delay(context.objective);
         let mut best: Option<(Rank, ReplicaId)> = None;
-        for (id, replica) in self
-            .context
-            .replicas
-            .holders(&self.context.settings, part.shard)
-        {
-            if part.is_in_flight_at(id) || !self.slow_start.has_allowance(replica, &self.context) {
+        for (id, replica) in context.replicas.holders(&context.settings, part.shard) {
+            let has_allowance = || self.slow_start.has_allowance(replica, context);
+            if part.is_in_flight_at(id) || !has_allowance() {
                 continue;
             }
-            let was_tried = u32::from(part.was_sent_to(id));
+            let is_avoided = is_avoided(replica, context.now, max_silence);
             let rank = Rank {
-                avoidance: 2 * u32::from(self.is_avoided(replica)) + was_tried,
+                avoidance: 2 * u32::from(is_avoided) + u32::from(part.was_sent_to(id)),
                 cost: self.cost(replica),
-                opens_call: !replica.outstanding.has_call_of(self.context.now),
-                tie_breaker: self.random.u32(..),
+                opens_call: !replica.outstanding.has_call_of(context.now),
+                tie_breaker: random.u32(..),
             };
             if best.is_none_or(|(least, _)| rank < least) {
                 best = Some((rank, id));
@@ -45,17 +62,16 @@
         best.map(|(_, id)| id)
     }
 
-    /// The age of the oldest call counts as latency: a silent replica is slow now, not later.
+    /// The expected latency of one more part, with a penalty for another zone, ns. The time without
+    /// a response counts as latency, so that an unresponsive replica is slow at once.
     fn cost(&self, replica: &ReplicaRecord) -> f64 {
-        let is_remote = f64::from(u8::from(replica.zone != self.context.settings.zone));
-        let price = self.context.settings.cross_zone_price * is_remote;
-        let time_without_response = replica.time_without_response(self.context.now) as f64;
-        let latency = self
-            .context
-            .latency
-            .smoothed_latency(self.context.now, replica)
-            .max(time_without_response);
-        let calls = replica.open_calls(self.context.now, self.context.settings.parts_per_call());
+        let Context { now, settings, .. } = self.context;
+        let is_remote = f64::from(u8::from(replica.zone != settings.zone));
+        let price = settings.cross_zone_price * is_remote;
+        let silence = replica.time_without_response(*now) as f64;
+        let smoothed = self.context.latency.smoothed_latency(*now, replica);
+        let latency = smoothed.max(silence);
+        let calls = replica.open_calls(*now, settings.parts_per_call());
         let queue = latency * (calls + 1.0);
         queue + tuning::CROSS_ZONE_PENALTY * price * self.context.objective
     }
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -6,6 +6,7 @@
 //! one part each would still overload it, so an allowance below one is rounded up or down at
 //! random, with a seed of its own in each window.
 
+use super::attempt_end::AttemptEnd;
 use super::context::Context;
 use super::tuning;
 use crate::api::{Nanos, PolicySettings};
@@ -68,8 +69,10 @@
     }
 
     /// Counts a result of any replica.
-    pub fn record_result(&mut self, now: Nanos) {
-        self.results.increment(now, self.memory);
+    pub fn on_attempt_end(&mut self, end: &AttemptEnd) {
+        if end.is_success() {
+            self.results.increment(end.ended, self.memory);
+        }
     }
 
     /// Whether the replica may be sent one more part now.
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -9,14 +9,3 @@
 pub use query::{QueryState, StepSums, REACHABLE_TOLERANCE};
 pub use query_table::OpenQueries;
 pub use replica::{ConnectionUse, KnownReplicas, ReplicaRecord};
-
-use crate::api::Nanos;
-
-/// Rounds of health checks.
-#[derive(Debug, Default)]
-pub struct HealthCheckState {
-    /// A replica has fallen silent since the last round.
-    pub outlier_found: bool,
-    /// When the last round was.
-    pub last_round: Nanos,
-}
