--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -10,7 +10,7 @@
 
 impl Policy {
     pub(super) fn on_query_received(&mut self, received: &QueryReceived) {
-        self.retries.record_received(self.context.now);
+        self.retry_limiter.record_received(self.context.now);
         let class = self
             .context
             .settings
@@ -30,7 +30,7 @@
     }
 
     pub(super) fn on_part_received(&mut self, received: &PartReceived) -> Option<RequestId> {
-        self.retries.record_received(self.context.now);
+        self.retry_limiter.record_received(self.context.now);
         self.queries
             .insert_part(received.group, PartState::new(received))
     }
@@ -118,9 +118,9 @@
             .context
             .replicas
             .holders(&self.context.settings, part.shard);
-        let free = holders.filter(|(_, replica)| self.context.now >= replica.saturated_until);
-        let waits = free
-            .map(|(_, replica)| replica.expected_wait(self.context.now, self.context.objective));
+        let free = holders.filter(|replica| self.context.now >= replica.saturated_until);
+        let waits =
+            free.map(|replica| replica.expected_wait(self.context.now, self.context.objective));
         waits.fold(f64::INFINITY, f64::min)
     }
 }
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -3,28 +3,17 @@
 use super::context::Context;
 use super::{tuning, Policy};
 use crate::api::{AttemptEnded, AttemptOutcome, HealthCheckEnded, Nanos, ReplicaId};
-use crate::state::{AttemptId, ConnectionUse, InFlightAttempt, ReplicaRecord};
+use crate::state::{AttemptEnd, AttemptId, ConnectionUse, InFlightAttempt, ReplicaRecord};
 use AttemptOutcome::{
     Cancelled, ConnectionLost, Error, NotSent, Rejected, Success, TimedOut, Unreachable,
 };
 
-/// The end of an attempt or of a health check, as its replica's measurements see it.
+/// What the end of an attempt says about its replica.
 #[derive(Debug)]
-pub struct AttemptEnd {
-    /// How it ended.
-    pub outcome: AttemptOutcome,
-    /// The replica that it was sent to.
-    pub replica: ReplicaId,
-    /// The connection that it was sent on.
-    pub connection: ConnectionUse,
-    /// When it was sent.
-    pub sent: Nanos,
-    /// When it ended.
-    pub ended: Nanos,
-    /// The time between the two, ns.
-    pub latency: f64,
-    /// The replica failed: an attempt that we cancelled counts if it was overdue and the replica
-    /// had not responded since it was sent.
+struct ReplicaUpdate {
+    end: AttemptEnd,
+    /// The replica failed. An attempt that we cancelled counts as a failure if it was overdue and
+    /// the replica had not responded since it was sent.
     is_failure: bool,
     /// The replica's smoothed latency so far, ns.
     smoothed_latency: f64,
@@ -34,71 +23,45 @@
     saturation_time: Nanos,
 }
 
-impl AttemptEnd {
-    /// The end of an attempt now, by what was known of its replica until then.
-    fn new(
-        attempt: InFlightAttempt,
-        outcome: AttemptOutcome,
-        replica: &ReplicaRecord,
-        context: &Context,
-    ) -> AttemptEnd {
+impl ReplicaUpdate {
+    /// Judges the end of an attempt by what was known of the replica before it.
+    fn new(end: AttemptEnd, replica: &ReplicaRecord, context: &Context) -> ReplicaUpdate {
         let now = context.now;
-        let latency = (now - attempt.sent) as f64;
+        let latency = end.latency();
         let smoothed_latency = context.latency.smoothed_latency(now, replica);
         let known_latency = smoothed_latency.max(replica.time_without_response(now) as f64);
-        let late = tuning::LATE_SHARE * context.objective;
-        let latency_sample = match outcome {
+        let latency_sample = match end.outcome {
             Success => latency,
             NotSent => known_latency,
             Cancelled => latency.max(known_latency),
-            _ => known_latency.max(late),
+            _ => known_latency.max(tuning::LATE_SHARE * context.objective),
         };
         let hedging_delay = context.latency.hedging_delay(context.objective);
-        let is_overdue = latency > hedging_delay && replica.last_response <= attempt.sent;
-        AttemptEnd {
-            outcome,
-            replica: attempt.replica,
-            connection: attempt.connection,
-            sent: attempt.sent,
-            ended: now,
-            latency,
-            is_failure: outcome != Success && (outcome != Cancelled || is_overdue),
+        let is_overdue = latency > hedging_delay && replica.last_response <= end.sent;
+        ReplicaUpdate {
+            end,
+            is_failure: end.outcome != Success && (end.outcome != Cancelled || is_overdue),
             smoothed_latency,
             latency_sample,
             saturation_time: (tuning::SATURATION_SHARE * context.objective) as Nanos,
         }
     }
 
-    /// Whether a result was returned.
-    pub fn is_success(&self) -> bool {
-        self.outcome == Success
-    }
-
-    /// Whether the replica responded, with or without a result.
-    fn is_response(&self) -> bool {
-        matches!(self.outcome, Success | Error | Rejected)
-    }
-
-    /// Whether the replica did not respond, or not in time.
-    fn is_without_response(&self) -> bool {
-        matches!(self.outcome, Unreachable | ConnectionLost | TimedOut)
-    }
-
-    /// A replica that rejected an attempt is saturated.
-    fn update_saturation(&self, replica: &mut ReplicaRecord) {
-        if self.outcome == Rejected {
-            replica.saturated_until = self.ended + self.saturation_time;
+    /// A replica that rejected an attempt counts as saturated.
+    fn mark_saturated(&self, replica: &mut ReplicaRecord) {
+        if self.end.outcome == Rejected {
+            replica.saturated_until = self.end.ended + self.saturation_time;
         }
     }
 
-    fn update_result_interval(&self, replica: &mut ReplicaRecord) {
-        if self.is_success() {
-            replica.record_result(self.sent, self.ended, tuning::LATENCY_WEIGHT);
+    fn record_result_interval(&self, replica: &mut ReplicaRecord) {
+        if self.end.is_success() {
+            replica.record_result(self.end.sent, self.end.ended, tuning::LATENCY_WEIGHT);
         }
     }
 
-    fn update_latency(&self, replica: &mut ReplicaRecord) {
-        if self.outcome == NotSent {
+    fn record_latency(&self, replica: &mut ReplicaRecord) {
+        if self.end.outcome == NotSent {
             return;
         }
         let weight = if self.is_failure {
@@ -107,20 +70,20 @@
             tuning::LATENCY_WEIGHT
         };
         let (smoothed, sample) = (self.smoothed_latency, self.latency_sample);
-        replica.record_latency(self.ended, smoothed, sample, weight);
+        replica.record_latency(self.end.ended, smoothed, sample, weight);
     }
 
     /// Without a response, the connection may be lost.
-    fn update_lost_connections(&self, replica: &mut ReplicaRecord) {
-        if self.is_failure && !matches!(self.outcome, Error | Rejected | NotSent) {
-            replica.lost_connections.push(self.connection);
+    fn record_lost_connection(&self, replica: &mut ReplicaRecord) {
+        if self.is_failure && !matches!(self.end.outcome, Error | Rejected | NotSent) {
+            replica.lost_connections.push(self.end.connection);
         }
     }
 
-    /// Returns the connections of the attempts that were lost before this response.
-    fn update_last_response(&self, replica: &mut ReplicaRecord) -> Vec<ConnectionUse> {
-        if self.is_response() {
-            replica.record_response(self.ended)
+    /// Returns the connections of the attempts that were lost before this response, if it is one.
+    fn record_response(&self, replica: &mut ReplicaRecord) -> Vec<ConnectionUse> {
+        if self.end.is_response() {
+            replica.record_response(self.end.ended)
         } else {
             Vec::new()
         }
@@ -180,24 +143,22 @@
         let Some(replica) = self.context.replicas.get(attempt.replica) else {
             return;
         };
-        let end = AttemptEnd::new(attempt, outcome, replica, &self.context);
-        let Some(replica) = self.context.replicas.get_mut(attempt.replica) else {
+        let end = attempt.end(outcome, self.context.now);
+        let update = ReplicaUpdate::new(end, replica, &self.context);
+        let Some(replica) = self.context.replicas.get_mut(end.replica) else {
             return;
         };
-        end.update_saturation(replica);
-        end.update_result_interval(replica);
+        update.mark_saturated(replica);
+        update.record_result_interval(replica);
         replica.outstanding.remove_part(end.sent);
-        end.update_latency(replica);
-        end.update_lost_connections(replica);
-        let lost = end.update_last_response(replica);
+        update.record_latency(replica);
+        update.record_lost_connection(replica);
+        let lost = update.record_response(replica);
         self.slow_start.on_attempt_end(&end);
         self.context.latency.on_attempt_end(&end);
         self.renewal.on_attempt_end(&end, lost, &mut self.output);
-        if end.is_without_response() {
-            let replica = (end.replica, replica);
-            self.outliers
-                .on_no_response(end.ended, replica, end.sent, &mut self.output);
-        }
+        self.outliers
+            .on_attempt_end(&end, replica, &mut self.output);
     }
 
     /// All that the end of an attempt changes about its part and the measurements of parts.
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -103,7 +103,7 @@
         let calls = other.open_calls(now, self.context.settings.parts_per_call());
         let expected = self.context.latency.smoothed_latency(now, other) * (calls + 1.0);
         let open_parts = self.queries.part_count();
-        expected < age && self.hedging.allows_hedge(&self.retries, open_parts)
+        expected < age && self.hedging.allows_hedge(&self.retry_limiter, open_parts)
     }
 
     /// Sends a hedged request. The replica of the attempt before it did not respond in time.
@@ -116,7 +116,6 @@
         }
         let now = self.context.now;
         if let Some(replica) = self.context.replicas.get_mut(last.replica) {
-            let replica = (last.replica, replica);
             self.outliers
                 .on_no_response(now, replica, last.sent, &mut self.output);
         }
@@ -127,13 +126,13 @@
         let now = self.context.now;
         let class = self.context.class(class);
         if part.attempts.is_empty() {
-            return self.retries.may_repeat(part, class, now);
+            return self.retry_limiter.may_repeat(part, class, now);
         }
         let hedging_allowed = self.context.settings.hedging_allowed;
         let is_allowed = hedging_allowed || !part.has_attempt_in_flight();
         is_allowed
-            && self.retries.may_repeat(part, class, now)
-            && self.retries.has_budget(class, now)
+            && self.retry_limiter.may_repeat(part, class, now)
+            && self.retry_limiter.has_budget(class, now)
     }
 
     fn select_replica(&mut self, part: &PartState) -> Option<ReplicaId> {
@@ -146,7 +145,7 @@
         let now = self.context.now;
         let connection = self.connection_for(id);
         if !part.attempts.is_empty() {
-            self.retries.record_retry(now);
+            self.retry_limiter.record_retry(now);
         }
         let attempt = AttemptId {
             part: part.id,
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -69,9 +69,9 @@
         } = &self.context;
         let class = self.context.class(query.class);
         let has_budget =
-            part.attempts.is_empty() || self.retries.has_budget(class, query.objective);
+            part.attempts.is_empty() || self.retry_limiter.has_budget(class, query.objective);
         let mut holders = replicas.holders(settings, part.shard);
-        has_budget && self.retries.may_repeat(part, class, *now) && holders.next().is_some()
+        has_budget && self.retry_limiter.may_repeat(part, class, *now) && holders.next().is_some()
     }
 
     /// Whether a sufficient answer goes out: nothing more can come in, or it is just before the
--- a/crates/policy/src/policy/connection_renewal.rs
+++ b/crates/policy/src/policy/connection_renewal.rs
@@ -5,11 +5,10 @@
 //! on others. It ends where it does not help: an unresponsive replica, a network partition or a
 //! slow network affects all connections alike.
 
-use super::attempt_end::AttemptEnd;
 use super::output::BatchOutput;
 use super::tuning;
 use crate::api::{Nanos, PolicySettings};
-use crate::state::{ConnectionUse, ReplicaRecord};
+use crate::state::{AttemptEnd, ConnectionUse, ReplicaRecord};
 use crate::stats::blend;
 
 /// Losses by kind of connection, and whether connections are renewed.
--- a/crates/policy/src/policy/fleet_latency.rs
+++ b/crates/policy/src/policy/fleet_latency.rs
@@ -1,9 +1,8 @@
 //! Latency over all replicas: what a replica is expected to take, and when an answer is overdue.
 
-use super::attempt_end::AttemptEnd;
 use super::tuning;
 use crate::api::Nanos;
-use crate::state::ReplicaRecord;
+use crate::state::{AttemptEnd, ReplicaRecord};
 use crate::stats::MeanDeviation;
 
 /// Mean latency of all replicas and the deviation from it, ns.
@@ -25,7 +24,7 @@
     /// Adds the latency of a result.
     pub fn on_attempt_end(&mut self, end: &AttemptEnd) {
         if end.is_success() {
-            self.samples.add(end.latency, tuning::FLEET_WEIGHT);
+            self.samples.add(end.latency(), tuning::FLEET_WEIGHT);
         }
     }
 
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -50,7 +50,7 @@
     renewal: ConnectionRenewal,
     hedging: HedgingBudget,
     cutoff: WeightCutoff,
-    retries: RetryLimiter,
+    retry_limiter: RetryLimiter,
     slow_start: SlowStart,
     client_timeouts: BTreeMap<(u16, u32), MajorityVote>,
     mean_value_per_part: Ewma,
@@ -77,7 +77,7 @@
             renewal: ConnectionRenewal::new(settings, context.objective),
             hedging: HedgingBudget::default(),
             cutoff: WeightCutoff::new(context.objective),
-            retries: RetryLimiter::new(settings),
+            retry_limiter: RetryLimiter::new(settings),
             slow_start: SlowStart::new(settings, seed),
             client_timeouts: BTreeMap::new(),
             mean_value_per_part: Ewma::default(),
@@ -98,7 +98,7 @@
         for event in events {
             self.on_event(event, &mut new_queries);
         }
-        self.retries.expire(now);
+        self.retry_limiter.expire(now);
         self.cutoff.update(now, &mut self.output);
         for id in new_queries {
             self.start_step(id);
@@ -115,7 +115,7 @@
     pub fn retained_records(&self) -> usize {
         self.queries.record_count()
             + self.in_flight.len()
-            + self.retries.recently_received()
+            + self.retry_limiter.recently_received()
             + self.client_timeouts.len()
             + self.context.replicas.len()
     }
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -7,8 +7,8 @@
 use super::context::Context;
 use super::output::BatchOutput;
 use super::tuning;
-use crate::api::{Action, Nanos, ReplicaId};
-use crate::state::ReplicaRecord;
+use crate::api::{Action, Nanos};
+use crate::state::{AttemptEnd, ReplicaRecord};
 use crate::stats::exponential_backoff;
 
 /// Ejection times, and when replicas get health checks.
@@ -38,12 +38,24 @@
         }
     }
 
+    /// Ejects the replica of an attempt that ended without a response.
+    pub fn on_attempt_end(
+        &mut self,
+        end: &AttemptEnd,
+        replica: &mut ReplicaRecord,
+        output: &mut BatchOutput,
+    ) {
+        if end.is_without_response() {
+            self.on_no_response(end.ended, replica, end.sent, output);
+        }
+    }
+
     /// Ejects a replica that did not respond to an attempt that was sent at `sent`, unless it has
     /// responded since or is ejected already.
     pub fn on_no_response(
         &mut self,
         now: Nanos,
-        (id, replica): (ReplicaId, &mut ReplicaRecord),
+        replica: &mut ReplicaRecord,
         sent: Nanos,
         output: &mut BatchOutput,
     ) {
@@ -54,7 +66,8 @@
         let ejection = exponential_backoff(self.base_ejection, self.max_ejection, failures);
         replica.eject(now + ejection as Nanos);
         if !std::mem::replace(&mut self.outlier_found, true) {
-            output.log(format!("replica {:x} is an outlier: it is silent", id.0));
+            let id = replica.id.0;
+            output.log(format!("replica {id:x} is an outlier: it is silent"));
         }
     }
 
@@ -67,13 +80,14 @@
             return;
         }
         let ready = || context.replicas.ready();
-        let outliers = ready().filter(|(_, replica)| replica.is_outlier).count() as f64;
+        let outliers = ready().filter(|replica| replica.is_outlier).count() as f64;
         if outliers < tuning::HEALTH_CHECK_SHARE * ready().count() as f64 {
             return;
         }
-        for (replica, record) in ready() {
-            let inactive = context.now.saturating_sub(record.last_activity()) as f64;
-            if record.outstanding.is_empty() && inactive > context.objective {
+        for replica in ready() {
+            let inactive = context.now.saturating_sub(replica.last_activity()) as f64;
+            if replica.outstanding.is_empty() && inactive > context.objective {
+                let replica = replica.id;
                 output.push(Action::CheckHealth { replica });
             }
         }
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -43,7 +43,8 @@
         let context = self.context;
         let max_silence = context.latency.hedging_delay(context.objective);
         let mut best: Option<(Rank, ReplicaId)> = None;
-        for (id, replica) in context.replicas.holders(&context.settings, part.shard) {
+        for replica in context.replicas.holders(&context.settings, part.shard) {
+            let id = replica.id;
             let has_allowance = || self.slow_start.has_allowance(replica, context);
             if part.is_in_flight_at(id) || !has_allowance() {
                 continue;
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -6,11 +6,10 @@
 //! one part each would still overload it, so an allowance below one is rounded up or down at
 //! random, with a seed of its own in each window.
 
-use super::attempt_end::AttemptEnd;
 use super::context::Context;
 use super::tuning;
 use crate::api::{Nanos, PolicySettings};
-use crate::state::{KnownReplicas, ReplicaRecord};
+use crate::state::{AttemptEnd, KnownReplicas, ReplicaRecord};
 use crate::stats::DecayingCounter;
 
 /// What a replica that is warming up bears, as the operator states it.
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -200,4 +200,54 @@
             connection,
         }
     }
+
+    /// The attempt's end.
+    pub fn end(self, outcome: AttemptOutcome, now: Nanos) -> AttemptEnd {
+        AttemptEnd {
+            outcome,
+            replica: self.replica,
+            connection: self.connection,
+            sent: self.sent,
+            ended: now,
+        }
+    }
+}
+
+/// The end of an attempt or of a health check at a replica.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptEnd {
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// The replica that it was sent to.
+    pub replica: ReplicaId,
+    /// The connection that it was sent on.
+    pub connection: ConnectionUse,
+    /// When it was sent.
+    pub sent: Nanos,
+    /// When it ended.
+    pub ended: Nanos,
+}
+
+impl AttemptEnd {
+    /// The time from its start to its end, ns.
+    pub fn latency(&self) -> f64 {
+        (self.ended - self.sent) as f64
+    }
+
+    /// Whether a result was returned.
+    pub fn is_success(&self) -> bool {
+        self.outcome == AttemptOutcome::Success
+    }
+
+    /// Whether the replica responded, with or without a result.
+    pub fn is_response(&self) -> bool {
+        use AttemptOutcome::{Error, Rejected, Success};
+        matches!(self.outcome, Success | Error | Rejected)
+    }
+
+    /// Whether the replica did not respond, or not in time.
+    pub fn is_without_response(&self) -> bool {
+        use AttemptOutcome::{ConnectionLost, TimedOut, Unreachable};
+        matches!(self.outcome, Unreachable | ConnectionLost | TimedOut)
+    }
 }
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -21,6 +21,8 @@
 /// A replica as this aggregator knows it.
 #[derive(Debug, Default)]
 pub struct ReplicaRecord {
+    /// Its identifier.
+    pub id: ReplicaId,
     /// Its placement cell.
     pub cell: u16,
     /// Its zone.
@@ -212,10 +214,9 @@
     }
 
     /// The replicas that are ready, in order of their identifiers.
-    pub fn ready(&self) -> impl Iterator<Item = (ReplicaId, &ReplicaRecord)> {
-        let ready = |replica: &ReplicaRecord| replica.state == ReplicaState::Ready;
-        let replicas = self.replicas.iter().map(|(id, replica)| (*id, replica));
-        replicas.filter(move |(_, replica)| ready(replica))
+    pub fn ready(&self) -> impl Iterator<Item = &ReplicaRecord> {
+        let replicas = self.replicas.values();
+        replicas.filter(|replica| replica.state == ReplicaState::Ready)
     }
 
     /// The ready replicas that hold a shard, by the placement that the settings state.
@@ -223,11 +224,11 @@
         &self,
         settings: &PolicySettings,
         shard: u32,
-    ) -> impl Iterator<Item = (ReplicaId, &ReplicaRecord)> {
+    ) -> impl Iterator<Item = &ReplicaRecord> {
         let (cells, per_shard) = (settings.placement_cells.max(1), settings.cells_per_shard);
         let distance = move |cell: u16| (u32::from(cell) + cells - shard % cells) % cells;
         self.ready()
-            .filter(move |(_, replica)| distance(replica.cell) < per_shard)
+            .filter(move |replica| distance(replica.cell) < per_shard)
     }
 
     /// Applies an update of the endpoint list. A replica that has restarted is as good as new.
@@ -242,6 +243,7 @@
         }
         for entry in entries {
             let new = ReplicaRecord {
+                id: entry.replica,
                 started: entry.started,
                 ..ReplicaRecord::default()
             };
