--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -40,7 +40,7 @@
     /// Sends a part to the best replica that may have it; false where there is none.
     pub(super) fn send_attempt(&mut self, query: &mut QueryState, index: usize) -> bool {
         let class = query.class;
-        let until = if self.may_be_late(class) {
+        let until = if self.accepts_late_answer(class) {
             query.deadline
         } else {
             query.objective
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -1,22 +1,41 @@
 //! Completion: when a query is answered, completely or in part, rejected or failed.
 //!
-//! Invariant: each query ends once, before its client's time is over, and at once when given up. An
-//! answer rests on the class's minimum coverage, and is marked complete only if it is; a rejection
-//! says that trying again is harmless, so it is made only where that is so.
+//! Invariant: each query ends once, before its client's timeout, and at once when it can't be
+//! answered any more. An answer rests on the class's minimum coverage, and is marked complete only
+//! if it is. A rejection states that a retry by the client is harmless, so it is used only where
+//! that is so.
 
+use super::admission::Rejection;
 use super::context::Context;
 use super::{tuning, Policy};
 use crate::api::{Action, Nanos, RequestId};
 use crate::state::{PartState, QueryState, StepSums};
 
+/// What happens to an open query in the running batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum QueryDecision {
+    /// It is answered from the results so far.
+    Answer {
+        /// The answer is complete.
+        is_complete: bool,
+    },
+    /// It ends without an answer.
+    RejectOrFail,
+    /// It goes on; its attempts may be retried or hedged.
+    AdvanceAttempts,
+    /// It goes on, and nothing is sent for it.
+    Wait,
+}
+
 impl Policy {
-    /// Starts a step of a query, unless overload has the query rejected.
+    /// Starts a step of a query: sends its parts, heaviest first, unless the query is rejected.
     pub(super) fn start_step(&mut self, id: RequestId) {
-        let query = self.queries.take(id);
-        let Some(mut query) = query else { return };
+        let Some(mut query) = self.queries.take(id) else {
+            return;
+        };
         if query.step == 1 {
-            if self.cannot_meet_objective(&mut query) || !self.admit(&mut query) {
-                return self.give_up(query);
+            if self.admit(&mut query).is_err() {
+                return self.reject_or_fail(query);
             }
             let class = self.context.class(query.class);
             self.cutoff.drop_light_parts(&mut query, class);
@@ -32,32 +51,79 @@
 
     /// Ends a query if it is time to; otherwise advances its attempts.
     pub(super) fn advance(&mut self, id: RequestId) {
-        let query = self.queries.take(id);
-        let Some(mut query) = query else { return };
-        let sums = query.step_sums(|part| self.is_open(part, &query));
+        let Some(mut query) = self.queries.take(id) else {
+            return;
+        };
+        match self.decide(&query) {
+            QueryDecision::Answer { is_complete } => return self.answer(query, is_complete),
+            QueryDecision::RejectOrFail => return self.reject_or_fail(query),
+            QueryDecision::AdvanceAttempts => self.advance_attempts(&mut query),
+            QueryDecision::Wait => {}
+        }
+        self.queries.put_back(query);
+    }
+
+    /// Has every open query end by `answer_by`, with the answer that it has by then, if that is
+    /// sufficient.
+    pub(super) fn shorten_deadlines(&mut self, answer_by: Nanos) {
+        for id in self.queries.ids() {
+            if let Some(mut query) = self.queries.take(id) {
+                query.shorten_deadline(answer_by);
+                self.queries.put_back(query);
+            }
+        }
+    }
+
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
+        let Some(query) = self.queries.take(id) else {
+            return;
+        };
+        self.permits.give_back(&query, 0.0, &self.queries);
+        self.discard(query);
+    }
+
+    /// Whether an answer after the latency objective is worth its work. It is not while permits are
+    /// short: parts that wait at saturated replicas until the deadline would hold permits that
+    /// other queries need to be answered in time.
+    pub(super) fn accepts_late_answer(&self, class: usize) -> bool {
+        self.context.class(class).late_value > 0.0 && !self.permits.is_limited(class)
+    }
+
+    fn admit(&mut self, query: &mut QueryState) -> Result<(), Rejection> {
+        self.admission.check(query, &self.context)?;
+        if self.permits.try_take(self.context.now, query) {
+            Ok(())
+        } else {
+            Err(Rejection::NoPermit)
+        }
+    }
+
+    fn decide(&self, query: &QueryState) -> QueryDecision {
         let class = self.context.class(query.class);
-        let is_complete = sums.is_complete(&query, class);
-        let is_sufficient = sums.is_sufficient(&query, class);
-        let is_out_of_reach = sums.is_out_of_reach(&query, class);
-        if is_complete || is_sufficient && self.is_time_to_answer(&query, &sums) {
-            return self.answer(query, is_complete);
+        let sums = query.step_sums(|part| self.may_be_answered(part, query));
+        let is_complete = sums.is_complete(query, class);
+        let is_sufficient = sums.is_sufficient(query, class);
+        if is_complete || is_sufficient && self.is_time_to_answer(query, &sums) {
+            return QueryDecision::Answer { is_complete };
         }
-        let is_query_of_death = is_query_of_death(&query);
+        let is_query_of_death = is_query_of_death(query);
         let is_idle = query.attempts().all(|attempt| !attempt.is_in_flight);
-        let is_useless = is_out_of_reach || is_query_of_death && is_idle;
-        if is_useless || self.context.now >= self.last_useful_moment(&query) {
-            return self.give_up(query);
+        let is_unanswerable = sums.is_out_of_reach(query, class) || is_query_of_death && is_idle;
+        if is_unanswerable || self.context.now >= self.last_useful_moment(query) {
+            return QueryDecision::RejectOrFail;
         }
-        let waited = (self.context.now - query.step_started) as f64
-            > self.context.latency.hedging_delay(self.context.objective);
-        if !is_query_of_death || waited {
-            self.advance_attempts(&mut query);
+        let objective = self.context.objective;
+        let step_age = (self.context.now - query.step_started) as f64;
+        let is_overdue = step_age > self.context.latency.hedging_delay(objective);
+        if !is_query_of_death || is_overdue {
+            QueryDecision::AdvanceAttempts
+        } else {
+            QueryDecision::Wait
         }
-        self.queries.put_back(query);
     }
 
-    /// Whether a part without a result may still get one: an attempt is out or may be sent.
-    fn is_open(&self, part: &PartState, query: &QueryState) -> bool {
+    /// Whether a part without a result may still get one: an attempt is in flight or may be sent.
+    fn may_be_answered(&self, part: &PartState, query: &QueryState) -> bool {
         if part.has_attempt_in_flight() {
             return true;
         }
@@ -68,15 +134,15 @@
             ..
         } = &self.context;
         let class = self.context.class(query.class);
-        let has_budget =
-            part.attempts.is_empty() || self.retry_limiter.has_budget(class, query.objective);
+        let limiter = &self.retry_limiter;
+        let has_budget = part.attempts.is_empty() || limiter.has_budget(class, query.objective);
         let mut holders = replicas.holders(settings, part.shard);
-        has_budget && self.retry_limiter.may_repeat(part, class, *now) && holders.next().is_some()
+        has_budget && limiter.may_repeat(part, class, *now) && holders.next().is_some()
     }
 
-    /// Whether a sufficient answer goes out: nothing more can come in, or it is just before the
-    /// objective, earlier where a second step follows, or the last moment if a late complete answer
-    /// earns more.
+    /// Whether to give a sufficient answer now. That is when no further result can be returned, or
+    /// just before the objective; earlier if a second step follows; just before the deadline if a
+    /// late complete answer has more value.
     fn is_time_to_answer(&self, query: &QueryState, sums: &StepSums) -> bool {
         let class = self.context.class(query.class);
         let value = class.partial_value * sums.answered_weight / class.completeness_threshold;
@@ -89,70 +155,71 @@
         sums.all_answered || !sums.any_open || self.context.now >= end
     }
 
+    /// The time from which on no answer is of value, or none can be given in time.
     fn last_useful_moment(&self, query: &QueryState) -> Nanos {
-        let last_moment = self.timer.safely_before(query.deadline);
-        let in_time = query.objective.saturating_sub(self.timer.period());
-        let is_late_useful = self.may_be_late(query.class);
-        let end = if is_late_useful { last_moment } else { in_time };
-        end.min(last_moment)
+        let before_deadline = self.timer.safely_before(query.deadline);
+        if self.accepts_late_answer(query.class) {
+            return before_deadline;
+        }
+        let before_objective = query.objective.saturating_sub(self.timer.period());
+        before_objective.min(before_deadline)
     }
 
-    fn answer(&mut self, mut open: QueryState, complete: bool) {
-        let query = open.id;
-        self.output.push(Action::Answer { query, complete });
-        open.cancel_attempts(
-            self.context.settings.cancellation_allowed,
-            self.output.actions(),
-        );
-        if open.step < self.context.settings.steps(open.class) {
-            open.start_second_step(self.context.now, complete);
-            return self.queries.put_back(open);
+    fn answer(&mut self, mut query: QueryState, is_complete: bool) {
+        self.output.push(Action::Answer {
+            query: query.id,
+            complete: is_complete,
+        });
+        let cancellation_allowed = self.context.settings.cancellation_allowed;
+        query.cancel_attempts(cancellation_allowed, self.output.actions());
+        if query.step < self.context.settings.steps(query.class) {
+            query.start_second_step(self.context.now, is_complete);
+            return self.queries.put_back(query);
         }
-        let change = match self.context.now <= open.objective {
-            true => tuning::PERMIT_REWARD,
-            false => -tuning::PERMIT_PENALTY,
+        let is_in_time = self.context.now <= query.objective;
+        let change = if is_in_time {
+            tuning::PERMIT_REWARD
+        } else {
+            -tuning::PERMIT_PENALTY
         };
-        self.return_permit(&open, change);
-        self.queries.forget(&open);
+        self.permits.give_back(&query, change, &self.queries);
+        self.queries.forget(&query);
     }
 
-    /// Ends a query without an answer, at once.
-    fn give_up(&mut self, open: QueryState) {
-        let query = open.id;
+    /// Ends a query without an answer: rejects it where a retry is harmless, fails it otherwise.
+    fn reject_or_fail(&mut self, query: QueryState) {
+        let now = self.context.now;
         let max_retry_after = self.context.settings.max_retry_after;
-        let retry_after = (max_retry_after > 0).then_some(max_retry_after);
-        let class = self.context.class(open.class);
-        let end = match open.is_safe_to_repeat(class, self.context.now + max_retry_after) {
-            true => Action::Reject { query, retry_after },
-            false => Action::Fail { query },
+        let class = self.context.class(query.class);
+        let end = if query.is_safe_to_repeat(class, now + max_retry_after) {
+            Action::Reject {
+                query: query.id,
+                retry_after: (max_retry_after > 0).then_some(max_retry_after),
+            }
+        } else {
+            Action::Fail { query: query.id }
         };
         self.output.push(end);
-        match open.parts.iter().any(PartState::is_lost_to_saturation) {
-            true => self.lose_permit(&open),
-            false => self.return_permit(&open, 0.0),
-        }
-        self.discard(open);
-    }
-
-    /// Has every open query end by then, with the answer that it has reached, if that is enough.
-    pub(super) fn shorten_deadlines(&mut self, answer_by: Nanos) {
-        for id in self.queries.ids() {
-            if let Some(mut query) = self.queries.take(id) {
-                query.shorten_deadline(answer_by);
-                self.queries.put_back(query);
-            }
+        if query.parts.iter().any(PartState::is_lost_to_saturation) {
+            self.permits
+                .on_lost_to_saturation(now, &query, &self.queries);
+        } else {
+            self.permits.give_back(&query, 0.0, &self.queries);
         }
+        self.discard(query);
     }
 
-    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
-        let query = self.queries.take(id);
-        let Some(query) = query else { return };
-        self.return_permit(&query, 0.0);
-        self.discard(query);
+    /// Forgets a query that has ended, and cancels its attempts.
+    fn discard(&mut self, mut query: QueryState) {
+        let cancellation_allowed = self.context.settings.cancellation_allowed;
+        query.cancel_attempts(cancellation_allowed, self.output.actions());
+        self.queries.forget(&query);
     }
 }
 
-/// Whether a query may crash replicas. It waits a while: one that met dying ones gets answers.
+/// Whether the query appears to crash the replicas that execute it (a query of death): several
+/// replicas lost their connections and no part was answered. Its attempts wait before they are
+/// retried, so that a query which met failing replicas by chance can still be answered.
 fn is_query_of_death(query: &QueryState) -> bool {
     let is_answered = query.parts.iter().any(|part| part.is_answered);
     !is_answered && query.replicas_lost() >= tuning::QUERY_OF_DEATH_REPLICAS
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -6,6 +6,7 @@
 mod admission;
 mod attempt_end;
 mod attempts;
+mod client_timeouts;
 mod completion;
 mod connection_renewal;
 mod context;
@@ -15,6 +16,7 @@
 mod hedging;
 mod outlier;
 mod output;
+mod permits;
 mod replica_selection;
 mod retry;
 mod slow_start;
@@ -22,10 +24,12 @@
 mod tuning;
 
 use crate::api::{
-    Action, EndpointUpdateKind, Event, Nanos, PolicySettings, ReplicaEntry, RequestId,
+    Action, EndpointUpdateKind, Event, Nanos, PartReceived, PolicySettings, QueryReceived,
+    ReplicaEntry, RequestId,
 };
-use crate::state::{AttemptId, InFlightAttempt, OpenQueries, QueryState};
-use crate::stats::{Ewma, MajorityVote, TokenBucket};
+use crate::state::{AttemptId, InFlightAttempt, OpenQueries, PartState, QueryState};
+use admission::Admission;
+use client_timeouts::ClientTimeouts;
 use connection_renewal::ConnectionRenewal;
 use context::Context;
 use cutoff::WeightCutoff;
@@ -33,6 +37,7 @@
 use hedging::HedgingBudget;
 use outlier::OutlierDetector;
 use output::BatchOutput;
+use permits::ClassPermits;
 use retry::RetryLimiter;
 use slow_start::SlowStart;
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,9 +57,9 @@
     cutoff: WeightCutoff,
     retry_limiter: RetryLimiter,
     slow_start: SlowStart,
-    client_timeouts: BTreeMap<(u16, u32), MajorityVote>,
-    mean_value_per_part: Ewma,
-    permits: BTreeMap<usize, TokenBucket>,
+    client_timeouts: ClientTimeouts,
+    admission: Admission,
+    permits: ClassPermits,
     outliers: OutlierDetector,
     endpoint_poller: EndpointPoller,
     timer: BatchTimer,
@@ -79,9 +84,9 @@
             cutoff: WeightCutoff::new(context.objective),
             retry_limiter: RetryLimiter::new(settings),
             slow_start: SlowStart::new(settings, seed),
-            client_timeouts: BTreeMap::new(),
-            mean_value_per_part: Ewma::default(),
-            permits: BTreeMap::new(),
+            client_timeouts: ClientTimeouts::default(),
+            admission: Admission::default(),
+            permits: ClassPermits::default(),
             outliers: OutlierDetector::new(settings.health_checks_allowed, context.objective),
             random: fastrand::Rng::with_seed(seed),
             output: BatchOutput::default(),
@@ -137,6 +142,28 @@
         }
     }
 
+    fn on_query_received(&mut self, received: &QueryReceived) {
+        let Context { now, settings, .. } = &self.context;
+        self.retry_limiter.record_received(*now);
+        let Some(class) = settings.classes.get(usize::from(received.class)) else {
+            return;
+        };
+        let spent = self.client_timeouts.time_spent_by_earlier_attempts(
+            received,
+            class,
+            settings.retries_marked,
+        );
+        self.queries
+            .insert(QueryState::new(received, class, spent, *now));
+    }
+
+    /// Returns the query that the part belongs to; none if there is no such query.
+    fn on_part_received(&mut self, received: &PartReceived) -> Option<RequestId> {
+        self.retry_limiter.record_received(self.context.now);
+        let part = PartState::new(received);
+        self.queries.insert_part(received.group, part)
+    }
+
     fn poll_endpoints(&mut self) {
         if self
             .endpoint_poller
@@ -175,11 +202,4 @@
         };
         self.timer.set(now, next)
     }
-
-    /// Forgets a query that has ended, and cancels its attempts.
-    fn discard(&mut self, mut query: QueryState) {
-        let allowed = self.context.settings.cancellation_allowed;
-        query.cancel_attempts(allowed, self.output.actions());
-        self.queries.forget(&query);
-    }
 }
--- a/crates/policy/src/state/query.rs
+++ b/crates/policy/src/state/query.rs
@@ -90,16 +90,32 @@
 }
 
 impl QueryState {
-    /// A query that has come in. Its objective is its deadline until it is set.
-    pub fn new(received: &QueryReceived, now: Nanos) -> QueryState {
+    /// A query that is received now. Earlier attempts of its client have spent that much of its
+    /// latency objective.
+    pub fn new(
+        received: &QueryReceived,
+        class: &QueryClass,
+        spent: Nanos,
+        now: Nanos,
+    ) -> QueryState {
         let deadline = now + received.client_timeout;
+        let objective = now + class.objective_for(received.work);
+        let objective = objective.saturating_sub(spent);
+        let arrived_late = objective <= now;
+        let is_short = received.client_timeout < class.latency_objective;
         QueryState {
             id: received.id,
             group: received.group,
             class: usize::from(received.class),
             arrived: now,
-            objective: deadline,
+            objective: if arrived_late {
+                deadline
+            } else {
+                objective.min(deadline)
+            },
             deadline,
+            has_short_timeout: received.is_retry && spent == 0 && is_short,
+            arrived_late,
             step: 1,
             step_started: now,
             earlier_steps_complete: true,
@@ -140,14 +156,6 @@
         self.objective = self.objective.min(self.deadline);
     }
 
-    /// Sets the latency objective, unless it has passed.
-    pub fn set_objective(&mut self, objective: Nanos) {
-        self.arrived_late = objective <= self.arrived;
-        if !self.arrived_late {
-            self.objective = objective.min(self.deadline);
-        }
-    }
-
     /// Counts of the parts of the running step, without those dropped.
     pub fn step_counts(&self) -> StepCounts {
         let wanted = self.step_parts().filter(|part| !part.is_dropped);
