--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -1,8 +1,8 @@
-//! What a policy requests.
+//! The actions that a policy requests.
 
 use super::{Nanos, ReplicaId, RequestId};
 
-/// One request of the policy. Actions are executed in their order at the time of their batch.
+/// One request of the policy. The actions of a batch are executed in order, at the batch's time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a part to a replica.
@@ -16,28 +16,28 @@
         /// The attempt is dropped if it has not been sent by then.
         latest_start: Option<Nanos>,
     },
-    /// Cancel an attempt that is out.
+    /// Cancel an attempt in flight.
     CancelAttempt {
         /// The part that is attempted.
         part: RequestId,
         /// The number of the attempt.
         attempt: u8,
     },
-    /// Answer a query from the parts that are in.
+    /// Answer a query from the results so far.
     Answer {
         /// The query.
         query: RequestId,
         /// The answer is to be marked as complete.
         complete: bool,
     },
-    /// Reject a query: trying again is harmless.
+    /// Reject a query: a retry by the client is harmless.
     Reject {
         /// The query.
         query: RequestId,
-        /// The client does best not to try again before this has passed.
+        /// The client should wait this long before a retry.
         retry_after: Option<Nanos>,
     },
-    /// End a query with no promise about its effect.
+    /// End a query whose parts may have been executed, so that a retry may do harm.
     Fail {
         /// The query.
         query: RequestId,
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -1,16 +1,16 @@
-//! What a policy is told.
+//! The events that a policy receives.
 
 use super::{Nanos, ReplicaId, RequestId};
 
 /// The state of a replica on the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its requests and accepts no new ones.
     Draining,
-    /// It has left.
+    /// It is no longer available.
     Gone,
 }
 
@@ -36,7 +36,7 @@
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as last held before a restart; it may be stale.
+    /// The complete list as cached before a restart; it may be stale.
     Cached,
     /// A poll or a watch failed; there are no lines.
     Unavailable,
@@ -45,11 +45,11 @@
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The part was executed and its result is in.
+    /// The part was executed and its result returned.
     Success,
     /// The replica reports an error; the part may have been executed.
     Error,
-    /// The replica is full and rejected the part without executing it.
+    /// The replica is saturated and rejected the part without executing it.
     Rejected,
     /// No reply in time; the part may have been executed.
     TimedOut,
@@ -59,14 +59,14 @@
     ConnectionLost,
     /// Cancelled by us; the part may have been executed.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
-/// A replica's statement of its own load, in the order that the operator defines.
+/// The load that a replica reports of itself, in the order that the operator defines.
 pub type LoadReport = Vec<f32>;
 
-/// A query that has come in; its parts follow in the same batch and carry the same `group`.
+/// A query that has been received; its parts follow in the same batch, with the same `group`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryReceived {
     /// The query.
@@ -77,11 +77,11 @@
     pub class: u16,
     /// The tenant, by number.
     pub tenant: u32,
-    /// How long the client still waits.
+    /// The time until the client's timeout.
     pub client_timeout: Nanos,
     /// The work that the query is expected to take.
     pub work: Option<Nanos>,
-    /// The client has marked it as a retry of an earlier try.
+    /// The client has marked it as a retry.
     pub is_retry: bool,
 }
 
@@ -92,7 +92,7 @@
     pub id: RequestId,
     /// Joins the part and its query.
     pub group: u32,
-    /// The shard that the part asks.
+    /// The shard that the part is about.
     pub shard: u32,
     /// Its share of its step's weight.
     pub weight: f64,
@@ -109,7 +109,7 @@
     pub replica: ReplicaId,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// What the replica said of its load.
+    /// The load report that came with it.
     pub report: LoadReport,
 }
 
@@ -122,7 +122,7 @@
     pub outcome: AttemptOutcome,
     /// How long it took.
     pub latency: Nanos,
-    /// What the replica said of its load.
+    /// The load report that came with it.
     pub report: LoadReport,
 }
 
@@ -136,9 +136,9 @@
         /// Lines of the list.
         entries: Vec<ReplicaEntry>,
     },
-    /// A query has come in.
+    /// A query has been received.
     QueryReceived(QueryReceived),
-    /// A part of a query has come in.
+    /// A part of a query has been received.
     PartReceived(PartReceived),
     /// An attempt has ended.
     AttemptEnded(AttemptEnded),
@@ -156,7 +156,7 @@
         /// The query.
         id: RequestId,
     },
-    /// The process is about to end: every query that is open has to end by then.
+    /// The process shuts down: every open query has to end by `answer_by`.
     ShutdownRequested {
         /// The latest time for an answer.
         answer_by: Nanos,
@@ -168,7 +168,7 @@
     },
     /// A health check has ended.
     HealthCheckEnded(HealthCheckEnded),
-    /// A message of another aggregator has come in.
+    /// A message of another aggregator has been received.
     GossipReceived {
         /// The sender, by number.
         from: u32,
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Nanos;
 
-/// The effect of executing a part more than once.
+/// The effect of a part that is executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
     /// None: a part may be retried freely.
@@ -18,25 +18,26 @@
 /// A class of queries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueryClass {
-    /// An answer within this time earns its full weight.
+    /// An answer within this time has its full value.
     pub latency_objective: Nanos,
     /// The objective grows by this multiple of the query's own expected work.
     pub objective_stretch: Option<f64>,
-    /// The longest that a client waits, over all its tries.
+    /// The longest that a client waits, over all its attempts.
     pub deadline: Nanos,
     /// Whether parts may be retried.
     pub idempotency: Idempotency,
     /// How long duplicates of a part with an idempotency key are dropped.
     pub idempotency_window: Nanos,
-    /// What an answer earns, relative to other classes.
+    /// The value of an answer, relative to other classes.
     pub priority_weight: Option<f64>,
-    /// Fraction of the weight that an answer after the latency objective earns.
+    /// The value of an answer after the latency objective, as a fraction of the full value.
     pub late_value: f64,
     /// Share of the first step's part weight that a complete answer needs.
     pub completeness_threshold: f64,
     /// Least share of the part weight that an answer may rest on.
     pub minimum_coverage: f64,
-    /// What an incomplete answer earns, times its share over `completeness_threshold`.
+    /// The value of an incomplete answer whose weight is `completeness_threshold`, as a fraction of
+    /// the full value. It is proportional to the answer's weight.
     pub partial_value: f64,
     /// The most parts that a second step may have; 0 where there is no second step.
     pub second_step_parts: u32,
@@ -54,7 +55,7 @@
     pub window: Nanos,
 }
 
-/// All that a policy is told at its start.
+/// What a policy knows from its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicySettings {
     /// The classes of queries, by number.
@@ -78,9 +79,9 @@
     pub max_attempts: Option<u32>,
     /// Attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Clients mark their retries; a query without the mark is a first try.
+    /// Clients mark their retries; a query without the mark is a first attempt.
     pub retries_marked: bool,
-    /// A second attempt may be sent while the first is out.
+    /// A second attempt may be sent while the first is in flight.
     pub hedging_allowed: bool,
     /// Replicas may be sent health checks.
     pub health_checks_allowed: bool,
@@ -100,12 +101,11 @@
     pub retry_budget: Option<RetryBudget>,
     /// Connections without use are closed after this time.
     pub idle_timeout: Nanos,
-    /// Nothing new may go to a replica this long after the notice that it drains or is gone.
+    /// No attempt may be sent to a replica this long after the notice that it is draining or gone.
     pub drain_notice: Nanos,
     /// The endpoint list has to be polled; otherwise it is pushed.
     pub endpoint_list_polled: bool,
-    /// An aggregator that has not polled for this long is held to know what was listed that long
-    /// ago.
+    /// A change of a polled list counts as notified after this time.
     pub poll_interval: Nanos,
 }
 
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,11 +1,12 @@
-//! Records of replicas, queries, parts and attempts: data and its bookkeeping, no decisions.
+//! Records of replicas, queries, parts and attempts: data and its bookkeeping, no decisions. The
+//! decisions that change them are in `crate::policy`.
 
+mod open_queries;
 mod part;
 mod query;
-mod query_table;
 mod replica;
 
+pub use open_queries::OpenQueries;
 pub use part::{AttemptEnd, AttemptId, AttemptRecord, InFlightAttempt, PartState, RaceWinner};
 pub use query::{QueryState, StepSums, REACHABLE_TOLERANCE};
-pub use query_table::OpenQueries;
 pub use replica::{ConnectionUse, KnownReplicas, ReplicaRecord};
--- a/crates/policy/src/state/query_table.rs
+++ b/crates/policy/src/state/open_queries.rs
@@ -13,7 +13,7 @@
 }
 
 impl OpenQueries {
-    /// Adds a query that has come in.
+    /// Adds a query that has been received.
     pub fn insert(&mut self, query: QueryState) {
         self.groups.insert(query.group, query.id);
         self.queries.insert(query.id, query);
@@ -35,17 +35,17 @@
         query.parts.iter_mut().find(|part| part.id == id)
     }
 
-    /// Takes a query out, to work on it; see [`OpenQueries::put_back`].
+    /// Removes a query to change it; see [`OpenQueries::put_back`]. Its group and parts stay known.
     pub fn take(&mut self, id: RequestId) -> Option<QueryState> {
         self.queries.remove(&id)
     }
 
-    /// Puts a query back that was taken out.
+    /// Puts a query back that was taken.
     pub fn put_back(&mut self, query: QueryState) {
         self.queries.insert(query.id, query);
     }
 
-    /// Forgets what leads to a query that was taken out.
+    /// Forgets the group and the parts of a query that was taken.
     pub fn forget(&mut self, query: &QueryState) {
         self.groups.remove(&query.group);
         for part in &query.parts {
@@ -63,7 +63,7 @@
         self.queries.is_empty()
     }
 
-    /// The number of queries of a class, without those taken out.
+    /// The number of queries of a class, without those taken.
     pub fn count_of_class(&self, class: usize) -> usize {
         let of_class = |query: &&QueryState| query.class == class;
         self.queries.values().filter(of_class).count()
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -18,7 +18,7 @@
     pub not_executed: bool,
     /// Its connection was lost.
     pub connection_lost: bool,
-    /// A full replica rejected it.
+    /// A saturated replica rejected it.
     pub rejected: bool,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Which of the attempts at a part that were out together was answered first.
+/// Which of several attempts in flight at one part was answered first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RaceWinner {
     /// The first.
@@ -57,34 +57,34 @@
 pub struct PartState {
     /// Its identifier.
     pub id: RequestId,
-    /// The shard that it asks.
+    /// The shard that it is about.
     pub shard: u32,
     /// Its share of its step's weight.
     pub weight: f64,
     /// The step that it belongs to, from 1.
     pub step: u8,
-    /// Its result is in.
+    /// A result has been returned.
     pub is_answered: bool,
     /// It is left out of the answer.
     pub is_dropped: bool,
-    /// It counts in the overload signal already.
+    /// It has been counted in the overload signal.
     pub is_counted: bool,
     /// The attempts so far.
     pub attempts: Vec<AttemptRecord>,
 }
 
 impl PartState {
-    /// A part that has come in. A weight that is no number counts as none.
+    /// A part that has been received. A weight that is not a finite number counts as 0.
     pub fn new(received: &PartReceived) -> PartState {
-        let has_weight = received.weight.is_finite();
+        let weight = if received.weight.is_finite() {
+            received.weight.max(0.0)
+        } else {
+            0.0
+        };
         PartState {
             id: received.id,
             shard: received.shard,
-            weight: if has_weight {
-                received.weight.max(0.0)
-            } else {
-                0.0
-            },
+            weight,
             ..PartState::default()
         }
     }
@@ -113,8 +113,8 @@
         self.attempts.iter().find(|attempt| !attempt.not_executed)
     }
 
-    /// Records how the attempt with this number ended. Returns whether the first of several
-    /// attempts that were out has won, or a later one; none where there was no such race.
+    /// Records how the attempt with this number ended. Returns the winner if it was answered first
+    /// of several attempts in flight.
     pub fn end_attempt(&mut self, number: u8, outcome: AttemptOutcome) -> Option<RaceWinner> {
         let number = usize::from(number);
         if let Some(attempt) = self.attempts.get_mut(number) {
@@ -128,32 +128,34 @@
             return None;
         }
         let mut earlier = self.attempts.iter().take(number);
-        Some(if earlier.all(|attempt| !attempt.is_in_flight) {
+        let winner = if earlier.all(|attempt| !attempt.is_in_flight) {
             RaceWinner::First
         } else {
             RaceWinner::Later
-        })
+        };
+        Some(winner)
     }
 
-    /// Ends the attempts that are out and requests their cancellation, if that is allowed.
+    /// Ends the attempts in flight and requests their cancellation, if that is allowed.
     pub fn cancel_attempts(&mut self, allowed: bool, actions: &mut Vec<Action>) {
         let part = self.id;
         for (attempt, record) in (0..).zip(&mut self.attempts) {
-            let was_out = std::mem::replace(&mut record.is_in_flight, false);
-            if was_out && allowed {
+            let was_in_flight = std::mem::replace(&mut record.is_in_flight, false);
+            if was_in_flight && allowed {
                 actions.push(Action::CancelAttempt { part, attempt });
             }
         }
     }
 
-    /// Until when a repeated attempt is dropped as a duplicate; none where it need not be.
+    /// Until when the leaf server drops a repeated attempt as a duplicate; none where no attempt
+    /// may have been executed or the class has no idempotency keys.
     pub fn idempotency_expiry(&self, class: &QueryClass) -> Option<Nanos> {
         let has_window = class.idempotency == Idempotency::IdempotentWithKey;
         let first = self.first_executed().filter(|_| has_window)?;
         Some(first.sent + class.idempotency_window)
     }
 
-    /// Whether one more attempt now can't have it executed twice.
+    /// Whether one more attempt now does no harm, even if an earlier one has been executed.
     pub fn is_safe_to_repeat(&self, class: &QueryClass, now: Nanos) -> bool {
         match class.idempotency {
             Idempotency::Idempotent => true,
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Whether a full replica rejected it and no other answered.
+    /// Whether a saturated replica rejected it and no other answered.
     pub fn is_lost_to_saturation(&self) -> bool {
         !self.is_answered && self.attempts.iter().any(|attempt| attempt.rejected)
     }
@@ -187,7 +189,7 @@
     pub replica: ReplicaId,
     /// When it was sent.
     pub sent: Nanos,
-    /// The connection that it went out on.
+    /// The connection that it was sent on.
     pub connection: ConnectionUse,
 }
 
--- a/crates/policy/src/state/query.rs
+++ b/crates/policy/src/state/query.rs
@@ -1,12 +1,12 @@
-//! Queries: when they came, how far they are, and their parts.
+//! Queries: their times, their running step and their parts.
 
 use super::{AttemptRecord, PartState};
 use crate::api::{Action, Nanos, QueryClass, QueryReceived, ReplicaId, RequestId};
 use std::collections::BTreeSet;
 
-/// Rounding error of a sum of weights, for an answer that may be given.
+/// Rounding error of a sum of weights, in deciding whether an answer may be given.
 const ANSWERED_TOLERANCE: f64 = 1e-6;
-/// Rounding error of a sum of weights, for what a query may still reach.
+/// Rounding error of a sum of weights, in deciding whether a minimum can still be reached.
 pub const REACHABLE_TOLERANCE: f64 = 1e-4;
 
 /// A query that has not ended.
@@ -22,9 +22,9 @@
     pub arrived: Nanos,
     /// Its latency objective, as a point in time; its deadline, if the objective had passed.
     pub objective: Nanos,
-    /// The client waits until then.
+    /// When the client's timeout ends.
     pub deadline: Nanos,
-    /// A retry by a client that gives up its tries before the latency objective.
+    /// It is a retry by a client whose timeout is shorter than the latency objective.
     pub has_short_timeout: bool,
     /// The latency objective had passed when it was received.
     pub arrived_late: bool,
@@ -130,14 +130,14 @@
         self.earlier_steps_complete = first_step_complete;
     }
 
-    /// Ends all attempts that are out; see [`PartState::cancel_attempts`].
+    /// Ends all attempts in flight; see [`PartState::cancel_attempts`].
     pub fn cancel_attempts(&mut self, allowed: bool, actions: &mut Vec<Action>) {
         for part in &mut self.parts {
             part.cancel_attempts(allowed, actions);
         }
     }
 
-    /// Whether a client that comes again then can't have a part executed twice.
+    /// Whether a retry by the client at `at` does no harm, even if parts have been executed.
     pub fn is_safe_to_repeat(&self, class: &QueryClass, at: Nanos) -> bool {
         let mut parts = self.parts.iter();
         parts.all(|part| part.is_safe_to_repeat(class, at))
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Sums over the parts of the running step, of which some are open.
+    /// Sums over the parts of the running step. `is_open` states whether a part without a result
+    /// may still be answered.
     pub fn step_sums(&self, is_open: impl Fn(&PartState) -> bool) -> StepSums {
         let answered = self.step_parts().filter(|part| part.is_answered);
         let wanted = self
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas: what the endpoint list says of them and what has been measured.
+//! Replicas: their state on the endpoint list and what has been measured.
 
 use crate::api::{
     EndpointUpdateKind, Nanos, PolicySettings, ReplicaEntry, ReplicaId, ReplicaState,
@@ -6,15 +6,15 @@
 use crate::stats::{blend, Ewma, SlidingWindow};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How the connection that an attempt goes out on was used before.
+/// How the connection of an attempt was used before the attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// Used a short while ago.
+    /// Used recently, or its use is not known.
     #[default]
     RecentlyUsed,
-    /// Without use for long: something on the way may have dropped it unnoticed.
+    /// Without use for long: a device on the path may have dropped it without notice.
     LongIdle,
-    /// Opened anew in place of one without use for long.
+    /// Newly opened in place of one without use for long.
     Renewed,
 }
 
@@ -31,48 +31,49 @@
     pub started: Nanos,
     /// Its state on the endpoint list.
     pub state: ReplicaState,
-    /// Smoothed latency, ns; none while it has not been heard.
+    /// Smoothed latency, ns; none before the first measurement.
     pub latency: Option<f64>,
     /// When `latency` last changed.
     pub latency_updated: Nanos,
-    /// The last sign of life.
+    /// When it last responded in any way; 0 before the first response.
     pub last_response: Nanos,
     /// Smoothed time between two results while it had work of ours, ns.
     pub result_interval: Ewma,
-    /// When the last result came.
+    /// When the last result was received.
     pub last_result: Nanos,
     /// The connection of the last attempt.
     pub connection: ConnectionUse,
-    /// The connections of the attempts lost since it was last heard.
+    /// The connections of the attempts lost since its last response.
     pub lost_connections: Vec<ConnectionUse>,
-    /// Calls of ours that are still out.
+    /// The calls of this aggregator that are in flight.
     pub outstanding: OutstandingCalls,
-    /// Times in a row that it swallowed work.
+    /// Ejections since its last response.
     pub consecutive_failures: u32,
-    /// It swallowed work and has not been heard since.
+    /// It has been ejected and has not responded since.
     pub is_outlier: bool,
-    /// No attempts go to it before this, if others can have them.
+    /// Other replicas are preferred until then, since it is ejected.
     pub ejected_until: Nanos,
-    /// It is taken to be full until then.
+    /// Other replicas are preferred until then, since it rejected a part.
     pub saturated_until: Nanos,
-    /// Parts sent to it lately.
+    /// Parts sent to it in the last overload window.
     pub recent_parts: SlidingWindow<()>,
 }
 
 impl ReplicaRecord {
-    /// For how long the oldest call has been out without a sign of life.
+    /// How long the oldest call in flight has been without any response of the replica; 0 without a
+    /// call.
     pub fn time_without_response(&self, now: Nanos) -> Nanos {
         let oldest = self.outstanding.oldest();
         oldest.map_or(0, |sent| now - sent.max(self.last_response))
     }
 
-    /// The number of calls that are out; see [`OutstandingCalls::count`].
+    /// The number of calls in flight; see [`OutstandingCalls::count`].
     pub fn open_calls(&self, now: Nanos, max_parts: u32) -> f64 {
         f64::from(self.outstanding.count(now, max_parts))
     }
 
-    /// When one more part should be back, ns: what is out there, at the pace of its results, which
-    /// fades over this time.
+    /// The expected time until one more part is answered, ns: the parts in flight times the time
+    /// between two results. Without a result, that time fades over `fade_time`, ns.
     pub fn expected_wait(&self, now: Nanos, fade_time: f64) -> f64 {
         let since_result = now.saturating_sub(self.last_result) as f64;
         let fading = (-(since_result / fade_time)).exp();
@@ -81,7 +82,7 @@
         queued.max(self.time_without_response(now) as f64)
     }
 
-    /// The latest sign of life or measurement.
+    /// When it last responded or was measured.
     pub fn last_activity(&self) -> Nanos {
         self.last_response.max(self.latency_updated)
     }
@@ -107,7 +108,8 @@
         self.latency_updated = now;
     }
 
-    /// Records a sign of life. Returns the connections of the attempts lost since the last one.
+    /// Records a response of any kind, which ends an ejection. Returns the connections of the
+    /// attempts lost since the last response.
     pub fn record_response(&mut self, now: Nanos) -> Vec<ConnectionUse> {
         self.last_response = now;
         self.is_outlier = false;
@@ -116,7 +118,7 @@
         std::mem::take(&mut self.lost_connections)
     }
 
-    /// Records that it has swallowed work.
+    /// Records that it did not respond and is ejected.
     pub fn eject(&mut self, until: Nanos) {
         self.consecutive_failures += 1;
         self.is_outlier = true;
@@ -133,8 +135,8 @@
     }
 }
 
-/// The calls to one replica that are out, each by the time it was sent and with the number of its
-/// parts that are still out.
+/// The calls to one replica that are in flight, by the time each was sent, with the number of its
+/// parts without a result.
 #[derive(Debug, Default)]
 pub struct OutstandingCalls {
     calls: BTreeMap<Nanos, u32>,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Whether nothing is out.
+    /// Whether no call is in flight.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
@@ -172,13 +174,13 @@
         self.calls.first_key_value().map(|(sent, _)| *sent)
     }
 
-    /// The number of parts that are out.
+    /// The number of parts in flight.
     pub fn parts(&self) -> u32 {
         self.calls.values().sum()
     }
 
-    /// The number of calls that are out, where a call has so many parts at most. One that is sent
-    /// now and has room for one more part is not counted.
+    /// The number of calls in flight, where a call has at most `max_parts` parts. A call that is
+    /// sent now and can take one more part is not counted.
     pub fn count(&self, now: Nanos, max_parts: u32) -> u32 {
         let calls = self.calls.iter().map(|(sent, parts)| {
             if *sent == now {
@@ -231,7 +233,8 @@
             .filter(move |replica| distance(replica.cell) < per_shard)
     }
 
-    /// Applies an update of the endpoint list. A replica that has restarted is as good as new.
+    /// Applies an update of the endpoint list. The measurements of a replica that has restarted are
+    /// reset.
     pub fn apply(&mut self, kind: EndpointUpdateKind, entries: &[ReplicaEntry]) {
         if kind != EndpointUpdateKind::Delta {
             let on_list: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.replica).collect();
@@ -257,8 +260,8 @@
         }
     }
 
-    /// Forgets the replicas that are gone, have nothing of ours, and whose measurements are not
-    /// newer than `oldest`.
+    /// Forgets the replicas that are gone, have no call of this aggregator in flight, and whose
+    /// measurements are not newer than `oldest`.
     pub fn forget_gone(&mut self, oldest: Nanos) {
         self.replicas.retain(|_, replica| {
             replica.state != ReplicaState::Gone
--- a/crates/policy/src/stats.rs
+++ b/crates/policy/src/stats.rs
@@ -1,5 +1,5 @@
-//! Generic statistics: averages, windows, counters and a token bucket. Nothing here decides, and no
-//! value is tuned here: weights, lengths and limits come from the caller.
+//! Generic statistics: averages, windows, counters and a token bucket. Weights, lengths and limits
+//! are the caller's.
 
 use crate::api::Nanos;
 use std::collections::VecDeque;
@@ -113,7 +113,7 @@
     }
 }
 
-/// A count of which each unit fades exponentially.
+/// A count in which each unit decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCounter {
     value: f64,
@@ -134,7 +134,7 @@
     }
 }
 
-/// A count of tokens that is refilled slowly up to a first one.
+/// A count of tokens. An empty bucket refills slowly, up to one token.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -155,12 +155,12 @@
         self.tokens
     }
 
-    /// Sets the number of tokens; there are none less than zero.
+    /// Sets the number of tokens; a negative number counts as 0.
     pub fn set(&mut self, tokens: f64) {
         self.tokens = tokens.max(0.0);
     }
 
-    /// Takes one token, if there is a whole one. A bucket with less than one gains one in
+    /// Takes one token, if there is at least one. A bucket with less than one gains one in
     /// `refill_time` nanoseconds.
     pub fn try_take(&mut self, now: Nanos, refill_time: f64) -> bool {
         let refilled = self.tokens + (now - self.refilled) as f64 / refill_time;
@@ -174,7 +174,7 @@
     }
 }
 
-/// The value that most of a stream of similar values have, by majority vote.
+/// The majority value of a stream of values, by the Boyer-Moore vote.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MajorityVote {
     candidate: u64,
@@ -188,7 +188,7 @@
     }
 
     /// Counts a value for the leader, if the two `agree`, or against it. The lead is `max_lead` at
-    /// most, so that a change is seen soon.
+    /// most, so that a change of the majority has effect soon.
     pub fn vote(&mut self, value: u64, max_lead: u32, agree: impl Fn(u64, u64) -> bool) {
         if self.lead == 0 {
             *self = MajorityVote {
