--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn a_query_that_cannot_meet_its_objective_is_rejected_at_once_with_retry_after() {
+fn a_query_that_cannot_meet_its_objective_is_rejected_with_retry_after() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 1);
     harness.serve_query(0, 300);
     for i in 0..20 {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_retry_whose_objective_has_passed_is_rejected_if_late_answers_earn_nothing() {
+fn an_expired_retry_is_rejected_if_late_answers_have_no_value() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 3);
     for i in 0..5 {
         harness.query_with_timeout(i, 0, &[1.0], 6000 * MS);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_first_try_is_not_taken_for_a_retry_when_a_retry_has_a_longer_timeout() {
+fn a_retry_with_a_longer_timeout_does_not_make_a_first_attempt_a_retry() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 3);
     harness.send_query(0, 0, &[1.0], 5000 * MS, false);
     harness.send_query(1, 0, &[1.0], 5900 * MS, true);
@@ -70,12 +70,12 @@
     let answered = harness.run_timers(10, 1850);
     assert!(
         final_actions(&answered).is_empty(),
-        "none has been given up before its objective"
+        "no query ends before its objective"
     );
 }
 
-/// One tenant's clients give up early and repeat at once: another tenant's queries are no late
-/// repeats.
+/// One tenant's clients time out early and retry at once. Another tenant's queries do not count as
+/// retries for that.
 #[test]
 fn one_tenants_short_timeouts_do_not_affect_anothers() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
@@ -87,14 +87,14 @@
     let (_, short) = harness.query_with_timeout(210, 0, &[1.0], 700 * MS);
     assert!(
         !final_actions(&short).contains(&"rejected"),
-        "a first try is never spent"
+        "a first attempt has spent none of its time"
     );
 }
 
-/// Clients that leave before a usual part is back and repeat at once: their work would only delay
-/// the others.
+/// Clients that time out before a part is answered on average and retry at once: their work would
+/// only delay other queries.
 #[test]
-fn a_client_with_less_time_than_a_usual_part_takes_is_rejected() {
+fn a_client_with_less_time_than_the_mean_latency_is_rejected() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
     for i in 0..20 {
         harness.serve_query(i * 500, 450);
@@ -105,9 +105,9 @@
     assert_eq!(sent_attempts(&patient).len(), 1);
 }
 
-/// Rare queries: a jam seen seconds ago must not refuse what comes now.
+/// With few queries, an overload that was measured seconds ago must not cause rejections now.
 #[test]
-fn an_overload_that_is_long_past_rejects_nothing() {
+fn a_past_overload_rejects_nothing() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 1);
     harness.serve_query(0, 1500);
     let (_, at_once) = harness.query(1510, 0, &[1.0]);
@@ -116,10 +116,10 @@
     assert_eq!(sent_attempts(&later).len(), 1);
 }
 
-/// A storm of repeats that give up before the objective: they have no more time than the try that
-/// failed.
+/// Many retries whose client timeout ends before the objective: they have no more time than the
+/// attempt that failed.
 #[test]
-fn a_retry_with_a_short_timeout_is_rejected_and_one_with_a_long_timeout_is_not() {
+fn a_retry_is_rejected_only_if_its_timeout_is_short() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
     let (_, first) = harness.send_query(0, 0, &[1.0], 900 * MS, false);
     assert_eq!(sent_attempts(&first).len(), 1);
@@ -131,8 +131,8 @@
     assert!(!final_actions(&patient).contains(&"rejected"));
 }
 
-/// Twenty queries a second of three parts, each ended 20 ms after it was sent, the first part of a
-/// query so: how many of them were admitted, by second.
+/// Sends twenty queries a second of three parts, each of which ends after 10 ms, the first part of
+/// a query with the outcome `first`. Returns the number of queries admitted in each second.
 fn admitted_by_second(
     harness: &mut PolicyHarness,
     seconds: std::ops::Range<u64>,
@@ -170,10 +170,10 @@
     admitted
 }
 
-/// A query that loses one part to full replicas has the work on all its others done for nothing:
-/// admitted as before, the queries of an overload keep each other from being answered.
+/// A query that loses one part to saturated replicas has its other parts executed for nothing.
+/// Without a limit, the queries of an overload would keep each other from being answered.
 #[test]
-fn after_queries_lost_to_full_replicas_fewer_are_admitted_until_some_are_answered() {
+fn queries_lost_to_saturated_replicas_limit_admission_until_some_succeed() {
     let quick = PolicySettings {
         max_attempts: Some(2),
         ..settings(vec![class(400, 1.0)])
@@ -187,20 +187,20 @@
     assert!(full[1..].iter().sum::<usize>() <= 12, "{full:?}");
     assert!(
         full.windows(4).all(|four| four.iter().sum::<usize>() > 0),
-        "nobody is rejected throughout: {full:?}"
+        "some queries are admitted at all times: {full:?}"
     );
     let after = admitted_by_second(&mut harness, 15..25, AttemptOutcome::Success);
     assert_eq!(after[9], 20, "{after:?}");
-    // Lost to a dead replica, it says nothing of the load on the others.
+    // The loss of a query to an unreachable replica is no sign of load on the others.
     let mut harness = PolicyHarness::new(quick, 3);
     let dead = admitted_by_second(&mut harness, 0..5, AttemptOutcome::Unreachable);
     assert!(dead.iter().sum::<usize>() > 50, "{dead:?}");
 }
 
-/// Cancelled or not, a part waits at a full replica until its time has passed: in an overload that
-/// is the objective's.
+/// A part, cancelled or not, waits at a saturated replica until its attempt times out. In an
+/// overload that is at the objective.
 #[test]
-fn while_permits_are_short_nothing_is_waited_for_past_the_objective() {
+fn no_part_waits_past_the_objective_while_permits_are_short() {
     let late = QueryClass {
         late_value: 0.3,
         ..class(400, 1.0)
@@ -225,7 +225,7 @@
     assert_eq!(
         until(&actions),
         Some(START + 6000 * MS),
-        "its client's time"
+        "until its client's timeout"
     );
     harness.handle_at(
         10,
@@ -238,13 +238,16 @@
     let (ms, actions) = polled
         .find(|(_, actions)| !sent_attempts(actions).is_empty())
         .unwrap();
-    assert_eq!(until(&actions), Some(START + (ms + 400) * MS), "the aim");
+    assert_eq!(
+        until(&actions),
+        Some(START + (ms + 400) * MS),
+        "until its objective"
+    );
 }
 
-/// What answers usually take is their mean: a query with time for that is not rejected for a few
-/// slow ones.
+/// The time left is compared with the mean latency: a few slow answers cause no rejection.
 #[test]
-fn a_query_with_time_for_an_average_answer_is_not_rejected() {
+fn a_query_with_time_for_a_mean_answer_is_not_rejected() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 4);
     for i in 0..60 {
         harness.serve_query(i * 200, if i % 2 == 0 { 50 } else { 150 });
--- a/crates/policy/tests/completion.rs
+++ b/crates/policy/tests/completion.rs
@@ -1,4 +1,4 @@
-//! Completion: one end for each query, honest answers, and queries that are given up at once.
+//! Completion: one end for each query, its coverage, and queries that are rejected at once.
 
 mod support;
 
@@ -9,7 +9,7 @@
 
 #[test]
 fn same_events_give_the_same_actions() {
-    let play = || {
+    let run_scenario = || {
         let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5)]), 5);
         let mut all = Vec::new();
         for i in 0..20 {
@@ -18,7 +18,7 @@
         all.extend(harness.run_timers(600, 2500));
         all
     };
-    assert_eq!(play(), play());
+    assert_eq!(run_scenario(), run_scenario());
 }
 
 #[test]
@@ -31,7 +31,11 @@
         let actions = harness.run_timers(0, 7000);
         assert_eq!(final_actions(&actions), ["rejected"]);
         let (_, last) = harness.query_with_timeout(7000, 0, &[1.0], 1);
-        assert_eq!(final_actions(&last).len(), 1, "no patience at all");
+        assert_eq!(
+            final_actions(&last).len(),
+            1,
+            "the client timeout has nearly passed"
+        );
     }
 }
 
@@ -87,7 +91,7 @@
 }
 
 #[test]
-fn a_shutdown_has_open_queries_end_in_time_with_what_is_in() {
+fn a_shutdown_ends_open_queries_in_time_with_the_results_so_far() {
     const REQUESTED_MS: u64 = 200;
     const ANSWER_BY_MS: u64 = 1500;
     for (minimum_coverage, end) in [(0.6, "partial"), (1.0, "rejected")] {
@@ -125,18 +129,18 @@
 
 #[test]
 fn second_step_is_complete_only_if_the_first_was() {
-    for (landing, word) in [(2, "complete"), (1, "partial")] {
+    for (answered, expected) in [(2, "complete"), (1, "partial")] {
         let mut kind = class(2000, 0.4);
         kind.second_step_parts = 1;
         let mut harness = PolicyHarness::new(settings(vec![kind]), 3);
         let (id, actions) = harness.query(0, 0, &[0.5, 0.5]);
         let replica = sent_attempts(&actions)[0].1;
-        for part in 1..=landing {
+        for part in 1..=answered {
             harness.end_attempt(100, id + part, 0, replica, AttemptOutcome::Success);
         }
         let end = harness.run_timers(110, 1000);
         assert!(
-            landing == 2 || final_actions(&end) == ["partial"],
+            answered == 2 || final_actions(&end) == ["partial"],
             "half of the objective is left for the second step"
         );
         let second = harness.handle_at(
@@ -151,13 +155,13 @@
         let (part, replica) = sent_attempts(&second)[0];
         assert_eq!(
             final_actions(&harness.end_attempt(1100, part, 0, replica, AttemptOutcome::Success)),
-            [word]
+            [expected]
         );
     }
 }
 
 #[test]
-fn events_about_unknown_things_do_no_harm() {
+fn events_about_unknown_identifiers_do_no_harm() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5)]), 2);
     harness.end_attempt(0, 9, 3, ReplicaId(77), AttemptOutcome::Success);
     harness.handle_at(
@@ -189,10 +193,10 @@
     assert_eq!(final_actions(&harness.run_timers(10, 6000)).len(), 1);
 }
 
-/// Some queries bring down each replica that begins a part: asked again and again, they take the
-/// whole fleet.
+/// A query of death crashes each replica that executes one of its parts: with retries, it would
+/// crash the whole fleet.
 #[test]
-fn a_query_that_crashes_every_replica_is_sent_once() {
+fn a_query_of_death_is_sent_once() {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             max_parts_per_call: None,
@@ -204,12 +208,12 @@
     let sent = sent_attempts(&actions);
     let broken = all_attempts_ended(&sent, AttemptOutcome::ConnectionLost);
     let last = harness.handle_at(10, &broken);
-    assert!(sent_attempts(&last).is_empty(), "no replica more");
+    assert!(sent_attempts(&last).is_empty(), "no further replica");
     assert_eq!(final_actions(&last), ["rejected"], "at once");
 }
 
 #[test]
-fn a_query_that_met_dying_replicas_by_chance_is_retried() {
+fn a_query_that_met_failing_replicas_by_chance_is_retried() {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             max_parts_per_call: None,
@@ -225,16 +229,17 @@
     );
     assert!(
         sent_attempts(&first).is_empty() && final_actions(&first).is_empty(),
-        "held while a part may still land"
+        "it waits while a part may still be answered"
     );
-    let landed = harness.handle_at(
+    let answered = harness.handle_at(
         150,
         &all_attempts_ended(&sent[4..], AttemptOutcome::Success),
     );
-    assert_eq!(sent_attempts(&landed).len(), 4, "it does no harm");
+    assert_eq!(sent_attempts(&answered).len(), 4, "it is no query of death");
 }
 
-/// A whole answer that one part has made impossible is given up, though others are still out.
+/// A complete answer that one part has made impossible is not waited for, though another part is
+/// still in flight.
 #[test]
 fn a_query_that_cannot_reach_its_minimum_is_rejected_at_once() {
     let once = PolicySettings {
@@ -253,8 +258,8 @@
     assert_eq!(final_actions(&after), ["rejected"]);
 }
 
-/// No budget before the objective, or no holder left: waiting for a repeat that can't be sent is
-/// holding the query.
+/// Without budget before the objective, or without a holder of the shard, no retry can be sent, so
+/// there is nothing to wait for.
 #[test]
 fn a_query_whose_retry_cannot_be_sent_is_rejected_at_once() {
     let spent = RetryBudget {
--- a/crates/policy/tests/connection_renewal.rs
+++ b/crates/policy/tests/connection_renewal.rs
@@ -5,9 +5,9 @@
 use aggregator_policy::api::*;
 use support::{class, sent_attempts, settings, PolicyHarness, MS};
 
-/// Something on the way drops unused connections unseen: what is sent on one is lost, though the
-/// replica lives. Rounds of a query whose attempts on unused connections break; in which
-/// connections are renewed.
+/// A device on the path drops unused connections without notice: an attempt on one is lost, though
+/// the replica is healthy. Each round is a query whose attempt on an unused connection is lost.
+/// Returns in which rounds connections are renewed.
 fn idle_connections_break(rounds: u64, renewed_break: bool) -> Vec<bool> {
     let mut harness = PolicyHarness::new(
         PolicySettings {
@@ -50,7 +50,7 @@
     let renewed = idle_connections_break(40, false);
     assert!(
         !renewed[..2].contains(&true),
-        "a chance loss or two is no reason"
+        "one or two losses are no reason"
     );
     assert!(renewed.iter().filter(|r| **r).count() > 20, "{renewed:?}");
 }
@@ -58,6 +58,6 @@
 #[test]
 fn renewal_that_does_not_help_ends() {
     let renewed = idle_connections_break(80, true);
-    assert!(renewed.contains(&true), "it is tried");
+    assert!(renewed.contains(&true), "it starts");
     assert!(renewed.iter().filter(|r| **r).count() < 60, "{renewed:?}");
 }
--- a/crates/policy/tests/cutoff.rs
+++ b/crates/policy/tests/cutoff.rs
@@ -5,7 +5,7 @@
 use aggregator_policy::api::*;
 use support::{all_attempts_ended, class, has_log_line, sent_attempts, settings, PolicyHarness};
 
-/// Ten queries whose parts all stay out until late: overload.
+/// Causes overload: ten queries whose parts all stay in flight until they are late.
 fn cause_overload(harness: &mut PolicyHarness, class: u16, from: u64) {
     for i in 0..10 {
         harness.query(from + i, class, &[0.6, 0.3, 0.1]);
@@ -17,14 +17,14 @@
 fn cutoff_climbs_under_overload_and_drops_the_lightest_part() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5), class(90_000, 0.5)]), 3);
     let (_, before) = harness.query(0, 1, &[0.6, 0.39, 0.01]);
-    assert_eq!(sent_attempts(&before).len(), 3, "the cutoff rests at zero");
-    let pressed: Vec<Action> = {
+    assert_eq!(sent_attempts(&before).len(), 3, "the cutoff is zero");
+    let overloaded: Vec<Action> = {
         for i in 0..10 {
             harness.query(10 + i, 0, &[0.6, 0.3, 0.1]);
         }
         harness.run_timers(20, 1750)
     };
-    assert!(has_log_line(&pressed, "cutoff off zero"));
+    assert!(has_log_line(&overloaded, "cutoff off zero"));
     let (id, after) = harness.query(1760, 1, &[0.6, 0.39, 0.01]);
     let own: Vec<u64> = sent_attempts(&after)
         .into_iter()
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn cutoff_keeps_minimum_coverage_and_spares_classes_without_partial_answers() {
+fn cutoff_keeps_minimum_coverage_and_classes_without_partial_answers() {
     let mut harness = PolicyHarness::new(
         settings(vec![
             class(2000, 0.5),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn cutoff_sinks_after_quiet_seconds() {
+fn cutoff_falls_after_seconds_without_overload() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5)]), 3);
     cause_overload(&mut harness, 0, 0);
     let (_, keep_alive) = harness.query(1950, 0, &[1.0]);
@@ -77,9 +77,9 @@
     assert!(!has_log_line(&actions, "cutoff off zero"));
 }
 
-/// Of thirty parts so many are late; how many of a hundred light ones are sent after that one
-/// reading.
-fn sent_after_one_reading(late: usize) -> usize {
+/// Of thirty parts, `late` are late. Returns how many of a hundred light parts are sent after the
+/// cutoff has moved once.
+fn sent_after_one_move(late: usize) -> usize {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5), class(90_000, 0.6)]), 3);
     let (_, actions) = harness.query(0, 0, &[1.0 / 30.0; 30]);
     harness.handle_at(
@@ -94,38 +94,37 @@
         .count()
 }
 
-/// A hundred light parts: a pause at one replica must not drop all that the minimum coverage lets
-/// go.
+/// A pause at one replica must not drop all parts that minimum coverage does not need.
 #[test]
-fn a_step_of_the_cutoff_drops_a_quarter_of_what_may_go() {
-    assert_eq!(sent_after_one_reading(3), 100, "no pressure");
-    let sent = sent_after_one_reading(5);
+fn a_step_of_the_cutoff_drops_a_quarter_of_the_droppable_parts() {
+    assert_eq!(sent_after_one_move(3), 100, "no overload");
+    let sent = sent_after_one_move(5);
     assert!(
         (80..100).contains(&sent),
-        "{sent} of 100 parts sent after a reading with a sixth of it late"
+        "{sent} of 100 parts sent after a sixth of the parts was late"
     );
 }
 
-/// A aggregator among a hundred gets a long query every few seconds: at a step a second its cutoff
-/// came ten seconds after half the replicas had gone.
+/// One aggregator of a hundred receives a long query every few seconds. At one step a second, its
+/// cutoff rose only ten seconds after half of the replicas had failed.
 #[test]
-fn a_reading_that_is_late_all_over_takes_the_cutoff_to_its_ceiling() {
-    let sent = sent_after_one_reading(20);
+fn many_late_parts_move_the_cutoff_to_its_ceiling() {
+    let sent = sent_after_one_move(20);
     assert!(
         (60..=62).contains(&sent),
         "{sent} of 100 parts sent, and 60 is the minimum coverage"
     );
 }
 
-/// Slow handshakes: a aggregator that has just started finds no connection. That is no load: no
-/// light part is dropped for it.
+/// Slow handshakes: an aggregator that has just started has no connections yet. That is no
+/// overload, and no light part is dropped.
 #[test]
-fn failed_connections_to_replicas_never_seen_are_no_overload() {
-    for seen_before in [false, true] {
+fn failed_connections_before_any_response_are_no_overload() {
+    for has_responded in [false, true] {
         let mut harness =
             PolicyHarness::new(settings(vec![class(2000, 0.5), class(90_000, 0.5)]), 3);
         let mut at = 0;
-        while seen_before && at < 3000 {
+        while has_responded && at < 3000 {
             harness.serve_query(at, 100);
             at += 200;
         }
@@ -141,6 +140,6 @@
                 AttemptOutcome::Unreachable,
             ));
         }
-        assert_eq!(has_log_line(&seen, "cutoff off zero"), seen_before);
+        assert_eq!(has_log_line(&seen, "cutoff off zero"), has_responded);
     }
 }
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -27,7 +27,8 @@
     );
 }
 
-/// All that fail and ask again at once keep the service of the list too busy to answer any.
+/// If all aggregators repeated a failed poll at once, the endpoint list's service would be too busy
+/// to answer any.
 #[test]
 fn a_polled_list_is_polled_again_with_backoff_after_failures() {
     let on_request = PolicySettings {
@@ -45,7 +46,7 @@
         .map(|t| t * 10)
         .find(|ms| polled(&harness.handle_at(*ms, &[])))
         .unwrap();
-    assert!(first <= 6_000, "soon, though not all at once");
+    assert!(first <= 6_000, "soon, at a random time");
     assert!(!polled(&harness.handle_at(first + 10, &[])));
     let mut last = first;
     for failure in 0..4 {
@@ -68,15 +69,12 @@
             again - at >= (2_000 << failure).min(6_000),
             "longer each time"
         );
-        assert!(
-            again - at <= 20_000,
-            "within the time in which it has to be asked for"
-        );
+        assert!(again - at <= 20_000, "within the poll interval");
         last = again;
     }
     harness.update_endpoints(EndpointUpdateKind::Delta, vec![ready_replica(1)]);
     assert!(
         (0..300).all(|t| !polled(&harness.fire_timer(last + 100 + t * 100))),
-        "subscribed"
+        "no poll while the watch is open"
     );
 }
--- a/crates/policy/tests/hedging.rs
+++ b/crates/policy/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: when a second attempt is sent, and its cap.
+//! Hedging: when a hedged request is sent, and how many.
 
 mod support;
 
@@ -14,9 +14,9 @@
     let (id, actions) = harness.query(0, 0, &[1.0]);
     let silent = sent_attempts(&actions)[0].1;
     let later = harness.run_timers(10, 400);
-    let copies = sent_attempts(&later);
-    assert_eq!(copies.len(), 1);
-    assert_ne!(copies[0].1, silent);
+    let hedges = sent_attempts(&later);
+    assert_eq!(hedges.len(), 1);
+    assert_ne!(hedges[0].1, silent);
     assert!(has_log_line(&later, "is an outlier"));
     for i in 0..10 {
         let (_, actions) = harness.query(410 + i, 0, &[1.0]);
@@ -32,8 +32,8 @@
     for i in 0..40 {
         harness.query(i * 5, 0, &[1.0]);
     }
-    let copies = sent_attempts(&harness.run_timers(210, 1900)).len();
-    assert!(copies <= 8, "{copies} copies of 40 parts");
+    let hedges = sent_attempts(&harness.run_timers(210, 1900)).len();
+    assert!(hedges <= 8, "{hedges} hedged requests for 40 parts");
 }
 
 #[test]
@@ -43,20 +43,20 @@
     let (lost, _) = harness.query(200, 0, &[0.5, 0.5]);
     harness.update_endpoints(EndpointUpdateKind::Delta, vec![ready_replica(2)]);
     harness.end_attempt(300, lost + 1, 0, ReplicaId(1), AttemptOutcome::Success);
-    let copies = sent_attempts(&harness.run_timers(310, 900));
-    assert_eq!(copies, [(lost + 2, ReplicaId(2))]);
+    let hedges = sent_attempts(&harness.run_timers(310, 900));
+    assert_eq!(hedges, [(lost + 2, ReplicaId(2))]);
     let (_, actions) = harness.query(910, 0, &[1.0]);
     assert_eq!(
         sent_attempts(&actions).len(),
         1,
-        "the lost call stands in nobody's way"
+        "the lost call does not block the replica"
     );
 }
 
-/// A lone query of many parts, most of them lost: its hedged requests must not end when its parts
-/// are two seconds old.
+/// A single query of many parts, of which thirty are lost: hedged requests are sent for them also
+/// when they are more than two seconds old.
 #[test]
-fn a_lone_long_query_is_hedged_late() {
+fn a_single_long_query_is_hedged_late() {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             max_parts_per_call: None,
@@ -68,16 +68,16 @@
     for (part, replica) in sent_attempts(&actions).into_iter().skip(30) {
         harness.end_attempt(300, part, 0, replica, AttemptOutcome::Success);
     }
-    let copies = sent_attempts(&harness.run_timers(310, 3900));
-    let late = copies.iter().filter(|(part, _)| *part > id).count();
-    assert!(late > 15, "{late} copies of thirty lost parts");
+    let hedges = sent_attempts(&harness.run_timers(310, 3900));
+    let late = hedges.iter().filter(|(part, _)| *part > id).count();
+    assert!(late > 15, "{late} hedged requests for thirty lost parts");
 }
 
-/// When all are slow the first attempt lands before its copy: hedged requests double the load and
-/// win nothing.
+/// When all replicas are slow, the first attempt is answered before the hedged request, which then
+/// adds load without a benefit.
 #[test]
-fn hedged_requests_that_lose_their_races_become_few() {
-    let copies = |first_lands: bool| {
+fn hedged_requests_become_few_where_they_lose() {
+    let hedges = |first_wins: bool| {
         let mut harness = PolicyHarness::new(
             PolicySettings {
                 max_parts_per_call: None,
@@ -100,7 +100,7 @@
                     events.push(attempt_ended(*part, 0, *replica, AttemptOutcome::Success));
                     continue;
                 };
-                let (won, lost) = if first_lands { (0, 1) } else { (1, 0) };
+                let (won, lost) = if first_wins { (0, 1) } else { (1, 0) };
                 let by = [*replica, *other];
                 events.push(attempt_ended(
                     *part,
@@ -120,15 +120,15 @@
         last
     };
     assert!(
-        copies(false) > copies(true),
+        hedges(false) > hedges(true),
         "{} and {}",
-        copies(false),
-        copies(true)
+        hedges(false),
+        hedges(true)
     );
 }
 
 #[test]
-fn no_second_attempt_is_out_beside_the_first_where_hedging_is_not_allowed() {
+fn no_second_attempt_is_sent_where_hedging_is_not_allowed() {
     let no_hedging = PolicySettings {
         hedging_allowed: false,
         ..settings(vec![class(2000, 1.0)])
--- a/crates/policy/tests/outlier.rs
+++ b/crates/policy/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: ejection, full replicas and health checks.
+//! Outlier detection: ejection, saturated replicas and health checks.
 
 mod support;
 
@@ -14,19 +14,19 @@
 }
 
 #[test]
-fn a_full_replica_is_avoided_for_a_moment() {
+fn a_saturated_replica_is_avoided_for_a_while() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
     let (id, actions) = harness.query(0, 0, &[1.0]);
-    let full = sent_attempts(&actions)[0].1;
-    harness.end_attempt(1, id + 1, 0, full, AttemptOutcome::Rejected);
+    let saturated = sent_attempts(&actions)[0].1;
+    harness.end_attempt(1, id + 1, 0, saturated, AttemptOutcome::Rejected);
     for i in 0..10 {
         let (_, actions) = harness.query(10 + i, 0, &[1.0]);
-        assert_ne!(sent_attempts(&actions)[0].1, full);
+        assert_ne!(sent_attempts(&actions)[0].1, saturated);
     }
 }
 
-/// Breaks the connection to replica 1 and tells how many ms it rests. Replica 2 fails all that it
-/// gets.
+/// Breaks the connection to replica 1 and returns how many ms it is ejected. Replica 2 fails all
+/// attempts.
 fn ejection_time(harness: &mut PolicyHarness) -> u64 {
     let mut broken = None;
     for _ in 0..400 {
@@ -47,7 +47,7 @@
             }
         }
     }
-    panic!("it was never tried again");
+    panic!("no attempt was sent to it again");
 }
 
 #[test]
@@ -62,12 +62,12 @@
     let (first, second) = (ejection_time(&mut harness), ejection_time(&mut harness));
     assert!(
         first >= 1000 && second >= 1000,
-        "rested {first} ms, then {second} ms"
+        "ejected for {first} ms, then for {second} ms"
     );
 }
 
-/// Rare queries: a replica that never answered must not look like the average again a moment after
-/// it failed.
+/// With few queries, a replica that never answered must not be assumed to have the mean latency
+/// again soon after it failed.
 #[test]
 fn failures_of_a_replica_that_never_answered_are_remembered() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
@@ -86,8 +86,8 @@
     }
 }
 
-/// One-sided loss: the copy lands, the lost attempt is cancelled, and nobody ever says that it was
-/// lost.
+/// Requests to one replica are lost: the hedged request is answered and the first attempt is
+/// cancelled, so that no outcome ever states that it was lost.
 #[test]
 fn a_silent_attempt_that_lost_against_its_hedge_counts_as_a_failure() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
@@ -96,16 +96,16 @@
     }
     let (id, actions) = harness.query(3000, 0, &[1.0]);
     let (_, lossy) = sent_attempts(&actions)[0];
-    let copy = sent_attempts(&harness.run_timers(3010, 3900))[0].1;
-    harness.end_attempt(4000, id + 1, 1, copy, AttemptOutcome::Success);
-    assert_ne!(copy, lossy);
+    let hedge = sent_attempts(&harness.run_timers(3010, 3900))[0].1;
+    harness.end_attempt(4000, id + 1, 1, hedge, AttemptOutcome::Success);
+    assert_ne!(hedge, lossy);
     for at in [6000, 6500, 7000] {
-        assert_eq!(harness.serve_query(at, 150), copy);
+        assert_eq!(harness.serve_query(at, 150), hedge);
     }
 }
 
-/// Trouble for us alone at many replicas: the ones not met yet are found out by health checks, not
-/// by parts.
+/// Many replicas do not respond to this aggregator: the others are checked by health checks, not by
+/// parts of queries.
 #[test]
 fn many_silent_replicas_cause_one_round_of_health_checks() {
     let health_checks = |actions: &[Action]| -> Vec<ReplicaId> {
@@ -133,7 +133,7 @@
         assert_eq!(polled.is_empty(), !health_checks_allowed);
         assert!(
             sent.iter().all(|(_, failed)| !polled.contains(failed)),
-            "only those not met yet"
+            "only replicas without an attempt"
         );
         assert!(
             health_checks(&harness.run_timers(260, 1000)).is_empty(),
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -13,7 +13,7 @@
 const BATCHES: usize = 600;
 const BATCHES_PER_DIGEST: usize = 100;
 
-/// How replicas behave for a while: chances in 100 of each end of an attempt, and the usual
+/// How replicas behave in a period: chances in 100 of each end of an attempt, and the typical
 /// latency.
 #[derive(Clone, Copy)]
 struct ReplicaBehavior {
@@ -130,7 +130,7 @@
     second_step_begun: bool,
 }
 
-/// One policy in a made-up world that answers its actions.
+/// One policy, in an environment that responds to its actions.
 pub struct Scenario {
     random: Rng,
     settings: PolicySettings,
@@ -138,7 +138,7 @@
     now: Nanos,
     behavior: ReplicaBehavior,
     entries: Vec<ReplicaEntry>,
-    /// What happens later, in order of time and then of planning.
+    /// Later events, in order of time and then of scheduling.
     planned: BTreeMap<(Nanos, u64), Event>,
     attempts: BTreeMap<(RequestId, u8), (Nanos, u64)>,
     attempts_of_part: BTreeMap<RequestId, u8>,
--- a/crates/policy/tests/replica_selection.rs
+++ b/crates/policy/tests/replica_selection.rs
@@ -44,8 +44,8 @@
     assert_eq!(sent_attempts(&first)[0].1, fast);
 }
 
-/// Each part that crosses zones costs points, whatever the load: while there is time, a short queue
-/// at the near replica is better than crossing, and a long one is not.
+/// Each part sent to another zone has a price, whatever the load. A short queue at a replica in the
+/// same zone costs less than that, and a long one does not.
 #[test]
 fn a_replica_in_the_same_zone_is_preferred_while_its_queue_is_short() {
     let priced = PolicySettings {
@@ -74,21 +74,21 @@
     assert_eq!(
         near,
         [true, true, false],
-        "one in its queue costs less than crossing, two cost more"
+        "one part in its queue costs less than another zone, two cost more"
     );
 }
 
-/// Each shard is held by the replicas in its cell and the ones after it, around the end of the
-/// ring.
+/// Each shard is held by the replicas in its cell and the following ones; the first cell follows
+/// the last.
 #[test]
 fn a_part_goes_only_to_replicas_whose_cells_hold_its_shard() {
-    let ring = PolicySettings {
+    let five_cells = PolicySettings {
         placement_cells: 5,
         cells_per_shard: 2,
         max_parts_per_call: None,
         ..settings(vec![class(2000, 1.0)])
     };
-    let mut harness = PolicyHarness::new(ring, 0);
+    let mut harness = PolicyHarness::new(five_cells, 0);
     let in_cell = |cell: u16| ReplicaEntry {
         cell,
         ..ready_replica(u64::from(cell))
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn a_non_idempotent_part_that_may_have_run_is_neither_retried_nor_rejected() {
+fn a_non_idempotent_part_that_may_have_run_is_not_repeated() {
     let mut kind = class(2000, 1.0);
     kind.idempotency = Idempotency::NonIdempotent;
     let mut harness = PolicyHarness::new(settings(vec![kind]), 3);
@@ -18,7 +18,7 @@
     assert_eq!(
         sent_attempts(&again).len(),
         1,
-        "it never ran, so it may go again"
+        "it was not executed, so it may be retried"
     );
     let lost = harness.end_attempt(
         20,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_retry_budget_holds_up_to_the_edge_of_its_window() {
+fn the_retry_budget_applies_up_to_the_end_of_its_window() {
     let mut tight = settings(vec![class(2000, 1.0)]);
     tight.retry_budget = Some(RetryBudget {
         minimum: 1.0,
@@ -120,11 +120,11 @@
         );
     }
     assert!(sent_attempts(&actions).is_empty());
-    assert_eq!(final_actions(&actions), ["rejected"], "given up at once");
+    assert_eq!(final_actions(&actions), ["rejected"], "rejected at once");
 }
 
-/// A tight budget: attempts for queries that may do without a part must not starve those that need
-/// every one.
+/// With a small budget, retries for queries that accept partial answers must leave enough for those
+/// that need every part.
 #[test]
 fn half_of_the_budget_is_kept_for_classes_without_partial_answers() {
     let mut tight = settings(vec![class(2000, 0.5), class(2000, 1.0)]);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -31,7 +31,10 @@
     let burst: usize = (0..50)
         .map(|i| sent_attempts(&harness.query(i, 0, &[0.5, 0.5]).1).len())
         .sum();
-    assert!(burst <= 3, "{burst} parts sent to a cold replica at once");
+    assert!(
+        burst <= 3,
+        "{burst} parts sent at once to a replica that warms up"
+    );
 }
 
 #[test]
@@ -50,12 +53,12 @@
     assert_eq!(sent(&mut harness, 10), 0);
     assert!(
         !sent_attempts(&harness.run_timers(1020, 1500)).is_empty(),
-        "its allowance comes back without a further send"
+        "its allowance returns without a further send"
     );
 }
 
-/// Dozens of aggregators, each with one part a window, would push a replica that warms up over
-/// together.
+/// Dozens of aggregators that each send one part in a window would together overload a replica that
+/// warms up.
 #[test]
 fn many_aggregators_share_the_allowance_of_a_replica_that_warms_up() {
     let crowd = PolicySettings {
@@ -85,9 +88,9 @@
     );
 }
 
-/// The most parts that all aggregators together send a replica that starts, in any window of the
-/// rule, over what it bears in that window. Each serves warm replicas at an even rate first; then a
-/// burst comes.
+/// Returns by how many parts all aggregators together exceed the allowance of a replica that
+/// starts, in the worst overload window. Each aggregator first uses warm replicas at an even rate;
+/// then there is a burst.
 fn excess_over_the_allowance(aggregators: u32, seed: u64) -> f64 {
     const WARM: u64 = 4;
     let (cold, rate) = (slow_start_settings(), 20.0);
@@ -143,14 +146,14 @@
             .count() as f64;
         let age = (*end - START) as f64 / MS as f64 - 160_000.0;
         let warmth = 0.2 + 0.8 * age / 10_000.0;
-        let bears = 4.0 * warmth * rate;
-        sent - (bears + 2.0 * bears.sqrt() + 2.0)
+        let allowance = 4.0 * warmth * rate;
+        sent - (allowance + 2.0 * allowance.sqrt() + 2.0)
     });
     over.fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// Each one's fraction of a part is drawn anew in every window, and the rule's window slides over
-/// two of them.
+/// Each aggregator rounds its allowance at random in every window of its own; the overload window
+/// may span two of them.
 #[test]
 fn an_entire_fleet_stays_within_the_allowance_in_any_window() {
     for aggregators in [2, 6, 25, 100, 300] {
@@ -164,8 +167,8 @@
     }
 }
 
-/// What a replica that warms up bears was reckoned from sends kept for the span of a budget: five
-/// times too many.
+/// Sends were once held for the budget's window and counted for the allowance, which was five times
+/// too large for it.
 #[test]
 fn a_long_budget_window_does_not_raise_the_allowance() {
     let retry_budget = Some(RetryBudget {
@@ -199,12 +202,12 @@
         .count();
     assert!(
         (1..=6).contains(&cold),
-        "{cold} parts for one that bears about four"
+        "{cold} parts for a replica with an allowance of about four"
     );
 }
 
-/// One that has run for less than the time of warming up took its answers for those of all that
-/// time: after a restart it left fresh replicas idle, beside old ones that drowned.
+/// An aggregator that has run for less than the warm-up time must not divide its results by all of
+/// that time: after a restart it would leave new replicas idle and overload the others.
 #[test]
 fn an_aggregator_that_has_just_started_uses_the_full_allowance() {
     let mut harness = PolicyHarness::new(slow_start_settings(), 1);
@@ -227,13 +230,13 @@
         .count();
     assert!(
         (10..=21).contains(&cold),
-        "{cold} parts for one that bears about twenty"
+        "{cold} parts for a replica with an allowance of about twenty"
     );
 }
 
-/// A query that waits since no replica may take its part is over when its client disconnects.
+/// A query whose part waits for an allowance ends when its client disconnects.
 #[test]
-fn what_waits_for_an_allowance_is_not_sent_after_its_client_has_disconnected() {
+fn a_part_that_waits_for_an_allowance_is_not_sent_after_a_disconnect() {
     let mut harness = PolicyHarness::new(slow_start_settings(), 0);
     harness.update_endpoints(
         EndpointUpdateKind::Snapshot,
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A policy with hand-made events, and short forms of what the tests look for in its actions.
+//! A harness for a policy, and helpers that find what tests check in its actions.
 
 #![allow(dead_code)] // Each test file uses its own part of it.
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// One class that needs every part, and clients that mark their repeats.
+/// One class that needs every part, and clients that mark their retries.
 pub fn settings_with_marked_retries() -> PolicySettings {
     PolicySettings {
         retries_marked: true,
@@ -86,8 +86,8 @@
         self.handle_at(ms, &[Event::EndpointsUpdated { kind, entries }]);
     }
 
-    /// A query of class 0 with parts of these weights, at shards 0, 1, ...; its id and the actions.
-    /// The parts' ids follow the query's.
+    /// Sends a query with parts of these weights, at shards 0, 1, ... Returns its id and the
+    /// actions. The parts' ids follow the query's.
     pub fn query(&mut self, ms: u64, class: u16, weights: &[f64]) -> (u64, Vec<Action>) {
         let client_timeout = 6000 * MS;
         self.query_with_timeout(ms, class, weights, client_timeout)
@@ -148,14 +148,14 @@
         self.handle_at(ms, &[Event::TimerFired { token: 0 }])
     }
 
-    /// Ticks every 10 ms from one time to another and gathers what is done.
+    /// Fires the timer every 10 ms from one time to another and returns all actions.
     pub fn run_timers(&mut self, from: u64, to: u64) -> Vec<Action> {
         (from / 10..=to / 10)
             .flat_map(|t| self.fire_timer(t * 10))
             .collect()
     }
 
-    /// A query of one part that is answered after `took` ms.
+    /// Runs a query of one part that is answered after `took` ms. Returns its replica.
     pub fn serve_query(&mut self, ms: u64, took: u64) -> ReplicaId {
         let (id, actions) = self.query(ms, 0, &[1.0]);
         let (_, replica) = sent_attempts(&actions)[0];
@@ -181,7 +181,7 @@
         .collect()
 }
 
-/// What is sent, in order, as part and replica.
+/// The attempts sent, in order, as part and replica.
 pub fn sent_attempts(actions: &[Action]) -> Vec<(u64, ReplicaId)> {
     let send = |a: &Action| match a {
         Action::SendAttempt { part, replica, .. } => Some((*part, *replica)),
@@ -190,9 +190,9 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// Final words on queries: "complete", "partial", "rejected" or "failed".
+/// How queries ended: "complete", "partial", "rejected" or "failed".
 pub fn final_actions(actions: &[Action]) -> Vec<&'static str> {
-    let word = |a: &Action| match a {
+    let end = |a: &Action| match a {
         Action::Answer { complete: true, .. } => Some("complete"),
         Action::Answer {
             complete: false, ..
@@ -201,7 +201,7 @@
         Action::Fail { .. } => Some("failed"),
         _ => None,
     };
-    actions.iter().filter_map(word).collect()
+    actions.iter().filter_map(end).collect()
 }
 
 pub fn has_log_line(actions: &[Action], word: &str) -> bool {
