--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -2,7 +2,10 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{
+    Action, AttemptOutcome, EndpointUpdateKind, Event, PolicySettings, QueryClass, ReplicaEntry,
+    ReplicaId,
+};
 use support::{
     all_attempts_ended, attempt_ended, class, final_actions, ready_replica, sent_attempts,
     settings, settings_with_marked_retries, PolicyHarness, MS, START,
--- a/crates/policy/tests/completion.rs
+++ b/crates/policy/tests/completion.rs
@@ -2,7 +2,10 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{
+    Action, AttemptEnded, AttemptOutcome, EndpointUpdateKind, Event, PartReceived, PolicySettings,
+    ReplicaId, RetryBudget,
+};
 use support::{
     all_attempts_ended, class, final_actions, sent_attempts, settings, PolicyHarness, MS, START,
 };
--- a/crates/policy/tests/connection_renewal.rs
+++ b/crates/policy/tests/connection_renewal.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{Action, AttemptOutcome, PolicySettings};
 use support::{class, sent_attempts, settings, PolicyHarness, MS};
 
 /// A device on the path drops unused connections without notice: an attempt on one is lost, though
--- a/crates/policy/tests/cutoff.rs
+++ b/crates/policy/tests/cutoff.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{Action, AttemptOutcome};
 use support::{all_attempts_ended, class, has_log_line, sent_attempts, settings, PolicyHarness};
 
 /// Causes overload: ten queries whose parts all stay in flight until they are late.
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{
+    Action, EndpointUpdateKind, Event, PolicySettings, ReplicaEntry, ReplicaId, ReplicaState,
+};
 use aggregator_policy::Policy;
 use support::{class, ready_replica, sent_attempts, settings, PolicyHarness, MS, START};
 
--- a/crates/policy/tests/hedging.rs
+++ b/crates/policy/tests/hedging.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{AttemptOutcome, EndpointUpdateKind, PolicySettings, ReplicaId};
 use support::{
     attempt_ended, class, final_actions, has_log_line, ready_replica, sent_attempts, settings,
     PolicyHarness,
--- a/crates/policy/tests/outlier.rs
+++ b/crates/policy/tests/outlier.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{
+    Action, AttemptOutcome, Event, HealthCheckEnded, PolicySettings, ReplicaId,
+};
 use support::{all_attempts_ended, class, sent_attempts, settings, PolicyHarness, MS, START};
 
 #[test]
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -1,7 +1,11 @@
 //! A seeded policy in a simulated environment: replicas that answer, fail or fall silent, clients
 //! that retry and disconnect, and an endpoint list that changes.
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{
+    Action, AttemptEnded, AttemptOutcome, EndpointUpdateKind, Event, HealthCheckEnded, Idempotency,
+    LoadReport, Nanos, PartReceived, PolicySettings, QueryClass, QueryReceived, ReplicaEntry,
+    ReplicaId, ReplicaState, RequestId, RetryBudget,
+};
 use aggregator_policy::Policy;
 use fastrand::Rng;
 use std::collections::BTreeMap;
--- a/crates/policy/tests/replica_selection.rs
+++ b/crates/policy/tests/replica_selection.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{
+    AttemptOutcome, EndpointUpdateKind, PolicySettings, ReplicaEntry, ReplicaId,
+};
 use support::{all_attempts_ended, class, ready_replica, sent_attempts, settings, PolicyHarness};
 
 #[test]
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{Action, AttemptOutcome, Idempotency, PolicySettings, RetryBudget};
 use support::{
     all_attempts_ended, class, final_actions, sent_attempts, settings, PolicyHarness, MS,
 };
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{
+    AttemptOutcome, EndpointUpdateKind, Event, PolicySettings, ReplicaEntry, ReplicaId, RetryBudget,
+};
 use aggregator_policy::Policy;
 use support::{
     attempt_ended, class, ready_replica, sent_attempts, settings, PolicyHarness, MS, START,
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -2,7 +2,10 @@
 
 #![allow(dead_code)] // Each test file uses its own part of it.
 
-use aggregator_policy::api::*;
+use aggregator_policy::api::{
+    Action, AttemptEnded, AttemptOutcome, EndpointUpdateKind, Event, PartReceived, PolicySettings,
+    QueryClass, QueryReceived, ReplicaEntry, ReplicaId, ReplicaState,
+};
 use aggregator_policy::Policy;
 
 pub const MS: u64 = 1_000_000;
