--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,10 @@
-//! Every decision about queries and their parts: admission, selection, replica choice, retries, and
-//! when to answer or to reject. Events go in and actions come out; there is no I/O and no clock.
+//! Every decision about queries and their parts: admission, replica selection, retries, hedging,
+//! and when to answer or to reject. [`Policy::handle`] takes events and returns actions; there is
+//! no I/O and no clock.
 //!
-//! The decisions are in `policy`, one concern to a file; [`api`] is what goes in and out. The
-//! records and statistics that the decisions rest on are private.
+//! [`api`] has the events, the actions and the settings. `policy` has a file for each decision,
+//! with the state that it owns; `state` has the records of queries and replicas, and `stats`
+//! generic statistics.
 
 pub mod api;
 mod policy;
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -101,6 +101,7 @@
 fn shortest_wait(part: &PartState, context: &Context) -> f64 {
     let holders = context.replicas.holders(&context.settings, part.shard);
     let available = holders.filter(|replica| context.now >= replica.saturated_until);
-    let waits = available.map(|replica| replica.expected_wait(context.now, context.objective));
+    let waits =
+        available.map(|replica| replica.expected_wait(context.now, context.shortest_objective));
     waits.fold(f64::INFINITY, f64::min)
 }
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -1,14 +1,102 @@
-//! The end of an attempt, and every measurement that it changes.
+//! The end of an attempt, and everything that it changes: `record_end_at_replica` lists what
+//! concerns replicas and `record_end_at_part` what concerns queries, one step a line.
 
 use super::context::Context;
 use super::{tuning, Policy};
 use crate::api::{AttemptEnded, AttemptOutcome, HealthCheckEnded, Nanos, ReplicaId};
-use crate::state::{AttemptEnd, AttemptId, ConnectionUse, InFlightAttempt, ReplicaRecord};
+use crate::state::{AttemptEnd, AttemptKey, ConnectionUse, InFlightAttempt, ReplicaRecord};
 use AttemptOutcome::{
     Cancelled, ConnectionLost, Error, NotSent, Rejected, Success, TimedOut, Unreachable,
 };
 
-/// What the end of an attempt says about its replica.
+impl Policy {
+    pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded) {
+        let id = AttemptKey {
+            part: ended.part,
+            number: ended.attempt,
+        };
+        let Some(attempt) = self.in_flight.remove(&id) else {
+            return;
+        };
+        let is_missed = self.is_missed(&attempt, ended.outcome);
+        self.record_end_at_replica(attempt, ended.outcome);
+        self.record_end_at_part(id, ended.outcome, is_missed);
+    }
+
+    pub(super) fn on_health_check_ended(&mut self, ended: &HealthCheckEnded) {
+        match ended.outcome {
+            Success => self.on_response(ended.replica),
+            TimedOut | Unreachable | ConnectionLost => {
+                let sent = self.context.now.saturating_sub(ended.latency);
+                let connection = ConnectionUse::RecentlyUsed;
+                let check = InFlightAttempt::new(ended.replica, sent, connection);
+                self.record_end_at_replica(check, ended.outcome);
+            }
+            Error | Rejected | Cancelled | NotSent => {}
+        }
+    }
+
+    /// Handles a response that does not end an attempt.
+    pub(super) fn on_response(&mut self, id: ReplicaId) {
+        let now = self.context.now;
+        if let Some(replica) = self.context.replicas.get_mut(id) {
+            let lost_connections = replica.record_response(now);
+            self.renewal
+                .record_losses(now, lost_connections, &mut self.output);
+        }
+    }
+
+    /// Whether the attempt shows missing capacity. A failed connection does where the replica
+    /// responded lately or attempts are limited by a budget; elsewhere it may just be slow, and
+    /// dropping light parts would not help.
+    fn is_missed(&self, attempt: &InFlightAttempt, outcome: AttemptOutcome) -> bool {
+        let Context { now, latency, .. } = &self.context;
+        let is_recent = |response: Nanos| latency.staleness(*now, response) < 1.0;
+        let replica = self.context.replicas.get(attempt.replica);
+        let has_responded = replica.is_some_and(|replica| is_recent(replica.last_response));
+        let is_capacity_lost = has_responded || self.context.settings.retry_budget.is_some();
+        outcome == Rejected || outcome == Unreachable && is_capacity_lost
+    }
+
+    /// Updates the replica's record and every measurement of replicas.
+    fn record_end_at_replica(&mut self, attempt: InFlightAttempt, outcome: AttemptOutcome) {
+        let Some(replica) = self.context.replicas.get(attempt.replica) else {
+            return;
+        };
+        let end = attempt.end(outcome, self.context.now);
+        let update = ReplicaUpdate::new(end, replica, &self.context);
+        let Some(replica) = self.context.replicas.get_mut(end.replica) else {
+            return;
+        };
+        update.mark_saturated(replica);
+        update.record_result_interval(replica);
+        replica.outstanding.remove_part(end.sent);
+        update.record_latency(replica);
+        update.record_lost_connection(replica);
+        let lost_connections = update.record_response(replica);
+        self.slow_start.on_attempt_end(&end);
+        self.context.latency.on_attempt_end(&end);
+        self.renewal
+            .on_attempt_end(&end, lost_connections, &mut self.output);
+        self.outliers
+            .on_attempt_end(&end, replica, &mut self.output);
+    }
+
+    /// Updates the part's record and every measurement of parts.
+    fn record_end_at_part(&mut self, id: AttemptKey, outcome: AttemptOutcome, is_missed: bool) {
+        let Some(part) = self.queries.part_mut(id.part) else {
+            return;
+        };
+        if let Some(winner) = part.end_attempt(id.number, outcome) {
+            self.hedging.record_race(winner);
+        }
+        if part.is_answered || is_missed {
+            self.cutoff.record(self.context.now, part, is_missed);
+        }
+    }
+}
+
+/// What follows from the end of an attempt for the record of its replica.
 #[derive(Debug)]
 struct ReplicaUpdate {
     end: AttemptEnd,
@@ -34,16 +122,16 @@
             Success => latency,
             NotSent => known_latency,
             Cancelled => latency.max(known_latency),
-            _ => known_latency.max(tuning::LATE_SHARE * context.objective),
+            _ => known_latency.max(tuning::LATE_SHARE * context.shortest_objective),
         };
-        let hedging_delay = context.latency.hedging_delay(context.objective);
+        let hedging_delay = context.latency.hedging_delay(context.shortest_objective);
         let is_overdue = latency > hedging_delay && replica.last_response <= end.sent;
         ReplicaUpdate {
             end,
             is_failure: end.outcome != Success && (end.outcome != Cancelled || is_overdue),
             smoothed_latency,
             latency_sample,
-            saturation_time: (tuning::SATURATION_SHARE * context.objective) as Nanos,
+            saturation_time: (tuning::SATURATION_SHARE * context.shortest_objective) as Nanos,
         }
     }
 
@@ -89,88 +177,3 @@
         }
     }
 }
-
-impl Policy {
-    pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded) {
-        let id = AttemptId {
-            part: ended.part,
-            number: ended.attempt,
-        };
-        let Some(attempt) = self.in_flight.remove(&id) else {
-            return;
-        };
-        let is_missed = self.is_missed(&attempt, ended.outcome);
-        self.record_end_at_replica(attempt, ended.outcome);
-        self.record_end_at_part(id, ended.outcome, is_missed);
-    }
-
-    pub(super) fn on_health_check_ended(&mut self, ended: &HealthCheckEnded) {
-        match ended.outcome {
-            Success => self.on_response(ended.replica),
-            TimedOut | Unreachable | ConnectionLost => {
-                let sent = self.context.now.saturating_sub(ended.latency);
-                let connection = ConnectionUse::RecentlyUsed;
-                let check = InFlightAttempt::new(ended.replica, sent, connection);
-                self.record_end_at_replica(check, ended.outcome);
-            }
-            Error | Rejected | Cancelled | NotSent => {}
-        }
-    }
-
-    /// Handles a response that is no end of an attempt.
-    pub(super) fn on_response(&mut self, id: ReplicaId) {
-        let now = self.context.now;
-        if let Some(replica) = self.context.replicas.get_mut(id) {
-            let lost = replica.record_response(now);
-            self.renewal.record_losses(now, lost, &mut self.output);
-        }
-    }
-
-    /// Whether the attempt shows missing capacity. A failed connection does where the replica
-    /// responded lately or attempts are limited by a budget; elsewhere it may just be slow, and
-    /// dropping light parts would not help.
-    fn is_missed(&self, attempt: &InFlightAttempt, outcome: AttemptOutcome) -> bool {
-        let Context { now, latency, .. } = &self.context;
-        let replica = self.context.replicas.get(attempt.replica);
-        let has_responded =
-            replica.is_some_and(|replica| latency.staleness(*now, replica.last_response) < 1.0);
-        let is_capacity_lost = has_responded || self.context.settings.retry_budget.is_some();
-        outcome == Rejected || outcome == Unreachable && is_capacity_lost
-    }
-
-    /// All that the end of an attempt changes about its replica and the measurements of replicas.
-    fn record_end_at_replica(&mut self, attempt: InFlightAttempt, outcome: AttemptOutcome) {
-        let Some(replica) = self.context.replicas.get(attempt.replica) else {
-            return;
-        };
-        let end = attempt.end(outcome, self.context.now);
-        let update = ReplicaUpdate::new(end, replica, &self.context);
-        let Some(replica) = self.context.replicas.get_mut(end.replica) else {
-            return;
-        };
-        update.mark_saturated(replica);
-        update.record_result_interval(replica);
-        replica.outstanding.remove_part(end.sent);
-        update.record_latency(replica);
-        update.record_lost_connection(replica);
-        let lost = update.record_response(replica);
-        self.slow_start.on_attempt_end(&end);
-        self.context.latency.on_attempt_end(&end);
-        self.renewal.on_attempt_end(&end, lost, &mut self.output);
-        self.outliers
-            .on_attempt_end(&end, replica, &mut self.output);
-    }
-
-    /// All that the end of an attempt changes about its part and the measurements of parts.
-    fn record_end_at_part(&mut self, id: AttemptId, outcome: AttemptOutcome, is_missed: bool) {
-        let Some(part) = self.queries.part_mut(id.part) else {
-            return;
-        };
-        if let Some(winner) = part.end_attempt(id.number, outcome) {
-            self.hedging.record_race(winner);
-        }
-        if part.is_answered || is_missed {
-            self.cutoff.record(self.context.now, part, is_missed);
-        }
-    }
-}
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -4,7 +4,7 @@
 use super::{tuning, Policy};
 use crate::api::{Action, ReplicaId};
 use crate::state::{
-    AttemptId, AttemptRecord, ConnectionUse, InFlightAttempt, PartState, QueryState,
+    AttemptKey, AttemptRecord, ConnectionUse, InFlightAttempt, PartState, QueryState,
 };
 
 impl Policy {
@@ -147,7 +147,7 @@
         if !part.attempts.is_empty() {
             self.retry_limiter.record_retry(now);
         }
-        let attempt = AttemptId {
+        let attempt = AttemptKey {
             part: part.id,
             number: part.attempts.len() as u8,
         };
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -112,7 +112,7 @@
         if is_unanswerable || self.context.now >= self.last_useful_moment(query) {
             return QueryDecision::RejectOrFail;
         }
-        let objective = self.context.objective;
+        let objective = self.context.shortest_objective;
         let step_age = (self.context.now - query.step_started) as f64;
         let is_overdue = step_age > self.context.latency.hedging_delay(objective);
         if !is_query_of_death || is_overdue {
--- a/crates/policy/src/policy/connection_renewal.rs
+++ b/crates/policy/src/policy/connection_renewal.rs
@@ -64,7 +64,7 @@
         self.long_idle_time > 0
     }
 
-    /// Counts the connection of an attempt that was answered, and those lost before.
+    /// Counts the connections lost before this response, and that of an attempt that was answered.
     pub fn on_attempt_end(
         &mut self,
         end: &AttemptEnd,
--- a/crates/policy/src/policy/context.rs
+++ b/crates/policy/src/policy/context.rs
@@ -12,7 +12,7 @@
     /// What the operator has stated.
     pub settings: PolicySettings,
     /// The shortest latency objective of a class, ns.
-    pub objective: f64,
+    pub shortest_objective: f64,
     /// The replicas.
     pub replicas: KnownReplicas,
     /// Latency over all replicas.
@@ -22,13 +22,13 @@
 impl Context {
     /// The context before the first batch.
     pub fn new(settings: PolicySettings) -> Context {
-        let objective = settings.shortest_objective() as f64;
+        let shortest_objective = settings.shortest_objective() as f64;
         Context {
             now: 0,
             settings,
-            objective,
+            shortest_objective,
             replicas: KnownReplicas::default(),
-            latency: FleetLatency::new(objective),
+            latency: FleetLatency::new(shortest_objective),
         }
     }
 
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -27,7 +27,7 @@
     Action, EndpointUpdateKind, Event, Nanos, PartReceived, PolicySettings, QueryReceived,
     ReplicaEntry, RequestId,
 };
-use crate::state::{AttemptId, InFlightAttempt, OpenQueries, PartState, QueryState};
+use crate::state::{AttemptKey, InFlightAttempt, OpenQueries, PartState, QueryState};
 use admission::Admission;
 use client_timeouts::ClientTimeouts;
 use connection_renewal::ConnectionRenewal;
@@ -51,16 +51,19 @@
     /// The queries that have not ended.
     queries: OpenQueries,
     /// The attempts that have not ended.
-    in_flight: BTreeMap<AttemptId, InFlightAttempt>,
-    renewal: ConnectionRenewal,
-    hedging: HedgingBudget,
-    cutoff: WeightCutoff,
-    retry_limiter: RetryLimiter,
-    slow_start: SlowStart,
+    in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
+    // Which queries are admitted, and with which parts.
     client_timeouts: ClientTimeouts,
     admission: Admission,
     permits: ClassPermits,
+    cutoff: WeightCutoff,
+    // Which attempts are sent.
+    retry_limiter: RetryLimiter,
+    hedging: HedgingBudget,
+    // Which replicas they are sent to, and on which connections.
     outliers: OutlierDetector,
+    slow_start: SlowStart,
+    renewal: ConnectionRenewal,
     endpoint_poller: EndpointPoller,
     timer: BatchTimer,
     /// The generator of every random choice.
@@ -74,27 +77,30 @@
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         let context = Context::new(settings);
         let settings = &context.settings;
+        let objective = context.shortest_objective;
         Policy {
-            endpoint_poller: EndpointPoller::new(settings, context.latency.fade_time()),
-            timer: BatchTimer::new(settings, context.objective),
             queries: OpenQueries::default(),
             in_flight: BTreeMap::new(),
-            renewal: ConnectionRenewal::new(settings, context.objective),
-            hedging: HedgingBudget::default(),
-            cutoff: WeightCutoff::new(context.objective),
-            retry_limiter: RetryLimiter::new(settings),
-            slow_start: SlowStart::new(settings, seed),
             client_timeouts: ClientTimeouts::default(),
             admission: Admission::default(),
             permits: ClassPermits::default(),
-            outliers: OutlierDetector::new(settings.health_checks_allowed, context.objective),
+            cutoff: WeightCutoff::new(objective),
+            retry_limiter: RetryLimiter::new(settings),
+            hedging: HedgingBudget::default(),
+            outliers: OutlierDetector::new(settings.health_checks_allowed, objective),
+            slow_start: SlowStart::new(settings, seed),
+            renewal: ConnectionRenewal::new(settings, objective),
+            endpoint_poller: EndpointPoller::new(settings, context.latency.fade_time()),
+            timer: BatchTimer::new(settings, objective),
             random: fastrand::Rng::with_seed(seed),
             output: BatchOutput::default(),
             context,
         }
     }
 
-    /// Handles what happened by `now`, in order, and appends what to do about it to `actions`.
+    /// Handles the events of a batch, in order, at the time `now`, and appends the actions that
+    /// result to `actions`. Queries are admitted after all events, so that their parts are known;
+    /// then every open query is answered, rejected or advanced.
     pub fn handle(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         self.context.now = now;
         self.slow_start.start(now);
@@ -165,12 +171,9 @@
     }
 
     fn poll_endpoints(&mut self) {
-        if self
-            .endpoint_poller
-            .take_due(self.context.now, &mut self.random)
-        {
-            let enabled = true;
-            self.output.push(Action::WatchEndpoints { enabled });
+        let now = self.context.now;
+        if self.endpoint_poller.take_due(now, &mut self.random) {
+            self.output.push(Action::WatchEndpoints { enabled: true });
         }
     }
 
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -1,8 +1,8 @@
-//! Outlier detection: a replica that does not respond is ejected. After the ejection it gets one
-//! call at a time until it responds.
+//! Outlier detection: a replica that does not respond is ejected, so that replica selection prefers
+//! others. When the ejection time has passed it gets one call at a time until it responds.
 //!
-//! Invariant: any response ends an ejection; the failure stays in the smoothed latency for a
-//! while. The design leaves health to us.
+//! Invariant: any response ends an ejection (`ReplicaRecord::record_response`); the failure stays
+//! in the smoothed latency for a while. The design leaves health to us.
 
 use super::context::Context;
 use super::output::BatchOutput;
@@ -86,7 +86,7 @@
         }
         for replica in ready() {
             let inactive = context.now.saturating_sub(replica.last_activity()) as f64;
-            if replica.outstanding.is_empty() && inactive > context.objective {
+            if replica.outstanding.is_empty() && inactive > context.shortest_objective {
                 let replica = replica.id;
                 output.push(Action::CheckHealth { replica });
             }
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -41,7 +41,7 @@
     /// The best replica for one more attempt at the part; none where no replica may have it.
     pub fn select(&self, part: &PartState, random: &mut fastrand::Rng) -> Option<ReplicaId> {
         let context = self.context;
-        let max_silence = context.latency.hedging_delay(context.objective);
+        let max_silence = context.latency.hedging_delay(context.shortest_objective);
         let mut best: Option<(Rank, ReplicaId)> = None;
         for replica in context.replicas.holders(&context.settings, part.shard) {
             let id = replica.id;
@@ -74,6 +74,6 @@
         let latency = smoothed.max(silence);
         let calls = replica.open_calls(*now, settings.parts_per_call());
         let queue = latency * (calls + 1.0);
-        queue + tuning::CROSS_ZONE_PENALTY * price * self.context.objective
+        queue + tuning::CROSS_ZONE_PENALTY * price * self.context.shortest_objective
     }
 }
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -12,7 +12,7 @@
 use crate::state::{AttemptEnd, KnownReplicas, ReplicaRecord};
 use crate::stats::DecayingCounter;
 
-/// What a replica that is warming up bears, as the operator states it.
+/// The limits that the operator states for a replica that is warming up.
 #[derive(Clone, Copy, Debug)]
 struct WarmUpLimits {
     /// Share of its capacity that a replica has when it starts.
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -7,6 +7,6 @@
 mod replica;
 
 pub use open_queries::OpenQueries;
-pub use part::{AttemptEnd, AttemptId, AttemptRecord, InFlightAttempt, PartState, RaceWinner};
+pub use part::{AttemptEnd, AttemptKey, AttemptRecord, InFlightAttempt, PartState, RaceWinner};
 pub use query::{QueryState, StepSums, REACHABLE_TOLERANCE};
 pub use replica::{ConnectionUse, KnownReplicas, ReplicaRecord};
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -175,7 +175,7 @@
 
 /// Identifies an attempt: its part and its number, from 0 in the order sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptId {
+pub struct AttemptKey {
     /// The part.
     pub part: RequestId,
     /// The number of the attempt.
