--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -222,5 +222,5 @@
 /// retried, so that a query which met failing replicas by chance can still be answered.
 fn is_query_of_death(query: &QueryState) -> bool {
     let is_answered = query.parts.iter().any(|part| part.is_answered);
-    !is_answered && query.replicas_lost() >= tuning::QUERY_OF_DEATH_REPLICAS
+    !is_answered && query.replicas_with_lost_connections() >= tuning::QUERY_OF_DEATH_REPLICAS
 }
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -1,48 +1,10 @@
-//! Parts of queries and the attempts at them.
+//! Parts of queries.
 
-use super::ConnectionUse;
+use super::AttemptRecord;
 use crate::api::{
     Action, AttemptOutcome, Idempotency, Nanos, PartReceived, QueryClass, ReplicaId, RequestId,
 };
 
-/// One attempt at a part.
-#[derive(Clone, Debug, Default)]
-pub struct AttemptRecord {
-    /// The replica that it was sent to.
-    pub replica: ReplicaId,
-    /// When it was sent.
-    pub sent: Nanos,
-    /// It has not ended.
-    pub is_in_flight: bool,
-    /// It is known not to have been executed.
-    pub not_executed: bool,
-    /// Its connection was lost.
-    pub connection_lost: bool,
-    /// A saturated replica rejected it.
-    pub rejected: bool,
-}
-
-impl AttemptRecord {
-    /// An attempt that is sent now.
-    pub fn new(replica: ReplicaId, now: Nanos) -> AttemptRecord {
-        AttemptRecord {
-            replica,
-            sent: now,
-            is_in_flight: true,
-            ..AttemptRecord::default()
-        }
-    }
-
-    /// Records how the attempt ended.
-    pub fn end(&mut self, outcome: AttemptOutcome) {
-        use AttemptOutcome::{ConnectionLost, NotSent, Rejected, Unreachable};
-        self.is_in_flight = false;
-        self.connection_lost = outcome == ConnectionLost;
-        self.rejected = outcome == Rejected;
-        self.not_executed = matches!(outcome, Rejected | Unreachable | NotSent);
-    }
-}
-
 /// Which of several attempts in flight at one part was answered first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RaceWinner {
@@ -110,7 +72,9 @@
 
     /// The first attempt that may have been executed.
     pub fn first_executed(&self) -> Option<&AttemptRecord> {
-        self.attempts.iter().find(|attempt| !attempt.not_executed)
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.may_be_executed())
     }
 
     /// Records how the attempt with this number ended. Returns the winner if it was answered first
@@ -169,87 +133,6 @@
 
     /// Whether a saturated replica rejected it and no other answered.
     pub fn is_lost_to_saturation(&self) -> bool {
-        !self.is_answered && self.attempts.iter().any(|attempt| attempt.rejected)
-    }
-}
-
-/// Identifies an attempt: its part and its number, from 0 in the order sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptKey {
-    /// The part.
-    pub part: RequestId,
-    /// The number of the attempt.
-    pub number: u8,
-}
-
-/// An attempt that has not ended; it may outlive its query.
-#[derive(Clone, Copy, Debug)]
-pub struct InFlightAttempt {
-    /// The replica that it was sent to.
-    pub replica: ReplicaId,
-    /// When it was sent.
-    pub sent: Nanos,
-    /// The connection that it was sent on.
-    pub connection: ConnectionUse,
-}
-
-impl InFlightAttempt {
-    /// An attempt that was sent then.
-    pub fn new(replica: ReplicaId, sent: Nanos, connection: ConnectionUse) -> InFlightAttempt {
-        InFlightAttempt {
-            replica,
-            sent,
-            connection,
-        }
-    }
-
-    /// The attempt's end.
-    pub fn end(self, outcome: AttemptOutcome, now: Nanos) -> AttemptEnd {
-        AttemptEnd {
-            outcome,
-            replica: self.replica,
-            connection: self.connection,
-            sent: self.sent,
-            ended: now,
-        }
-    }
-}
-
-/// The end of an attempt or of a health check at a replica.
-#[derive(Clone, Copy, Debug)]
-pub struct AttemptEnd {
-    /// How it ended.
-    pub outcome: AttemptOutcome,
-    /// The replica that it was sent to.
-    pub replica: ReplicaId,
-    /// The connection that it was sent on.
-    pub connection: ConnectionUse,
-    /// When it was sent.
-    pub sent: Nanos,
-    /// When it ended.
-    pub ended: Nanos,
-}
-
-impl AttemptEnd {
-    /// The time from its start to its end, ns.
-    pub fn latency(&self) -> f64 {
-        (self.ended - self.sent) as f64
-    }
-
-    /// Whether a result was returned.
-    pub fn is_success(&self) -> bool {
-        self.outcome == AttemptOutcome::Success
-    }
-
-    /// Whether the replica responded, with or without a result.
-    pub fn is_response(&self) -> bool {
-        use AttemptOutcome::{Error, Rejected, Success};
-        matches!(self.outcome, Success | Error | Rejected)
-    }
-
-    /// Whether the replica did not respond, or not in time.
-    pub fn is_without_response(&self) -> bool {
-        use AttemptOutcome::{ConnectionLost, TimedOut, Unreachable};
-        matches!(self.outcome, Unreachable | ConnectionLost | TimedOut)
+        !self.is_answered && self.attempts.iter().any(AttemptRecord::is_rejected)
     }
 }
--- a/crates/policy/src/state/query.rs
+++ b/crates/policy/src/state/query.rs
@@ -90,8 +90,8 @@
 }
 
 impl QueryState {
-    /// A query that is received now. Earlier attempts of its client have spent that much of its
-    /// latency objective.
+    /// A query that is received now. Of its latency objective, `spent` has passed in earlier
+    /// attempts of its client.
     pub fn new(
         received: &QueryReceived,
         class: &QueryClass,
@@ -99,8 +99,8 @@
         now: Nanos,
     ) -> QueryState {
         let deadline = now + received.client_timeout;
-        let objective = now + class.objective_for(received.work);
-        let objective = objective.saturating_sub(spent);
+        let full_objective = now + class.objective_for(received.work);
+        let objective = full_objective.saturating_sub(spent);
         let arrived_late = objective <= now;
         let is_short = received.client_timeout < class.latency_objective;
         QueryState {
@@ -144,8 +144,10 @@
     }
 
     /// The number of replicas at which attempts lost their connections.
-    pub fn replicas_lost(&self) -> usize {
-        let lost = self.attempts().filter(|attempt| attempt.connection_lost);
+    pub fn replicas_with_lost_connections(&self) -> usize {
+        let lost = self
+            .attempts()
+            .filter(|attempt| attempt.is_connection_lost());
         let replicas: BTreeSet<ReplicaId> = lost.map(|attempt| attempt.replica).collect();
         replicas.len()
     }
