--- a/crates/core/src/config/aggregator_settings.rs
+++ b/crates/core/src/config/aggregator_settings.rs
@@ -4,13 +4,13 @@
 use super::PlatformSettingsError;
 use crate::api::Nanos;
 
-// Bounds on memory and waiting times where the settings are silent.
+// Bounds on memory and waiting times, used if the setting is absent.
 const DEFAULT_MAX_OPEN: usize = 4096;
 const DEFAULT_MAX_ATTEMPTS: usize = u8::MAX as usize;
 const DEFAULT_CONNECT_TIMEOUT_NS: Nanos = 250_000_000;
 const DEFAULT_IDLE_TIMEOUT_NS: Nanos = 30_000_000_000;
 
-/// What the aggregator has to know beyond the policy's settings.
+/// The settings of the aggregator that are not the policy's.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AggregatorSettings {
     /// The names of the query classes, by number.
@@ -41,7 +41,7 @@
     pub connect_timeout: Nanos,
     /// How long an idle connection is kept.
     pub idle_timeout: Nanos,
-    /// The longest `Retry-After` for a rejected client; none where it may not be told one.
+    /// The longest `Retry-After` for a rejected client; none where the settings allow none.
     pub retry_after: Option<Nanos>,
     /// Aggregators may exchange gossip messages.
     pub gossip_allowed: bool,
@@ -92,7 +92,7 @@
     })
 }
 
-/// The protocol has no messages for a second step, and half of one would break answers.
+/// The protocol has no messages for a second step, and answers without it would be incomplete.
 fn reject_second_steps(
     values: &KeyValues,
     class_count: usize,
--- a/crates/core/src/config/error.rs
+++ b/crates/core/src/config/error.rs
@@ -59,7 +59,7 @@
         /// The number.
         value: String,
     },
-    /// A class asks for a second step, for which the protocol has no messages.
+    /// A class requires a second step, for which the protocol has no messages.
     #[error("setting {key}: a second step can't be served")]
     UnsupportedSecondStep {
         /// The setting's key.
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,6 +1,6 @@
-//! The configuration of an aggregator: one JSON file of the platform, whose settings are flattened
-//! to the text that also the simulator sends, so that one parser serves both. The settings come in
-//! two types: what the policy decides by, and what the rest of the aggregator has to know.
+//! The configuration of an aggregator: one JSON file of the platform. Its settings are flattened to
+//! the text that the simulator sends too, so that one parser serves both. They are parsed into two
+//! types: the settings of the policy, and those of the rest of the aggregator.
 
 mod aggregator_settings;
 mod error;
--- a/crates/core/src/config/platform.rs
+++ b/crates/core/src/config/platform.rs
@@ -53,7 +53,7 @@
     pub max_descriptors: usize,
     /// The endpoint list to start with.
     pub initial_endpoints: EndpointUpdate,
-    /// Whom the aggregator speaks to.
+    /// The addresses of the other processes.
     pub addresses: Addresses,
     /// The names that requests refer to.
     pub names: NameTables,
--- a/crates/core/src/config/policy_settings.rs
+++ b/crates/core/src/config/policy_settings.rs
@@ -1,10 +1,10 @@
-//! The settings that the policy decides by.
+//! The settings of the policy.
 
 use super::key_values::KeyValues;
 use super::PlatformSettingsError;
 use crate::api::{Idempotency, Nanos, PolicySettings, QueryClass, RetryBudget};
 
-/// Where the settings are silent, a leaf server that drains gets nothing new after 2 s.
+/// Used if the setting is absent: a leaf server that drains gets no new work after 2 s.
 const DEFAULT_DRAIN_NOTICE_NS: Nanos = 2_000_000_000;
 
 /// Parses the policy's settings from lines of `key=value`.
