--- a/crates/core/src/net/client_connection/serving.rs
+++ b/crates/core/src/net/client_connection/serving.rs
@@ -91,7 +91,10 @@
             let keep_alive = match self.submit(arrived, request).await {
                 Submission::Accepted { keep_alive } => keep_alive,
                 Submission::Stopped => {
-                    let rejected = render_reply(&QueryReply::REJECTED_AT_EXIT, true);
+                    let rejected = Response {
+                        close: true,
+                        ..render_reply(&QueryReply::REJECTED_AT_EXIT)
+                    };
                     self.respond(rejected).await?;
                     return Ok(Ending::Closed(CloseReason::Stopped));
                 }
@@ -107,7 +110,11 @@
                 self.stream.codec_mut().discard_input();
             }
             let is_last = !keep_alive || is_closing && pipeline.is_empty();
-            self.respond(render_reply(&reply, is_last)).await?;
+            let response = Response {
+                close: is_last,
+                ..render_reply(&reply)
+            };
+            self.respond(response).await?;
             drop(open);
             if is_last {
                 return Ok(Ending::Closed(CloseReason::LastResponse));
--- a/crates/core/src/protocol/http/body.rs
+++ b/crates/core/src/protocol/http/body.rs
@@ -5,16 +5,17 @@
 
 /// The longest line with a chunk's size and extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
+const LINE_END: &[u8] = b"\r\n";
 
 /// Reads a body piece by piece, so that a connection's buffer never holds more than a head. Each
-/// variant says what comes next.
+/// variant is what has to be read next.
 #[derive(Debug, PartialEq)]
 pub(super) enum BodyReader {
-    /// So many bytes of a body with a length.
+    /// The remaining bytes of a body with a length.
     Length(usize),
     /// The line with the size of a chunk.
     ChunkLine,
-    /// So many bytes of a chunk.
+    /// The remaining bytes of a chunk.
     ChunkData(usize),
     /// The line end after a chunk's data.
     ChunkEnd,
@@ -24,7 +25,7 @@
     Done,
 }
 
-/// What is wrong with a body; the reaction depends on who reads it.
+/// Why a body is malformed. Each codec decides what follows from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum BodyError {
     #[error("bad chunk")]
@@ -33,7 +34,7 @@
     TooLarge,
 }
 
-/// What is wrong with the header fields that frame a body.
+/// Why the header fields that frame a body are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.reason())]
 pub(super) enum FramingError {
@@ -43,7 +44,7 @@
 }
 
 impl FramingError {
-    /// What the sender is told.
+    /// The reason as sent in the response.
     pub(super) const fn reason(self) -> &'static str {
         match self {
             FramingError::InvalidLength => "bad length",
@@ -53,6 +54,13 @@
     }
 }
 
+/// Whether a body has been read to its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum BodyProgress {
+    Incomplete,
+    Complete,
+}
+
 impl BodyReader {
     /// A reader for the body that these header fields announce; none where they state neither a
     /// length nor chunks.
@@ -80,68 +88,79 @@
         Ok(reader)
     }
 
-    /// Moves what has arrived of the body from `src` to `body`, which may grow to `max_bytes`; true
-    /// once the body is complete.
+    /// Moves what has arrived of the body from `src` to `body`, which may grow to `max_bytes`.
     pub(super) fn read(
         &mut self,
         src: &mut BytesMut,
         body: &mut BytesMut,
         max_bytes: usize,
-    ) -> Result<bool, BodyError> {
+    ) -> Result<BodyProgress, BodyError> {
         while *self != BodyReader::Done {
-            let next = match self {
-                BodyReader::Length(left) => {
-                    move_data(src, body, left, max_bytes)?.then_some(BodyReader::Done)
-                }
-                BodyReader::ChunkData(left) => {
-                    move_data(src, body, left, max_bytes)?.then_some(BodyReader::ChunkEnd)
-                }
-                BodyReader::ChunkLine => read_chunk_line(src)?,
-                BodyReader::ChunkEnd => read_chunk_end(src)?,
-                BodyReader::Trailer => read_trailer(src)?,
-                BodyReader::Done => None,
-            };
-            let Some(next) = next else {
-                return Ok(false);
+            let Some(next) = self.read_step(src, body, max_bytes)? else {
+                return Ok(BodyProgress::Incomplete);
             };
             *self = next;
         }
-        Ok(true)
+        Ok(BodyProgress::Complete)
+    }
+
+    /// Reads what this variant stands for and returns what follows it; none while it is incomplete.
+    fn read_step(
+        &mut self,
+        src: &mut BytesMut,
+        body: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<Option<BodyReader>, BodyError> {
+        match self {
+            BodyReader::Length(remaining) => {
+                move_data(src, body, remaining, max_bytes)?;
+                Ok((*remaining == 0).then_some(BodyReader::Done))
+            }
+            BodyReader::ChunkData(remaining) => {
+                move_data(src, body, remaining, max_bytes)?;
+                Ok((*remaining == 0).then_some(BodyReader::ChunkEnd))
+            }
+            BodyReader::ChunkLine => read_chunk_line(src),
+            BodyReader::ChunkEnd => read_chunk_end(src),
+            BodyReader::Trailer => read_trailer(src),
+            BodyReader::Done => Ok(None),
+        }
     }
 }
 
 fn parse_length(value: &[u8]) -> Result<usize, FramingError> {
-    // Digits only: a sign or a list in this place is how requests are smuggled past a proxy.
+    // Digits only: a sign or a list would allow request smuggling, where a proxy reads another
+    // length.
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     let text = std::str::from_utf8(value)
         .ok()
         .filter(|_| is_number)
         .ok_or(FramingError::InvalidLength)?;
-    // A length that overflows is still only too large.
+    // A length that overflows is handled like any other that is too large.
     Ok(text.parse().unwrap_or(usize::MAX))
 }
 
-/// Moves up to `left` bytes; true once none are left.
+/// Moves up to `remaining` bytes, and subtracts those that were moved.
 fn move_data(
     src: &mut BytesMut,
     body: &mut BytesMut,
-    left: &mut usize,
+    remaining: &mut usize,
     max_bytes: usize,
-) -> Result<bool, BodyError> {
-    let available = (*left).min(src.len());
+) -> Result<(), BodyError> {
+    let available = (*remaining).min(src.len());
     if body.len() + available > max_bytes {
         return Err(BodyError::TooLarge);
     }
     body.extend_from_slice(&src[..available]);
     src.advance(available);
-    *left -= available;
-    Ok(*left == 0)
+    *remaining -= available;
+    Ok(())
 }
 
 fn read_chunk_line(src: &mut BytesMut) -> Result<Option<BodyReader>, BodyError> {
     match httparse::parse_chunk_size(src) {
-        Ok(httparse::Status::Complete((line, size))) => {
-            src.advance(line);
+        Ok(httparse::Status::Complete((line_bytes, size))) => {
+            src.advance(line_bytes);
             let size = usize::try_from(size).map_err(|_| BodyError::TooLarge)?;
             Ok(Some(match size {
                 0 => BodyReader::Trailer,
@@ -154,28 +173,29 @@
 }
 
 fn read_chunk_end(src: &mut BytesMut) -> Result<Option<BodyReader>, BodyError> {
-    if src.len() < 2 {
+    if src.len() < LINE_END.len() {
         return Ok(None);
     }
-    if &src[..2] != b"\r\n" {
+    if !src.starts_with(LINE_END) {
         return Err(BodyError::MalformedChunk);
     }
-    src.advance(2);
+    src.advance(LINE_END.len());
     Ok(Some(BodyReader::ChunkLine))
 }
 
 fn read_trailer(src: &mut BytesMut) -> Result<Option<BodyReader>, BodyError> {
-    match src.iter().position(|byte| *byte == b'\n') {
-        Some(line_end) => {
-            let is_empty = matches!(&src[..line_end], b"" | b"\r");
-            src.advance(line_end + 1);
-            Ok(Some(if is_empty {
-                BodyReader::Done
-            } else {
-                BodyReader::Trailer
-            }))
-        }
-        None if src.len() <= MAX_HEAD_BYTES => Ok(None),
-        None => Err(BodyError::MalformedChunk),
-    }
+    let Some(line_end) = src.iter().position(|byte| *byte == b'\n') else {
+        return if src.len() <= MAX_HEAD_BYTES {
+            Ok(None)
+        } else {
+            Err(BodyError::MalformedChunk)
+        };
+    };
+    let is_empty = matches!(&src[..line_end], b"" | b"\r");
+    src.advance(line_end + 1);
+    Ok(Some(if is_empty {
+        BodyReader::Done
+    } else {
+        BodyReader::Trailer
+    }))
 }
--- a/crates/core/src/protocol/http/head.rs
+++ b/crates/core/src/protocol/http/head.rs
@@ -4,6 +4,15 @@
 use super::{RequestError, MAX_BODY_BYTES, MAX_HEADERS, MAX_HEAD_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 
+/// One header field of a request.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HeaderField {
+    /// The name, in lower case.
+    pub name: String,
+    /// The value, without blanks around it.
+    pub value: String,
+}
+
 /// One complete request; the last byte of its body has been read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
@@ -11,8 +20,8 @@
     pub method: String,
     /// The request target, with its query string.
     pub path: String,
-    /// The header fields; names in lower case.
-    pub headers: Vec<(String, String)>,
+    /// The header fields.
+    pub headers: Vec<HeaderField>,
     /// The body; empty if there is none.
     pub body: Bytes,
     /// The connection may serve another request after this one.
@@ -22,10 +31,7 @@
 impl Request {
     /// The value of the first header field of this name, which is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers
-            .iter()
-            .find(|(other, _)| other == name)
-            .map(|(_, value)| value.as_str())
+        find_header(&self.headers, name)
     }
 }
 
@@ -77,23 +83,28 @@
     }
 }
 
-fn copy_headers(headers: &[httparse::Header]) -> Result<Vec<(String, String)>, RequestError> {
+fn find_header<'a>(headers: &'a [HeaderField], name: &str) -> Option<&'a str> {
+    let header = headers.iter().find(|header| header.name == name)?;
+    Some(&header.value)
+}
+
+fn copy_headers(headers: &[httparse::Header]) -> Result<Vec<HeaderField>, RequestError> {
     headers
         .iter()
         .map(|header| {
             let value = std::str::from_utf8(header.value)
                 .map_err(|_| RequestError::bad_request("header is not UTF-8"))?;
-            Ok((header.name.to_ascii_lowercase(), value.trim().to_string()))
+            Ok(HeaderField {
+                name: header.name.to_ascii_lowercase(),
+                value: value.trim().to_string(),
+            })
         })
         .collect()
 }
 
-/// Whether the connection stays open: as the client says, else by the version's default.
-fn is_kept_alive(headers: &[(String, String)], minor_version: Option<u8>) -> bool {
-    let connection = headers
-        .iter()
-        .find(|(name, _)| name == "connection")
-        .map(|(_, value)| value.to_ascii_lowercase());
+/// Whether the connection stays open: as the client requests, else by the version's default.
+fn is_kept_alive(headers: &[HeaderField], minor_version: Option<u8>) -> bool {
+    let connection = find_header(headers, "connection").map(str::to_ascii_lowercase);
     match connection.as_deref() {
         Some(options) if options.contains("close") => false,
         Some(options) if options.contains("keep-alive") => true,
--- a/crates/core/src/protocol/http/mod.rs
+++ b/crates/core/src/protocol/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as clients and the discovery agent speak it: a server codec for complete requests, and
-//! a client codec for one watch. A body has a length or is chunked.
+//! HTTP/1.1 with clients and the discovery agent: a server codec for complete requests, and a client
+//! codec for one watch. A body has a length or is chunked.
 
 mod body;
 mod head;
@@ -8,7 +8,7 @@
 mod watch;
 mod watch_scanner;
 
-pub use head::Request;
+pub use head::{HeaderField, Request};
 pub use response::Response;
 pub use server::ServerCodec;
 pub use watch::{WatchCodec, WatchRequest};
@@ -20,12 +20,13 @@
 /// The most header fields of a message.
 const MAX_HEADERS: usize = 64;
 
-/// Why a request is invalid, with the status that says so.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a request is invalid, with the status of its response.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("status {status}: {why}")]
 pub struct RequestError {
     /// The status of the response.
     pub status: u16,
-    /// What the client is told; with status 405, the method that is allowed.
+    /// The reason as sent in the response; with status 405, the method that is allowed.
     pub why: &'static str,
 }
 
--- a/crates/core/src/protocol/http/response.rs
+++ b/crates/core/src/protocol/http/response.rs
@@ -17,7 +17,7 @@
     pub allow: Option<&'static str>,
     /// The body.
     pub body: Vec<u8>,
-    /// The connection ends with this response.
+    /// The connection closes after this response.
     pub close: bool,
 }
 
--- a/crates/core/src/protocol/http/server.rs
+++ b/crates/core/src/protocol/http/server.rs
@@ -1,6 +1,6 @@
 //! The server's side of a connection: requests in, responses out.
 
-use super::body::BodyError;
+use super::body::{BodyError, BodyProgress};
 use super::head::RequestHead;
 use super::{Request, RequestError, Response, MAX_BODY_BYTES};
 use bytes::BytesMut;
@@ -34,14 +34,14 @@
         let Some(head) = &mut self.head else {
             return Ok(None);
         };
-        let complete = head
+        let progress = head
             .body_reader
             .read(src, &mut self.body, MAX_BODY_BYTES)
             .map_err(|error| match error {
                 BodyError::MalformedChunk => RequestError::bad_request("bad chunk"),
                 BodyError::TooLarge => RequestError::BODY_TOO_LARGE,
             })?;
-        if !complete {
+        if progress == BodyProgress::Incomplete {
             return Ok(None);
         }
         let body = std::mem::take(&mut self.body).freeze();
@@ -66,7 +66,7 @@
         Ok(item)
     }
 
-    /// A client may close with half a request sent; it has disconnected, which is no error here.
+    /// A client may disconnect in the middle of a request, which is no error here.
     fn decode_eof(&mut self, src: &mut BytesMut) -> io::Result<Option<Self::Item>> {
         let item = self.decode(src)?;
         if item.is_none() {
--- a/crates/core/src/protocol/http/watch.rs
+++ b/crates/core/src/protocol/http/watch.rs
@@ -1,7 +1,7 @@
-//! The client's side of a watch on discovery: one request, and a body of messages that goes on for
-//! as long as the watch lives.
+//! The client's side of a watch on discovery: one request, and a body of messages that goes on until
+//! the watch ends.
 
-use super::body::BodyReader;
+use super::body::{BodyProgress, BodyReader};
 use super::watch_scanner::{MessageScanner, ScanEvent};
 use super::{MAX_HEADERS, MAX_HEAD_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
@@ -65,7 +65,7 @@
             let text = self.text.split_to(end).freeze();
             let was_after_message =
                 std::mem::replace(&mut self.after_message, event == ScanEvent::MessageEnd);
-            // What follows a message up to the end of its line is no message of its own.
+            // The blanks between a message and the end of its line are no message of their own.
             if !was_after_message || !text.trim_ascii().is_empty() {
                 return Some(text);
             }
@@ -97,12 +97,12 @@
         let Some(body_reader) = &mut self.body_reader else {
             return Ok(None);
         };
-        let complete = body_reader
+        let progress = body_reader
             .read(src, &mut self.text, MAX_MESSAGE_BYTES)
             .map_err(invalid_data)?;
         match self.next_message() {
             Some(message) => Ok(Some(message)),
-            None if complete => Err(ErrorKind::UnexpectedEof.into()),
+            None if progress == BodyProgress::Complete => Err(ErrorKind::UnexpectedEof.into()),
             None => Ok(None),
         }
     }
--- a/crates/core/src/protocol/http/watch_scanner.rs
+++ b/crates/core/src/protocol/http/watch_scanner.rs
@@ -1,6 +1,6 @@
 //! Finds the ends of the messages of a watch.
 
-/// How far a message has been searched for its end, which is where its outermost bracket closes,
+/// The state of the search for the end of a message, which is where its outermost bracket closes,
 /// however many lines it takes.
 #[derive(Default)]
 pub(super) struct MessageScanner {
--- a/crates/core/src/protocol/leaf/codec.rs
+++ b/crates/core/src/protocol/leaf/codec.rs
@@ -9,7 +9,7 @@
 const LENGTH_BYTES: usize = 4;
 /// The longest part result: its status line, and a value that still fits a body to a client.
 const MAX_PART_RESULT_BYTES: usize = 64 * 1024 + 512;
-/// The longest frame of any other kind; these carry a few words.
+/// The longest frame of any other kind.
 const MAX_STATUS_BYTES: usize = 1024;
 
 const CALL: u8 = b'Q';
@@ -27,7 +27,8 @@
 }
 
 impl LeafCodec {
-    /// Gives up on the frame whose beginning is in `received` and whose rest does not arrive.
+    /// Ends the frame whose beginning is in `received` and whose rest does not arrive. It counts as
+    /// malformed.
     pub fn cut_short(&mut self, received: &[u8]) -> LeafResponse {
         self.is_broken = true;
         malformed(received.get(LENGTH_BYTES..).unwrap_or_default())
@@ -84,8 +85,7 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(*header) as usize;
-        // Checked before the rest has arrived: a length that no frame has would be waited for in
-        // vain.
+        // Checked before the rest has arrived: with an invalid length, the rest never arrives.
         if !is_valid_length(src.get(LENGTH_BYTES).copied(), length) {
             self.is_broken = true;
             return Ok(Some(malformed(&src.split()[LENGTH_BYTES..])));
@@ -131,7 +131,7 @@
 }
 
 /// Decodes a part's result, `id status score report`, a line feed and the value; none if any of it
-/// is malformed. A load report that can't be read only counts as none.
+/// is malformed. A load report that can't be read counts as none.
 fn decode_part_result(payload: Bytes) -> Option<LeafResponse> {
     let line_end = payload.iter().position(|byte| *byte == b'\n')?;
     let line = std::str::from_utf8(&payload[..line_end]).ok()?;
--- a/crates/core/src/protocol/leaf/messages.rs
+++ b/crates/core/src/protocol/leaf/messages.rs
@@ -19,13 +19,13 @@
 /// A frame to a leaf server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeafRequest {
-    /// Asks for the results of these parts.
+    /// Requests the results of these parts.
     Call(Vec<CallPart>),
     /// Cancels the part with this id.
     Cancel(Rc<str>),
-    /// Asks whether the leaf server is healthy.
+    /// Checks whether the leaf server is healthy.
     HealthCheck,
-    /// Asks for a load report.
+    /// Requests a load report.
     LoadReport,
 }
 
@@ -40,7 +40,7 @@
     Busy,
 }
 
-/// A frame from a leaf server, or what is known of one that could not be decoded.
+/// A frame from a leaf server, which may be one that could not be decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeafResponse {
     /// A part has ended.
@@ -49,14 +49,14 @@
         id: String,
         /// How the part ended.
         status: PartStatus,
-        /// The load report that came along; one that is not readable counts as none.
+        /// The load report that was sent with it; one that is not readable counts as none.
         report: String,
         /// The result, empty unless the status is [`PartStatus::Ok`].
         value: Bytes,
     },
     /// The answer to a health check or to a request for a load report.
     HealthCheckResult {
-        /// The leaf server calls itself healthy.
+        /// The leaf server reports that it is healthy.
         ok: bool,
         /// The load report.
         report: String,
--- a/crates/core/src/protocol/query/mod.rs
+++ b/crates/core/src/protocol/query/mod.rs
@@ -1,5 +1,5 @@
-//! Queries as clients send them over HTTP, and the replies. Only this module knows the native
-//! dialect: a frontend for another protocol makes the same [`QueryRequest`] from its own requests and
+//! Queries as clients send them over HTTP, and the replies. The native protocol is implemented only
+//! here: a frontend for another protocol makes the same [`QueryRequest`] from its own requests and
 //! renders the same [`QueryReply`].
 
 mod reply;
@@ -39,7 +39,7 @@
     pub work: Option<Nanos>,
 }
 
-/// One query, whatever protocol it came by.
+/// One query, whatever protocol it was received by.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
     /// The client's id for it; the ids of its parts begin with it.
@@ -60,14 +60,14 @@
     pub text: Bytes,
 }
 
-/// What a client asks for.
+/// The request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientRequest {
-    /// The answer to a query.
+    /// A query that is to be answered.
     Query(QueryRequest),
-    /// Whether this aggregator is ready to take queries.
+    /// The readiness check: whether this aggregator is ready to take queries.
     Ready,
-    /// The counters.
+    /// The request for the counters.
     Stats,
 }
 
--- a/crates/core/src/protocol/query/reply.rs
+++ b/crates/core/src/protocol/query/reply.rs
@@ -10,12 +10,11 @@
     hits: &'a [QueryHit],
 }
 
-/// Renders a reply; `close` says that the connection ends with it.
-pub fn render_reply(reply: &QueryReply, close: bool) -> Response {
+/// Renders a reply after which the connection stays open.
+pub fn render_reply(reply: &QueryReply) -> Response {
     let response = |status: u16, body: Vec<u8>| Response {
         status,
         body,
-        close,
         ..Response::default()
     };
     match reply {
--- a/crates/core/src/protocol/query/request.rs
+++ b/crates/core/src/protocol/query/request.rs
@@ -1,4 +1,4 @@
-//! Parses what a client asks for from an HTTP request.
+//! Parses the HTTP requests of clients.
 
 use super::{ClientRequest, NameTables, QueryPart, QueryRequest};
 use crate::api::Nanos;
@@ -11,7 +11,7 @@
 const MAX_REQUEST_ID_BYTES: usize = 128;
 /// The longest `Idempotency-Key`.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
-/// How far the weights of a query may be off a sum of 1: each is rounded by a little.
+/// How far the sum of a query's weights may differ from 1, since each weight is rounded.
 const WEIGHT_TOLERANCE: f64 = 0.01;
 /// An hour, which is longer than any deadline or work; more would only overflow sums of times.
 const MAX_DURATION_NS: f64 = 3.6e12;
@@ -32,7 +32,11 @@
     cost: Option<f64>,
 }
 
-/// Parses what a request asks for, or says what is wrong with it.
+/// Parses the request of a client.
+///
+/// # Errors
+///
+/// The request is invalid; the error has the status of its response.
 pub fn parse_request(request: &Request, names: &NameTables) -> Result<ClientRequest, RequestError> {
     let path = request.path.split(['?', '#']).next().unwrap_or_default();
     match path {
@@ -98,8 +102,8 @@
     let name = request
         .header("x-request-id")
         .ok_or(RequestError::bad_request("X-Request-ID is missing"))?;
-    // It is part of lines that are sent to leaf servers: a blank or a control character would
-    // forge one.
+    // The id is sent to leaf servers as part of a line: with a blank or a control character, a
+    // client could forge fields or lines.
     let is_plain = name.bytes().all(|byte| byte.is_ascii_graphic());
     if name.is_empty() || name.len() > MAX_REQUEST_ID_BYTES || !is_plain {
         return Err(RequestError::bad_request(
@@ -144,7 +148,8 @@
     }
 }
 
-/// The parts, each shard once: a second part of a shard would have the same id at the leaf server.
+/// Parses the parts, each shard once: a second part of one shard would have the same id at the leaf
+/// server.
 fn parse_parts(entries: Vec<ShardEntry>, shards: u32) -> Result<Vec<QueryPart>, RequestError> {
     if entries.is_empty() {
         return Err(RequestError::bad_request("no shards"));
@@ -190,7 +195,7 @@
         "u" => NANOS_PER_MICRO,
         _ => return None,
     };
-    // Digits and a point only: no client means a sign, an exponent or `nan`, which would parse.
+    // Digits and a point only: a sign, an exponent or `nan` would parse, but is a mistake.
     let is_plain = number
         .bytes()
         .all(|byte| byte.is_ascii_digit() || byte == b'.');
--- a/crates/core/tests/protocol.rs
+++ b/crates/core/tests/protocol.rs
@@ -202,12 +202,9 @@
 
 #[test]
 fn replies_carry_retry_after_and_completeness() {
-    let rejected = encode(query::render_reply(
-        &QueryReply::Rejected {
-            retry_after: Some(500_000_001),
-        },
-        false,
-    ));
+    let rejected = encode(query::render_reply(&QueryReply::Rejected {
+        retry_after: Some(500_000_001),
+    }));
     assert!(
         rejected.starts_with("HTTP/1.1 503 ") && rejected.contains("Retry-After: 0.501\r\n"),
         "{rejected}"
@@ -216,23 +213,22 @@
         shard: 3,
         doc: "5be2\"".into(),
     }];
-    let answer = encode(query::render_reply(
-        &QueryReply::Answer {
+    let answer = encode(Response {
+        close: true,
+        ..query::render_reply(&QueryReply::Answer {
             complete: false,
             hits,
-        },
-        true,
-    ));
+        })
+    });
     assert!(answer.contains("Connection: close\r\n"));
     assert!(answer
         .ends_with("\r\n\r\n{\"complete\":false,\"hits\":[{\"shard\":3,\"doc\":\"5be2\\\"\"}]}"));
-    let not_allowed = encode(query::render_reply(
-        &QueryReply::InvalidRequest(RequestError {
+    let not_allowed = encode(query::render_reply(&QueryReply::InvalidRequest(
+        RequestError {
             status: 405,
             why: "POST",
-        }),
-        false,
-    ));
+        },
+    )));
     assert!(not_allowed.contains("Allow: POST\r\n"));
 }
 
