--- a/crates/core/tests/crossing_events.rs
+++ b/crates/core/tests/crossing_events.rs
@@ -6,10 +6,13 @@
 
 use std::io;
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{
-    connect_client, expect_clean_close, query_request, read_response, run_scenario, served_client,
-    HttpResponse, LeafServerConnection, ReceivedCall, WatchConnection, HANG_TIMEOUT,
+use support::socket_harness::client::{
+    connect_client, expect_clean_close, query_request, read_response, send_query, served_client,
+    HttpResponse,
 };
+use support::socket_harness::discovery::WatchConnection;
+use support::socket_harness::leaf_server::{LeafServerConnection, ReceivedCall};
+use support::socket_harness::{run_scenario, HANG_TIMEOUT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Duration, Instant};
@@ -23,6 +26,31 @@
     frames
 }
 
+/// Disconnects a client whose first query is in flight, and expects that only this query is
+/// cancelled at the leaf server, by this frame, and that its other queries are not forwarded.
+async fn expect_cancelled_at_disconnect(
+    client: TcpStream,
+    leaf: &mut LeafServerConnection,
+    cancel_frame: &str,
+) {
+    let disconnected = Instant::now();
+    drop(client);
+    assert_eq!(
+        timeout(HANG_TIMEOUT, leaf.next_frame()).await.unwrap(),
+        Some(cancel_frame.into())
+    );
+    assert!(
+        disconnected.elapsed() < Duration::from_millis(100),
+        "{:?}",
+        disconnected.elapsed()
+    );
+    assert_eq!(
+        remaining_frames(leaf).await,
+        [""; 0],
+        "no client waits for the others"
+    );
+}
+
 #[test]
 fn a_client_that_disconnects_behind_pipelined_requests_is_noticed_at_once() {
     run_scenario(SETTINGS, 100, |harness| async move {
@@ -31,22 +59,7 @@
         client.write_all(both.as_bytes()).await.unwrap();
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
         assert_eq!(leaf.next_call().await.id, "a1.3");
-        let disconnected = Instant::now();
-        drop(client);
-        assert_eq!(
-            timeout(HANG_TIMEOUT, leaf.next_frame()).await.unwrap(),
-            Some("Xa1.3".into())
-        );
-        assert!(
-            disconnected.elapsed() < Duration::from_millis(100),
-            "{:?}",
-            disconnected.elapsed()
-        );
-        assert_eq!(
-            remaining_frames(&mut leaf).await,
-            [""; 0],
-            "no client waits for the others"
-        );
+        expect_cancelled_at_disconnect(client, &mut leaf, "Xa1.3").await;
     });
 }
 
@@ -60,22 +73,7 @@
         client.write_all(many.as_bytes()).await.unwrap();
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
         assert_eq!(leaf.next_call().await.id, "a0.3");
-        let disconnected = Instant::now();
-        drop(client);
-        assert_eq!(
-            timeout(HANG_TIMEOUT, leaf.next_frame()).await.unwrap(),
-            Some("Xa0.3".into())
-        );
-        assert!(
-            disconnected.elapsed() < Duration::from_millis(100),
-            "{:?}",
-            disconnected.elapsed()
-        );
-        assert_eq!(
-            remaining_frames(&mut leaf).await,
-            [""; 0],
-            "no client waits for the others"
-        );
+        expect_cancelled_at_disconnect(client, &mut leaf, "Xa0.3").await;
     });
 }
 
@@ -138,10 +136,7 @@
         let (mut client, mut leaf) = served_client(&harness, "d1").await;
         harness.request_shutdown().await;
         expect_clean_close(&mut client).await;
-        client
-            .write_all(query_request("d2", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut client, "d2").await;
         sleep(Duration::from_millis(100)).await;
         expect_clean_close(&mut client).await;
         drop(client);
@@ -172,10 +167,7 @@
         assert!(read_response(&mut client).await.body.contains("e1.3"));
         let second = leaf.next_call().await.id;
         // Read after the shutdown has begun.
-        client
-            .write_all(query_request("e3", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut client, "e3").await;
         leaf.send_result(&second).await;
         let HttpResponse { head, body } = read_response(&mut client).await;
         assert!(
@@ -194,10 +186,7 @@
     run_scenario(SETTINGS, 100, |harness| async move {
         let (mut idle, _leaf) = served_client(&harness, "f0").await;
         let mut client = connect_client(harness.aggregator).await;
-        client
-            .write_all(query_request("f1", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut client, "f1").await;
         sleep(Duration::from_millis(10)).await;
         let signalled = Instant::now();
         harness.request_shutdown().await;
@@ -226,10 +215,7 @@
         let mut clients = Vec::new();
         for n in 0..40 {
             let mut client = connect_client(harness.aggregator).await;
-            client
-                .write_all(query_request(&format!("g{n}"), "").as_bytes())
-                .await
-                .unwrap();
+            send_query(&mut client, &format!("g{n}")).await;
             clients.push(client);
         }
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
@@ -277,10 +263,7 @@
         let mut idle = vec![first];
         for n in 0..60 {
             let mut client = connect_client(harness.aggregator).await;
-            client
-                .write_all(query_request(&format!("j{n}"), "").as_bytes())
-                .await
-                .unwrap();
+            send_query(&mut client, &format!("j{n}")).await;
             assert!(read_response(&mut client)
                 .await
                 .head
@@ -292,10 +275,7 @@
         watch.send_head().await;
         watch.send_chunk("\n").await;
         let mut client = connect_client(harness.aggregator).await;
-        client
-            .write_all(query_request("j-last", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut client, "j-last").await;
         assert!(read_response(&mut client).await.body.contains("j-last.3"));
         drop((idle, watch));
         leaf.abort();
--- a/crates/core/tests/endpoint_watch.rs
+++ b/crates/core/tests/endpoint_watch.rs
@@ -4,10 +4,10 @@
 
 use aggregator_core::net::OperatorSignal;
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{
-    addresses, connect_client, endpoint, query_request, read_response, run_scenario, snapshot,
-    LeafServerConnection, WatchConnection, HANG_TIMEOUT,
-};
+use support::socket_harness::client::{connect_client, query_request, read_response, send_query};
+use support::socket_harness::discovery::{endpoint, snapshot, WatchConnection};
+use support::socket_harness::leaf_server::LeafServerConnection;
+use support::socket_harness::{addresses, run_scenario, HANG_TIMEOUT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout, Duration, Instant};
@@ -179,10 +179,7 @@
         let again = WatchConnection::accept(&harness.discovery).await;
         assert!(again.request.contains("from=2 "), "{}", again.request);
         let mut client = connect_client(harness.aggregator).await;
-        client
-            .write_all(query_request("still", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut client, "still").await;
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
         assert_eq!(
             leaf.next_call().await.id,
--- a/crates/core/tests/frontends.rs
+++ b/crates/core/tests/frontends.rs
@@ -7,7 +7,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use support::engine_harness::{query, SETTINGS};
-use support::socket_harness::{run_scenario_with_extensions, CachedList, LeafServerConnection};
+use support::socket_harness::leaf_server::LeafServerConnection;
+use support::socket_harness::Scenario;
 use tokio::time::{sleep, Duration};
 
 /// How long a request takes between two of its queries.
@@ -32,10 +33,13 @@
     })
 }
 
-fn extensions_with(frontend: StartFrontend) -> Extensions {
-    Extensions {
-        frontends: vec![frontend],
-        ..Extensions::default()
+fn scenario_with(frontend: StartFrontend) -> Scenario<'static> {
+    Scenario {
+        extensions: Extensions {
+            frontends: vec![frontend],
+            ..Extensions::default()
+        },
+        ..Scenario::new(SETTINGS, 100)
     }
 }
 
@@ -43,9 +47,8 @@
 fn the_process_goes_on_until_a_frontend_has_served_what_it_has_accepted() {
     let reply = SharedReply::default();
     let frontend = frontend_with_late_query(BETWEEN_QUERIES, reply.clone());
-    let extensions = extensions_with(frontend);
-    let cached = CachedList::OneEndpoint;
-    run_scenario_with_extensions(cached, SETTINGS, 100, extensions, |harness| async move {
+    let scenario = scenario_with(frontend);
+    scenario.run(|harness| async move {
         harness.request_shutdown().await;
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
         let id = leaf.next_call().await.id;
@@ -61,9 +64,8 @@
 fn a_query_that_comes_after_the_exit_deadline_is_rejected_at_once() {
     let reply = SharedReply::default();
     let frontend = frontend_with_late_query(UNTIL_AFTER_EXIT_DEADLINE, reply.clone());
-    let extensions = extensions_with(frontend);
-    let cached = CachedList::OneEndpoint;
-    run_scenario_with_extensions(cached, SETTINGS, 100, extensions, |harness| async move {
+    let scenario = scenario_with(frontend);
+    scenario.run(|harness| async move {
         harness.request_shutdown().await;
         harness.expect_exit().await;
         let reply = reply.borrow();
--- a/crates/core/tests/incomplete_requests.rs
+++ b/crates/core/tests/incomplete_requests.rs
@@ -4,10 +4,11 @@
 mod support;
 
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{
-    connect_client, expect_clean_close, query_request, read_response, run_scenario, served_client,
-    LeafServerConnection,
+use support::socket_harness::client::{
+    connect_client, expect_clean_close, query_request, read_response, send_query, served_client,
 };
+use support::socket_harness::leaf_server::LeafServerConnection;
+use support::socket_harness::run_scenario;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Duration};
@@ -17,8 +18,7 @@
 const CLIENT_CAPACITY: usize = 45;
 
 async fn answer_query(leaf: &mut LeafServerConnection, client: &mut TcpStream, name: &str) {
-    let request = query_request(name, "");
-    client.write_all(request.as_bytes()).await.unwrap();
+    send_query(client, name).await;
     let call = leaf.next_call().await;
     leaf.send_result(&call.id).await;
     let response = read_response(client).await;
--- a/crates/core/tests/lingering_clients.rs
+++ b/crates/core/tests/lingering_clients.rs
@@ -4,9 +4,9 @@
 mod support;
 
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{
-    connect_client, query_request, read_response, run_scenario, LeafServerConnection, HANG_TIMEOUT,
-};
+use support::socket_harness::client::{connect_client, query_request, read_response, send_query};
+use support::socket_harness::leaf_server::LeafServerConnection;
+use support::socket_harness::{run_scenario, HANG_TIMEOUT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{sleep, timeout, Duration};
 
@@ -38,8 +38,7 @@
             lingering.push(client);
         }
         let mut new = connect_client(harness.aggregator).await;
-        let request = query_request("new", "");
-        new.write_all(request.as_bytes()).await.unwrap();
+        send_query(&mut new, "new").await;
         let response = read_response(&mut new).await;
         assert!(response.body.contains("new.3"), "{response:?}");
         for (number, client) in lingering.iter_mut().enumerate() {
--- a/crates/core/tests/readiness.rs
+++ b/crates/core/tests/readiness.rs
@@ -3,10 +3,9 @@
 mod support;
 
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{
-    connect_client, endpoint, read_response, run_scenario, run_scenario_with_cached, served_client,
-    snapshot, CachedList, SocketHarness, WatchConnection,
-};
+use support::socket_harness::client::{connect_client, read_response, served_client};
+use support::socket_harness::discovery::{endpoint, snapshot, WatchConnection};
+use support::socket_harness::{run_scenario, CachedList, Scenario, SocketHarness};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout_at, Duration, Instant};
@@ -33,7 +32,11 @@
 
 /// Expects that an aggregator without a cached list is ready in time after an outage of discovery.
 fn expect_ready_after_outage(settings: &str) {
-    run_scenario_with_cached(CachedList::Empty, settings, 100, |harness| async move {
+    let scenario = Scenario {
+        cached_list: CachedList::Empty,
+        ..Scenario::new(settings, 100)
+    };
+    scenario.run(|harness| async move {
         let started = Instant::now();
         refuse_watches_until(&harness.discovery, started + OUTAGE).await;
         assert!(!is_ready(&harness).await, "no endpoint is known");
--- a/crates/core/tests/retries.rs
+++ b/crates/core/tests/retries.rs
@@ -3,10 +3,11 @@
 mod support;
 
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{
-    connect_client, query_request, read_response, run_scenario, HttpResponse, LeafServerConnection,
-    ReceivedCall,
+use support::socket_harness::client::{
+    connect_client, query_request, read_response, send_query, HttpResponse,
 };
+use support::socket_harness::leaf_server::{LeafServerConnection, ReceivedCall};
+use support::socket_harness::run_scenario;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Duration};
@@ -25,10 +26,7 @@
     );
     run_scenario(&settings, 100, |harness| async move {
         let mut client = connect_client(harness.aggregator).await;
-        client
-            .write_all(query_request("h1", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut client, "h1").await;
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
         assert_eq!(leaf.next_call().await.id, "h1.3");
         reset(leaf.stream);
--- a/crates/core/tests/sockets.rs
+++ b/crates/core/tests/sockets.rs
@@ -1,17 +1,14 @@
 //! A complete aggregator on loopback sockets, with a leaf server and a discovery agent that run
 //! beside it.
 
-use aggregator_core::config::{parse_aggregator_settings, parse_policy_settings};
-use aggregator_core::engine::Engine;
-use aggregator_core::net::{self, Clock};
-use aggregator_core::protocol::query::NameTables;
 use std::future::Future;
 use std::net::SocketAddr;
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{addresses, query_request, read_response};
+use support::socket_harness::client::{query_request, read_response, send_query};
+use support::socket_harness::leaf_server::LeafServerConnection;
+use support::socket_harness::{CachedList, Scenario, SocketHarness, TestTime};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration, Instant};
 
 mod support;
@@ -19,12 +16,6 @@
 /// Few, so that a test can fill the capacity for clients.
 const DESCRIPTORS: usize = 40;
 
-async fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = listener.local_addr().unwrap();
-    (listener, address)
-}
-
 /// The discovery agent: closes the first watch without a response, answers each later one with the
 /// endpoint list and leaves it open.
 async fn run_discovery(listener: TcpListener, leaf: SocketAddr) {
@@ -45,32 +36,36 @@
     }
 }
 
+/// What a leaf server sends as the result of a part whose id begins with `cut`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CutResult {
+    Truncated,
+    Complete,
+}
+
 /// A leaf server: answers each part with its own id as the value. On its first connection, it
 /// truncates the result of a part whose id begins with `cut`.
 async fn run_leaf_server(listener: TcpListener) {
-    for is_first in [true].into_iter().chain(std::iter::repeat(false)) {
+    let later = std::iter::repeat(CutResult::Complete);
+    for cut_result in [CutResult::Truncated].into_iter().chain(later) {
         let (stream, _) = listener.accept().await.unwrap();
-        tokio::task::spawn_local(serve_leaf_connection(stream, is_first));
+        tokio::task::spawn_local(serve_leaf_connection(stream, cut_result));
     }
 }
 
-async fn serve_leaf_connection(mut stream: TcpStream, is_first: bool) {
-    loop {
-        let Ok(length) = stream.read_u32().await else {
-            return;
-        };
-        let mut frame = vec![0; length as usize];
-        stream.read_exact(&mut frame).await.unwrap();
-        let text = String::from_utf8(frame).unwrap();
-        let id = text[1..].split(' ').next().unwrap().to_string();
+async fn serve_leaf_connection(stream: TcpStream, cut_result: CutResult) {
+    let mut leaf = LeafServerConnection { stream };
+    while let Some(call) = leaf.next_frame().await {
+        let id = call[1..].split(' ').next().unwrap().to_string();
         let result = format!("A{id} ok 1 -\n{id}");
-        stream.write_u32(result.len() as u32).await.unwrap();
-        let sent_bytes = if is_first && id.starts_with("cut") {
+        leaf.stream.write_u32(result.len() as u32).await.unwrap();
+        let is_truncated = cut_result == CutResult::Truncated && id.starts_with("cut");
+        let sent_bytes = if is_truncated {
             result.len() / 2
         } else {
             result.len()
         };
-        stream
+        leaf.stream
             .write_all(&result.as_bytes()[..sent_bytes])
             .await
             .unwrap();
@@ -79,54 +74,37 @@
 
 /// Runs `client` with the address of an aggregator.
 fn run_with_real_time<F: Future<Output = ()>>(client: impl FnOnce(SocketAddr) -> F) {
-    run_with_aggregator(false, client);
+    run_with_aggregator(TestTime::Real, client);
 }
 
-/// The same with a clock that stands still while anyone has something to do, and else advances to
-/// the next timer.
+/// The same in paused time.
 fn run_with_paused_time<F: Future<Output = ()>>(client: impl FnOnce(SocketAddr) -> F) {
-    run_with_aggregator(true, client);
+    run_with_aggregator(TestTime::Paused, client);
 }
 
-fn run_with_aggregator<F: Future<Output = ()>>(paused: bool, client: impl FnOnce(SocketAddr) -> F) {
-    let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = runtime.enable_all().start_paused(paused).build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (discovery, discovery_address) = listener().await;
-        let (leaf, leaf_address) = listener().await;
-        let (clients, aggregator_address) = listener().await;
+fn run_with_aggregator<F: Future<Output = ()>>(
+    time: TestTime,
+    client: impl FnOnce(SocketAddr) -> F,
+) {
+    let scenario = Scenario {
+        cached_list: CachedList::Missing,
+        time,
+        ..Scenario::new(SETTINGS, DESCRIPTORS)
+    };
+    scenario.run(|harness| async move {
+        let SocketHarness {
+            aggregator,
+            signals: _signals, // Kept open: it is dropped after the test.
+            discovery,
+            leaf,
+            served,
+        } = harness;
+        let leaf_address = leaf.local_addr().unwrap();
         tokio::task::spawn_local(run_discovery(discovery, leaf_address));
         tokio::task::spawn_local(run_leaf_server(leaf));
-        let aggregator_settings = parse_aggregator_settings(SETTINGS).unwrap();
-        let policy_settings = parse_policy_settings(SETTINGS).unwrap();
-        let names = NameTables {
-            classes: aggregator_settings.classes.clone(),
-            deadlines: aggregator_settings.deadlines.clone(),
-            shards: aggregator_settings.shards,
-            ..NameTables::default()
-        };
-        let clock = Clock::start();
-        let engine = Engine::new(
-            clock.now(),
-            aggregator_settings,
-            policy_settings,
-            7,
-            &Default::default(),
-            DESCRIPTORS,
-        );
-        let (_signals, received_signals) = mpsc::channel(1);
-        let aggregator = net::serve(
-            engine,
-            clock,
-            names,
-            clients,
-            addresses(discovery_address),
-            received_signals,
-            Default::default(),
-        );
         tokio::select! {
-            ended = aggregator => panic!("the aggregator ended: {ended:?}"),
-            () = client(aggregator_address) => {}
+            ended = served => panic!("the aggregator ended: {ended:?}"),
+            () = client(aggregator) => {}
         }
     });
 }
@@ -217,10 +195,7 @@
             .starts_with("HTTP/1.1 400"));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
         let mut stream = TcpStream::connect(address).await.unwrap();
-        stream
-            .write_all(query_request("b1", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut stream, "b1").await;
         assert!(read_response(&mut stream)
             .await
             .head
@@ -254,10 +229,7 @@
         // before.
         let begun = Instant::now();
         let mut stream = TcpStream::connect(address).await.unwrap();
-        stream
-            .write_all(query_request("slow", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut stream, "slow").await;
         assert!(read_response(&mut stream)
             .await
             .head
@@ -303,10 +275,7 @@
             connections.push(incomplete);
         }
         let mut stream = TcpStream::connect(address).await.unwrap();
-        stream
-            .write_all(query_request("good", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut stream, "good").await;
         assert!(read_response(&mut stream)
             .await
             .head
@@ -321,10 +290,7 @@
         wait_until_ready(address, Duration::from_millis(1)).await;
         let begun = Instant::now();
         let mut stream = TcpStream::connect(address).await.unwrap();
-        stream
-            .write_all(query_request("cut1", "").as_bytes())
-            .await
-            .unwrap();
+        send_query(&mut stream, "cut1").await;
         let response = read_response(&mut stream).await;
         assert!(response.body.contains("\"doc\":\"cut1.3\""), "{response:?}");
         assert!(begun.elapsed().as_millis() < 300, "{:?}", begun.elapsed());
--- a/crates/core/tests/stalled_usage_log.rs
+++ b/crates/core/tests/stalled_usage_log.rs
@@ -8,11 +8,9 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{
-    connect_client, query_request, read_response, run_scenario_with_extensions, CachedList,
-    LeafServerConnection,
-};
-use tokio::io::AsyncWriteExt;
+use support::socket_harness::client::{connect_client, read_response, send_query};
+use support::socket_harness::leaf_server::LeafServerConnection;
+use support::socket_harness::Scenario;
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
 
@@ -51,15 +49,16 @@
         written: watch::channel(0).0,
         is_closed: is_closed.clone(),
     };
-    let extensions = Extensions {
-        recorder: Some(Box::new(recorder)),
-        ..Extensions::default()
+    let scenario = Scenario {
+        extensions: Extensions {
+            recorder: Some(Box::new(recorder)),
+            ..Extensions::default()
+        },
+        ..Scenario::new(SETTINGS, 100)
     };
-    let cached = CachedList::OneEndpoint;
-    run_scenario_with_extensions(cached, SETTINGS, 100, extensions, |harness| async move {
+    scenario.run(|harness| async move {
         let mut client = connect_client(harness.aggregator).await;
-        let request = query_request("held", "");
-        client.write_all(request.as_bytes()).await.unwrap();
+        send_query(&mut client, "held").await;
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
         let id = leaf.next_call().await.id;
         leaf.send_result(&id).await;
--- /dev/null
+++ b/crates/core/tests/support/socket_harness/leaf_server.rs
@@ -0,0 +1,75 @@
+//! The leaf server, in whose place each test acts: calls and their results.
+
+use super::HANG_TIMEOUT;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::timeout;
+
+/// The first part of a call as a leaf server receives it.
+pub struct ReceivedCall {
+    /// The part's id.
+    pub id: String,
+    /// How long the aggregator says that it waits, in milliseconds.
+    pub wait_ms: u64,
+}
+
+/// A connection of the aggregator as a leaf server sees it.
+pub struct LeafServerConnection {
+    pub stream: TcpStream,
+}
+
+impl LeafServerConnection {
+    /// Accepts the next connection.
+    pub async fn accept(leaf: &TcpListener) -> LeafServerConnection {
+        let (stream, _) = timeout(HANG_TIMEOUT, leaf.accept())
+            .await
+            .expect("a connection")
+            .unwrap();
+        stream.set_nodelay(true).unwrap();
+        LeafServerConnection { stream }
+    }
+
+    /// The next frame; none at the end of the connection.
+    pub async fn next_frame(&mut self) -> Option<String> {
+        let length = self.stream.read_u32().await.ok()?;
+        let mut frame = vec![0; length as usize];
+        self.stream.read_exact(&mut frame).await.ok()?;
+        Some(String::from_utf8(frame).unwrap())
+    }
+
+    /// The next call; other frames before it are skipped.
+    pub async fn next_call(&mut self) -> ReceivedCall {
+        loop {
+            let frame = timeout(HANG_TIMEOUT, self.next_frame())
+                .await
+                .expect("a call")
+                .expect("a call");
+            if let Some(call) = frame.strip_prefix('Q') {
+                let mut fields = call.split(' ');
+                let id = fields.next().unwrap().to_string();
+                let wait_ms = fields.nth(1).unwrap()[2..].parse().unwrap();
+                return ReceivedCall { id, wait_ms };
+            }
+        }
+    }
+
+    /// Sends a part's result, with its id as the value.
+    pub async fn send_result(&mut self, id: &str) {
+        let result = format!("A{id} ok 1 -\n{id}");
+        let frame = [&(result.len() as u32).to_be_bytes()[..], result.as_bytes()].concat();
+        self.stream.write_all(&frame).await.unwrap();
+    }
+
+    /// Answers all calls until the connection ends, and returns their number.
+    pub async fn serve(mut self) -> usize {
+        let mut served = 0;
+        while let Some(frame) = self.next_frame().await {
+            if let Some(call) = frame.strip_prefix('Q') {
+                let id = call.split(' ').next().unwrap().to_string();
+                self.send_result(&id).await;
+                served += 1;
+            }
+        }
+        served
+    }
+}
--- a/crates/core/tests/truncated_frames.rs
+++ b/crates/core/tests/truncated_frames.rs
@@ -4,10 +4,9 @@
 mod support;
 
 use support::engine_harness::SETTINGS;
-use support::socket_harness::{
-    query_request, read_response, run_scenario, served_client, LeafServerConnection, SocketHarness,
-    HANG_TIMEOUT,
-};
+use support::socket_harness::client::{read_response, send_query, served_client};
+use support::socket_harness::leaf_server::LeafServerConnection;
+use support::socket_harness::{run_scenario, SocketHarness, HANG_TIMEOUT};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Duration, Instant};
@@ -21,11 +20,6 @@
 /// Less than that.
 const SHORT_PAUSE: Duration = Duration::from_millis(50);
 
-async fn send_query(client: &mut TcpStream, name: &str) {
-    let request = query_request(name, "");
-    client.write_all(request.as_bytes()).await.unwrap();
-}
-
 /// Expects that the aggregator has closed a connection without sending anything more on it.
 async fn expect_closed(leaf: &mut LeafServerConnection) {
     let frame = timeout(HANG_TIMEOUT, leaf.next_frame()).await;
