--- a/crates/core/src/net/backlog.rs
+++ b/crates/core/src/net/backlog.rs
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Accepts the next connection; none once no more are waiting. After a failed accept it goes on:
-    /// the connection that failed is lost, others still wait.
+    /// Accepts the next connection; none once no more are waiting. After a failed accept it goes
+    /// on: the connection that failed is lost, others still wait.
     pub async fn accept(&mut self) -> Option<(TcpStream, SocketAddr)> {
         self.remaining = self.remaining.checked_sub(1)?;
         loop {
--- a/crates/core/src/net/client_connection/mod.rs
+++ b/crates/core/src/net/client_connection/mod.rs
@@ -1,8 +1,9 @@
 //! The connections of clients: one request at a time goes to the engine, and its reply back.
 //!
 //! A connection ends in four steps, also at a shutdown (see `net/mod.rs`): the last response is
-//! written ([`serving`]), the engine is told that the client has disconnected, the end is logged
-//! ([`ending`]), and input is read and discarded until the client has closed its side ([`mod@linger`]).
+//! written (`serving.rs`), the end is reported to the engine as `Input::ClientDisconnected` and
+//! logged (`ending.rs`), and input is read and discarded until the client has closed its side
+//! (`linger.rs`).
 
 mod ending;
 mod linger;
--- a/crates/core/src/net/leaf_connection.rs
+++ b/crates/core/src/net/leaf_connection.rs
@@ -15,8 +15,8 @@
 use tokio_util::codec::Framed;
 
 /// A frame that has begun must be complete within this time. Leaf servers send a result as one
-/// packet: if part of it is missing, the rest never arrives, and everything that is in flight on the
-/// connection would wait for it.
+/// packet: if part of it is missing, the rest never arrives, and everything that is in flight on
+/// the connection would wait for it.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The driver's end of a connection; dropping it closes the connection.
--- a/crates/core/src/net/listener.rs
+++ b/crates/core/src/net/listener.rs
@@ -14,8 +14,8 @@
 /// Without a limit, a flood would take the descriptors that connections to leaf servers need.
 const MAX_EXCESS_CONNECTIONS: usize = 16;
 
-/// Accepts connections until the drain period of a shutdown is over (`engine/shutdown.rs`), and then
-/// those that already wait: closing the listener would reset them.
+/// Accepts connections until the drain period of a shutdown is over (`engine/shutdown.rs`), and
+/// then those that already wait: closing the listener would reset them.
 pub(super) async fn accept_connections(
     shared: Shared,
     running: RunningFrontend,
--- a/crates/core/src/net/mod.rs
+++ b/crates/core/src/net/mod.rs
@@ -1,14 +1,14 @@
 //! Sockets, timers and buffers. Everything here reports to the engine what happened, as an
 //! [`Input`](crate::engine::Input), and executes the [`Effect`](crate::engine::Effect)s that the
-//! engine returns; nothing is decided here. One thread runs it all, inside a `LocalSet`, with a task
-//! for each connection.
+//! engine returns; nothing is decided here. One thread runs it all, inside a `LocalSet`, with a
+//! task for each connection.
 //!
 //! # Graceful shutdown
 //!
 //! `engine/shutdown.rs` decides on the phases and their ends. This is what happens here in each:
 //!
-//! 1. Drain period (`Effect::StartDraining`): the phase is `ServingPhase::Draining`. Connections are
-//!    still accepted; each response closes its connection.
+//! 1. Drain period (`Effect::StartDraining`): the phase is `ServingPhase::Draining`. Connections
+//!    are still accepted; each response closes its connection.
 //! 2. End of the drain period (`Effect::StopListening`, `Effect::DrainClient`): the phase is
 //!    `ServingPhase::ListeningStopped`. `listener.rs` accepts what already waits (`backlog.rs`) and
 //!    then reports that its frontend has stopped (`running_frontend.rs`); other frontends do the
@@ -16,9 +16,9 @@
 //!    short wait for a request that is on its way (`client_connection/next_request.rs`).
 //! 3. Answer deadline (`Effect::ReleaseReplies`): replies no longer wait for the usage log
 //!    (`driver/reply_delivery.rs`).
-//! 4. Exit (`Effect::Exit`): `event_loop.rs` ends its loop and has the engine answer the inputs that
-//!    are queued. `driver/shutdown.rs` waits for clients to end until the exit deadline. The usage
-//!    log is closed last.
+//! 4. Exit (`Effect::Exit`): `event_loop.rs` ends its loop and has the engine answer the inputs
+//!    that are queued. `driver/shutdown.rs` waits for clients to end until the exit deadline. The
+//!    usage log is closed last.
 
 mod backlog;
 mod buffer_pool;
--- a/crates/core/src/protocol/http/mod.rs
+++ b/crates/core/src/protocol/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 with clients and the discovery agent: a server codec for complete requests, and a client
-//! codec for one watch. A body has a length or is chunked.
+//! HTTP/1.1 with clients and the discovery agent: a server codec for complete requests, and a
+//! client codec for one watch. A body has a length or is chunked.
 
 mod body;
 mod head;
--- a/crates/core/src/protocol/http/watch.rs
+++ b/crates/core/src/protocol/http/watch.rs
@@ -1,5 +1,5 @@
-//! The client's side of a watch on discovery: one request, and a body of messages that goes on until
-//! the watch ends.
+//! The client's side of a watch on discovery: one request, and a body of messages that goes on
+//! until the watch ends.
 
 use super::body::{BodyProgress, BodyReader};
 use super::watch_scanner::{MessageScanner, ScanEvent};
