--- a/crates/core/tests/incomplete_requests.rs
+++ b/crates/core/tests/incomplete_requests.rs
@@ -5,7 +5,7 @@
 
 use support::engine_harness::SETTINGS;
 use support::socket_harness::client::{
-    connect_client, expect_clean_close, query_request, read_response, send_query, served_client,
+    connect_client, expect_clean_close, query_request, read_response, send_query,
 };
 use support::socket_harness::leaf_server::LeafServerConnection;
 use support::socket_harness::run_scenario;
@@ -48,63 +48,6 @@
     expect_clean_close(client).await;
 }
 
-#[test]
-fn a_request_completed_after_the_drain_period_is_neither_forwarded_nor_reset() {
-    run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
-        let (mut client, mut leaf) = served_client(&harness, "first").await;
-        let rest = send_first_half(&mut client).await;
-        harness.request_shutdown().await;
-        expect_rest_discarded(&mut client, &rest).await;
-        drop(client);
-        harness.expect_exit().await;
-        expect_no_frame(&mut leaf).await;
-    });
-}
-
-#[test]
-fn a_request_completed_within_the_drain_period_is_answered() {
-    run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
-        let (mut client, mut leaf) = served_client(&harness, "first").await;
-        let rest = send_first_half(&mut client).await;
-        harness.request_shutdown().await;
-        sleep(Duration::from_millis(400)).await;
-        client.write_all(rest.as_bytes()).await.unwrap();
-        let call = leaf.next_call().await;
-        assert_eq!(call.id, "half.3");
-        leaf.send_result(&call.id).await;
-        let response = read_response(&mut client).await;
-        assert!(response.body.contains("half.3"), "{response:?}");
-    });
-}
-
-#[test]
-fn an_incomplete_first_request_at_a_shutdown_ends_without_a_reset() {
-    run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
-        let mut client = connect_client(harness.aggregator).await;
-        send_first_half(&mut client).await;
-        harness.request_shutdown().await;
-        expect_clean_close(&mut client).await;
-        let connection = timeout(Duration::from_secs(20), harness.leaf.accept()).await;
-        assert!(connection.is_err(), "nothing is forwarded");
-    });
-}
-
-#[test]
-fn a_request_completed_after_its_client_is_evicted_is_neither_forwarded_nor_reset() {
-    run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
-        let (mut client, mut leaf) = served_client(&harness, "first").await;
-        let rest = send_first_half(&mut client).await;
-        let mut others = Vec::new();
-        for number in 0..CLIENT_CAPACITY {
-            let mut other = connect_client(harness.aggregator).await;
-            answer_query(&mut leaf, &mut other, &format!("other-{number}")).await;
-            others.push(other);
-        }
-        expect_rest_discarded(&mut client, &rest).await;
-        expect_no_frame(&mut leaf).await;
-    });
-}
-
 /// When the drain period is over, and a moment later, after SIGTERM.
 const DRAIN_PERIOD: Duration = Duration::from_millis(500);
 const ON_ITS_WAY: Duration = Duration::from_millis(50);
@@ -128,26 +71,6 @@
     );
 }
 
-#[test]
-fn the_first_request_of_a_connection_accepted_just_before_a_shutdown_closes_it_is_answered() {
-    run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
-        let mut client = connect_client(harness.aggregator).await;
-        harness.request_shutdown().await;
-        let request = query_request("first", "");
-        expect_answer_after_drain_period(&mut client, &harness.leaf, "first", &request).await;
-    });
-}
-
-#[test]
-fn a_request_that_is_half_read_when_a_shutdown_closes_its_connection_is_answered() {
-    run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
-        let mut client = connect_client(harness.aggregator).await;
-        let rest = send_first_half(&mut client).await;
-        harness.request_shutdown().await;
-        expect_answer_after_drain_period(&mut client, &harness.leaf, "half", &rest).await;
-    });
-}
-
 #[test]
 fn a_first_request_that_crosses_the_close_of_its_connection_is_not_reset() {
     run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
@@ -162,3 +85,106 @@
         expect_rest_discarded(&mut silent, &request).await;
     });
 }
+
+/// Requests that are incomplete when a shutdown begins.
+mod shutdown {
+    use super::{
+        expect_answer_after_drain_period, expect_no_frame, expect_rest_discarded, send_first_half,
+        DESCRIPTORS,
+    };
+    use crate::support::engine_harness::SETTINGS;
+    use crate::support::socket_harness::client::{
+        connect_client, expect_clean_close, query_request, read_response, served_client,
+    };
+    use crate::support::socket_harness::run_scenario;
+    use tokio::io::AsyncWriteExt;
+    use tokio::time::{sleep, timeout, Duration};
+
+    #[test]
+    fn request_completed_too_late_is_neither_forwarded_nor_reset() {
+        run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
+            let (mut client, mut leaf) = served_client(&harness, "first").await;
+            let rest = send_first_half(&mut client).await;
+            harness.request_shutdown().await;
+            expect_rest_discarded(&mut client, &rest).await;
+            drop(client);
+            harness.expect_exit().await;
+            expect_no_frame(&mut leaf).await;
+        });
+    }
+
+    #[test]
+    fn request_completed_within_the_drain_period_is_answered() {
+        run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
+            let (mut client, mut leaf) = served_client(&harness, "first").await;
+            let rest = send_first_half(&mut client).await;
+            harness.request_shutdown().await;
+            sleep(Duration::from_millis(400)).await;
+            client.write_all(rest.as_bytes()).await.unwrap();
+            let call = leaf.next_call().await;
+            assert_eq!(call.id, "half.3");
+            leaf.send_result(&call.id).await;
+            let response = read_response(&mut client).await;
+            assert!(response.body.contains("half.3"), "{response:?}");
+        });
+    }
+
+    #[test]
+    fn incomplete_first_request_ends_without_a_reset() {
+        run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
+            let mut client = connect_client(harness.aggregator).await;
+            send_first_half(&mut client).await;
+            harness.request_shutdown().await;
+            expect_clean_close(&mut client).await;
+            let connection = timeout(Duration::from_secs(20), harness.leaf.accept()).await;
+            assert!(connection.is_err(), "nothing is forwarded");
+        });
+    }
+
+    #[test]
+    fn first_request_of_a_connection_accepted_just_before_is_answered() {
+        run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
+            let mut client = connect_client(harness.aggregator).await;
+            harness.request_shutdown().await;
+            let request = query_request("first", "");
+            expect_answer_after_drain_period(&mut client, &harness.leaf, "first", &request).await;
+        });
+    }
+
+    #[test]
+    fn request_that_is_half_read_at_the_close_is_answered() {
+        run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
+            let mut client = connect_client(harness.aggregator).await;
+            let rest = send_first_half(&mut client).await;
+            harness.request_shutdown().await;
+            expect_answer_after_drain_period(&mut client, &harness.leaf, "half", &rest).await;
+        });
+    }
+}
+
+/// Requests that are incomplete when their client is evicted for a new one.
+mod eviction {
+    use super::{
+        answer_query, expect_no_frame, expect_rest_discarded, send_first_half, CLIENT_CAPACITY,
+        DESCRIPTORS,
+    };
+    use crate::support::engine_harness::SETTINGS;
+    use crate::support::socket_harness::client::{connect_client, served_client};
+    use crate::support::socket_harness::run_scenario;
+
+    #[test]
+    fn request_completed_afterwards_is_neither_forwarded_nor_reset() {
+        run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
+            let (mut client, mut leaf) = served_client(&harness, "first").await;
+            let rest = send_first_half(&mut client).await;
+            let mut others = Vec::new();
+            for number in 0..CLIENT_CAPACITY {
+                let mut other = connect_client(harness.aggregator).await;
+                answer_query(&mut leaf, &mut other, &format!("other-{number}")).await;
+                others.push(other);
+            }
+            expect_rest_discarded(&mut client, &rest).await;
+            expect_no_frame(&mut leaf).await;
+        });
+    }
+}
--- a/crates/core/tests/sockets.rs
+++ b/crates/core/tests/sockets.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn queries_are_served_over_one_persistent_connection_and_split_at_any_byte() {
+fn queries_split_at_any_byte_are_served_over_one_connection() {
     run_with_real_time(|address| async move {
         wait_until_ready(address, Duration::ZERO).await;
         let mut stream = TcpStream::connect(address).await.unwrap();
--- a/crates/core/tests/support/socket_harness.rs
+++ b/crates/core/tests/support/socket_harness.rs
@@ -19,8 +19,8 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::{timeout, Duration};
 
-/// After this time, what a test waits for has not happened. With [`TestTime::Paused`], waiting costs
-/// no real time.
+/// After this time, what a test waits for has not happened. With [`TestTime::Paused`], waiting
+/// costs no real time.
 pub const HANG_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// How often usage watermarks are recorded, in nanoseconds.
--- a/crates/core/tests/truncated_frames.rs
+++ b/crates/core/tests/truncated_frames.rs
@@ -3,13 +3,11 @@
 
 mod support;
 
-use support::engine_harness::SETTINGS;
-use support::socket_harness::client::{read_response, send_query, served_client};
+use support::socket_harness::client::{read_response, send_query};
 use support::socket_harness::leaf_server::LeafServerConnection;
-use support::socket_harness::{run_scenario, SocketHarness, HANG_TIMEOUT};
-use tokio::io::AsyncWriteExt;
+use support::socket_harness::{SocketHarness, HANG_TIMEOUT};
 use tokio::net::TcpStream;
-use tokio::time::{sleep, timeout, Duration, Instant};
+use tokio::time::{timeout, Duration};
 
 /// The beginning of a result of 64 bytes.
 const TRUNCATED_FRAME: &[u8] = b"\0\0\0\x40Aother";
@@ -37,77 +35,101 @@
     assert!(response.body.contains("second.3"), "{response:?}");
 }
 
-#[test]
-fn a_frame_cut_off_by_the_idle_close_leaves_the_next_query_unharmed() {
-    run_scenario(SETTINGS, 100, |harness| async move {
-        let (mut client, mut leaf) = served_client(&harness, "first").await;
-        sleep(IDLE_CLOSE - SHORT_PAUSE).await;
-        leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
-        let begun = Instant::now();
-        expect_closed(&mut leaf).await;
-        assert!(begun.elapsed() < FRAME_TIMEOUT, "{:?}", begun.elapsed());
-        expect_answer_on_new_connection(&harness, &mut client).await;
-    });
-}
+/// A truncated frame on a connection on which no call is open.
+mod idle_connection {
+    use super::{
+        expect_answer_on_new_connection, expect_closed, FRAME_TIMEOUT, IDLE_CLOSE, SHORT_PAUSE,
+        TRUNCATED_FRAME,
+    };
+    use crate::support::engine_harness::SETTINGS;
+    use crate::support::socket_harness::client::served_client;
+    use crate::support::socket_harness::run_scenario;
+    use tokio::io::AsyncWriteExt;
+    use tokio::time::{sleep, Instant};
 
-#[test]
-fn a_frame_that_stays_incomplete_closes_its_idle_connection() {
-    run_scenario(SETTINGS, 100, |harness| async move {
-        let (mut client, mut leaf) = served_client(&harness, "first").await;
-        leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
-        let begun = Instant::now();
-        expect_closed(&mut leaf).await;
-        assert!(begun.elapsed() < 2 * FRAME_TIMEOUT, "{:?}", begun.elapsed());
-        expect_answer_on_new_connection(&harness, &mut client).await;
-    });
-}
+    #[test]
+    fn frame_cut_off_by_the_idle_close_does_not_affect_the_next_query() {
+        run_scenario(SETTINGS, 100, |harness| async move {
+            let (mut client, mut leaf) = served_client(&harness, "first").await;
+            sleep(IDLE_CLOSE - SHORT_PAUSE).await;
+            leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
+            let begun = Instant::now();
+            expect_closed(&mut leaf).await;
+            assert!(begun.elapsed() < FRAME_TIMEOUT, "{:?}", begun.elapsed());
+            expect_answer_on_new_connection(&harness, &mut client).await;
+        });
+    }
 
-#[test]
-fn a_frame_cut_off_by_the_leaf_server_leaves_the_next_query_unharmed() {
-    run_scenario(SETTINGS, 100, |harness| async move {
-        let (mut client, mut leaf) = served_client(&harness, "first").await;
-        leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
-        drop(leaf);
-        sleep(SHORT_PAUSE).await;
-        expect_answer_on_new_connection(&harness, &mut client).await;
-    });
-}
+    #[test]
+    fn frame_that_stays_incomplete_closes_the_connection() {
+        run_scenario(SETTINGS, 100, |harness| async move {
+            let (mut client, mut leaf) = served_client(&harness, "first").await;
+            leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
+            let begun = Instant::now();
+            expect_closed(&mut leaf).await;
+            assert!(begun.elapsed() < 2 * FRAME_TIMEOUT, "{:?}", begun.elapsed());
+            expect_answer_on_new_connection(&harness, &mut client).await;
+        });
+    }
 
-#[test]
-fn an_idempotent_part_sent_behind_a_truncated_frame_is_retried_and_answered() {
-    run_scenario(SETTINGS, 100, |harness| async move {
-        let (mut client, mut leaf) = served_client(&harness, "first").await;
-        leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
-        sleep(SHORT_PAUSE).await;
-        send_query(&mut client, "behind").await;
-        assert_eq!(leaf.next_call().await.id, "behind.3");
-        let mut next = LeafServerConnection::accept(&harness.leaf).await;
-        let retry = next.next_call().await;
-        assert_eq!(retry.id, "behind.3");
-        next.send_result(&retry.id).await;
-        let response = read_response(&mut client).await;
-        assert!(response.body.contains("behind.3"), "{response:?}");
-        expect_closed(&mut leaf).await;
-    });
+    #[test]
+    fn frame_cut_off_by_the_leaf_server_does_not_affect_the_next_query() {
+        run_scenario(SETTINGS, 100, |harness| async move {
+            let (mut client, mut leaf) = served_client(&harness, "first").await;
+            leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
+            drop(leaf);
+            sleep(SHORT_PAUSE).await;
+            expect_answer_on_new_connection(&harness, &mut client).await;
+        });
+    }
 }
 
-#[test]
-fn a_non_idempotent_part_sent_behind_a_truncated_frame_is_sent_once() {
-    let settings = SETTINGS.replace(
-        "classes.1.semantics=read_like",
-        "classes.1.semantics=non_idempotent",
-    );
-    run_scenario(&settings, 100, |harness| async move {
-        let (mut client, mut leaf) = served_client(&harness, "first").await;
-        leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
-        sleep(SHORT_PAUSE).await;
-        send_query(&mut client, "behind").await;
-        assert_eq!(leaf.next_call().await.id, "behind.3");
-        let response = read_response(&mut client).await;
-        assert!(response.head.starts_with("HTTP/1.1 50"), "{response:?}");
-        expect_closed(&mut leaf).await;
-        let another = timeout(Duration::from_secs(20), harness.leaf.accept()).await;
-        assert!(another.is_err(), "the part may have run");
-        expect_answer_on_new_connection(&harness, &mut client).await;
-    });
+/// A part that is sent after the beginning of a truncated frame was received.
+mod part_sent_behind {
+    use super::{expect_answer_on_new_connection, expect_closed, SHORT_PAUSE, TRUNCATED_FRAME};
+    use crate::support::engine_harness::SETTINGS;
+    use crate::support::socket_harness::client::{read_response, send_query, served_client};
+    use crate::support::socket_harness::leaf_server::LeafServerConnection;
+    use crate::support::socket_harness::run_scenario;
+    use tokio::io::AsyncWriteExt;
+    use tokio::time::{sleep, timeout, Duration};
+
+    #[test]
+    fn idempotent_part_is_retried_and_answered() {
+        run_scenario(SETTINGS, 100, |harness| async move {
+            let (mut client, mut leaf) = served_client(&harness, "first").await;
+            leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
+            sleep(SHORT_PAUSE).await;
+            send_query(&mut client, "behind").await;
+            assert_eq!(leaf.next_call().await.id, "behind.3");
+            let mut next = LeafServerConnection::accept(&harness.leaf).await;
+            let retry = next.next_call().await;
+            assert_eq!(retry.id, "behind.3");
+            next.send_result(&retry.id).await;
+            let response = read_response(&mut client).await;
+            assert!(response.body.contains("behind.3"), "{response:?}");
+            expect_closed(&mut leaf).await;
+        });
+    }
+
+    #[test]
+    fn non_idempotent_part_is_sent_once() {
+        let settings = SETTINGS.replace(
+            "classes.1.semantics=read_like",
+            "classes.1.semantics=non_idempotent",
+        );
+        run_scenario(&settings, 100, |harness| async move {
+            let (mut client, mut leaf) = served_client(&harness, "first").await;
+            leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
+            sleep(SHORT_PAUSE).await;
+            send_query(&mut client, "behind").await;
+            assert_eq!(leaf.next_call().await.id, "behind.3");
+            let response = read_response(&mut client).await;
+            assert!(response.head.starts_with("HTTP/1.1 50"), "{response:?}");
+            expect_closed(&mut leaf).await;
+            let another = timeout(Duration::from_secs(20), harness.leaf.accept()).await;
+            assert!(another.is_err(), "the part may have run");
+            expect_answer_on_new_connection(&harness, &mut client).await;
+        });
+    }
 }
