--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,5 @@
-//! A query aggregator around its policy: the configuration, the protocols that it speaks, the
-//! engine that holds all its state, and the sockets.
+//! A query aggregator around its policy: the configuration, the protocols, the engine that holds
+//! all state, and the sockets.
 
 pub mod config;
 pub mod engine;
--- a/crates/core/src/net/buffer_pool.rs
+++ b/crates/core/src/net/buffer_pool.rs
@@ -1,4 +1,4 @@
-//! Reusable buffers of one size: each connection takes two while it is open.
+//! Reusable buffers of one size: each connection uses two while it is open.
 
 use bytes::BytesMut;
 use std::cell::RefCell;
@@ -8,7 +8,7 @@
 
 /// The size of a buffer: holds the head of a request and nearly every frame and response.
 pub(super) const BUFFER_BYTES: usize = 16 * 1024;
-/// The most unused buffers that are retained, which is 4 MiB.
+/// The most unused buffers that are retained: 4 MiB in total.
 const MAX_FREE_BUFFERS: usize = 256;
 
 /// The unused buffers.
@@ -23,7 +23,8 @@
             .unwrap_or_else(|| BytesMut::with_capacity(BUFFER_BYTES))
     }
 
-    /// Retains a buffer, unless it has grown for a large message: all would end up large.
+    /// Retains a buffer, unless it has grown for a large message. Otherwise all buffers would grow
+    /// in the end.
     fn put_back(&self, mut buffer: BytesMut) {
         buffer.clear();
         let mut free = self.0.borrow_mut();
--- a/crates/core/src/net/client_connection/ending.rs
+++ b/crates/core/src/net/client_connection/ending.rs
@@ -1,4 +1,4 @@
-//! How a client's connection ends, and the log line that says so.
+//! How a client's connection ends, and its last log line.
 
 use crate::engine::ClientId;
 use std::io;
--- a/crates/core/src/net/client_connection/linger.rs
+++ b/crates/core/src/net/client_connection/linger.rs
@@ -12,8 +12,8 @@
 /// Shuts the writing side down and reads on until the client has closed its own.
 ///
 /// Closing with unread bytes, or while some are on their way, would reset the connection, and the
-/// reset can overtake the last response. What is read is discarded, also where it is the first
-/// request of the connection: the client sees the end of the connection in place of a response.
+/// reset can overtake the last response. What is read is discarded, even if it is the first request
+/// of the connection: its client gets the end of the connection in place of a response.
 pub(super) async fn linger(shared: &Shared, stream: &mut ClientStream) {
     stream.codec_mut().discard_input();
     let _ = stream.get_mut().shutdown().await;
@@ -22,7 +22,7 @@
     lingering.set(lingering.get() + 1);
     tokio::select! {
         _ = timeout(LINGER_TIMEOUT, discard) => {}
-        // A new connection needs the capacity that this one takes.
+        // A new connection needs the capacity that this one occupies.
         () = shared.capacity_needed.notified() => {}
     }
     lingering.set(lingering.get() - 1);
--- a/crates/core/src/net/client_connection/serving.rs
+++ b/crates/core/src/net/client_connection/serving.rs
@@ -90,14 +90,7 @@
             } = received;
             let keep_alive = match self.submit(arrived, request).await {
                 Submission::Accepted { keep_alive } => keep_alive,
-                Submission::Stopped => {
-                    let rejected = Response {
-                        close: true,
-                        ..render_reply(&QueryReply::REJECTED_AT_EXIT)
-                    };
-                    self.respond(rejected).await?;
-                    return Ok(Ending::Closed(CloseReason::Stopped));
-                }
+                Submission::Stopped => return self.reject_at_exit().await,
             };
             let (reply, close) = match self.wait_for_reply(&mut pipeline).await? {
                 ReplyWait::Reply { reply, close } => (reply, close),
@@ -185,6 +178,16 @@
         }
     }
 
+    /// Rejects a request that the engine did not get, as the last on the connection.
+    async fn reject_at_exit(&mut self) -> io::Result<Ending> {
+        let response = Response {
+            close: true,
+            ..render_reply(&QueryReply::REJECTED_AT_EXIT)
+        };
+        self.respond(response).await?;
+        Ok(Ending::Closed(CloseReason::Stopped))
+    }
+
     async fn respond(&mut self, response: Response) -> io::Result<()> {
         match timeout(WRITE_TIMEOUT, self.stream.send(response)).await {
             Ok(sent) => sent?,
--- a/crates/core/src/net/endpoint_watch.rs
+++ b/crates/core/src/net/endpoint_watch.rs
@@ -15,7 +15,7 @@
 /// Discovery sends a line every 2 s, empty if nothing has changed. A watch without a line for this
 /// long has failed.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The discovery agent is on this machine: a connection that takes longer never opens.
+/// The discovery agent runs on this machine: a connection that takes longer to open has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The task of one watch on the endpoint list.
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -31,7 +31,7 @@
 }
 
 impl ConnectedClient {
-    /// Sends an input; false if the engine is gone.
+    /// Sends an input; false if the event loop has ended.
     async fn send(&self, input: Input) -> bool {
         self.shared.inputs.send(input).await.is_ok()
     }
--- a/crates/core/src/net/open_requests.rs
+++ b/crates/core/src/net/open_requests.rs
@@ -33,7 +33,7 @@
 }
 
 /// A request that was read. It is open until this is dropped: once its response is written, or its
-/// client has gone.
+/// client has disconnected.
 #[derive(Debug)]
 pub struct OpenRequest(OpenRequests);
 
--- a/crates/core/src/net/usage_recorder.rs
+++ b/crates/core/src/net/usage_recorder.rs
@@ -9,7 +9,7 @@
 pub trait UsageRecorder {
     /// Queues a record; false if there was no capacity and the record is lost.
     fn record(&mut self, usage: UsageRecord) -> bool;
-    /// Queues a watermark, which says how far the log is complete.
+    /// Queues a watermark: the time up to which the log is complete.
     fn record_watermark(&mut self, watermark: UsageWatermark);
     /// The sequence up to which records have been handed to the operating system.
     fn written(&self) -> watch::Receiver<u64>;
--- a/crates/core/src/protocol/discovery.rs
+++ b/crates/core/src/protocol/discovery.rs
@@ -14,7 +14,7 @@
     pub zone: String,
     /// The group of shards that it holds.
     pub group: u16,
-    /// Whether it takes queries.
+    /// Whether it accepts queries.
     pub status: Status,
     /// Its last start, in Unix milliseconds; 0 means long ago.
     #[serde(default)]
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// It takes queries.
+    /// It accepts queries.
     Up,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes the queries that it has and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// It no longer exists.
     Removed,
 }
 
--- a/crates/core/src/protocol/http/server.rs
+++ b/crates/core/src/protocol/http/server.rs
@@ -1,4 +1,4 @@
-//! The server's side of a connection: requests in, responses out.
+//! The server's side of a connection: decodes requests and encodes responses.
 
 use super::body::{BodyError, BodyProgress};
 use super::head::RequestHead;
--- a/crates/core/src/protocol/http/watch.rs
+++ b/crates/core/src/protocol/http/watch.rs
@@ -86,7 +86,7 @@
 }
 
 impl Decoder for WatchCodec {
-    /// One message, however many lines it takes; an empty one is the agent's heartbeat.
+    /// One message, however many lines it has; an empty one is the agent's heartbeat.
     type Item = Bytes;
     type Error = io::Error;
 
--- a/crates/core/src/protocol/http/watch_scanner.rs
+++ b/crates/core/src/protocol/http/watch_scanner.rs
@@ -1,7 +1,7 @@
 //! Finds the ends of the messages of a watch.
 
 /// The state of the search for the end of a message, which is where its outermost bracket closes,
-/// however many lines it takes.
+/// however many lines it has.
 #[derive(Default)]
 pub(super) struct MessageScanner {
     position: usize,
--- a/crates/core/src/protocol/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -1,5 +1,6 @@
 //! Messages and their codecs; no sockets, and no state beyond the message that is being decoded.
-//! All input from outside is validated here, so the engine can act on every message it gets.
+//! All input from other processes is validated here, so the engine can act on every message that it
+//! gets.
 
 pub mod discovery;
 pub mod http;
--- a/crates/core/tests/connection.rs
+++ b/crates/core/tests/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a leaf server against a plain model, and the whole engine against its
-//! promises, both under random steps.
+//! One connection to a leaf server is compared with a plain model, and the invariants of the engine
+//! are checked, both under random steps.
 
 mod support;
 
@@ -55,7 +55,7 @@
     Written,
 }
 
-/// The plain model: where each attempt is, and the frames that have yet to go out, in order.
+/// The plain model: the state of each attempt, and the frames that are still to be sent, in order.
 #[derive(Default)]
 struct Model {
     open: bool,
@@ -190,10 +190,10 @@
         let Some(attempt) = model.nth_attempt(nth) else {
             return Ok(());
         };
-        let went_out = model.attempts.remove(&attempt) != Some(AttemptState::Queued);
-        prop_assert_eq!(connection.cancel_attempt(attempt, now, MS), went_out);
+        let was_sent = model.attempts.remove(&attempt) != Some(AttemptState::Queued);
+        prop_assert_eq!(connection.cancel_attempt(attempt, now, MS), was_sent);
         prop_assert!(!connection.cancel_attempt(attempt, now, MS), "it has ended");
-        let expected = if went_out {
+        let expected = if was_sent {
             ResponseMatch::AlreadyEnded
         } else {
             ResponseMatch::Unknown
@@ -203,7 +203,7 @@
             expected,
             "its response may cross our cancellation"
         );
-        if went_out {
+        if was_sent {
             let cancel = OutgoingFrame::Cancel(wire_id(attempt));
             model.frames.push_back(cancel);
         } else {
@@ -212,7 +212,7 @@
         Ok(())
     }
 
-    /// Compares what both say of their state.
+    /// Compares the states of both.
     fn check_state(&mut self) -> Result<(), TestCaseError> {
         let Pair { connection, model } = self;
         let queued = model.attempts_in(AttemptState::Queued);
@@ -268,8 +268,8 @@
         steps in prop::collection::vec((0u8..12, any::<u64>(), 1u64..400), 1..80),
     ) {
         let mut harness = EngineHarness::new(4);
-        for (kind, dice, ms) in steps {
-            take_engine_step(&mut harness, kind, dice, ms);
+        for (kind, selector, ms) in steps {
+            take_engine_step(&mut harness, kind, selector, ms);
         }
         harness.advance(20_000);
         for (client, replies) in &harness.replies {
@@ -291,8 +291,9 @@
     }
 }
 
-/// Lets something happen to an engine: what, to whom and for how long is up to the numbers.
-fn take_engine_step(harness: &mut EngineHarness, kind: u8, dice: u64, ms: u64) {
+/// Takes a random step with an engine: `kind` selects the step, `selector` what it concerns, and
+/// `ms` how long it takes.
+fn take_engine_step(harness: &mut EngineHarness, kind: u8, selector: u64, ms: u64) {
     let ends = [
         PartStatus::Ok,
         PartStatus::Ok,
@@ -301,20 +302,22 @@
     ];
     let statuses = ["up", "draining", "removed"];
     let connections: Vec<ConnectionId> = harness.connections.keys().copied().collect();
-    let picked = dice as usize % connections.len().max(1);
+    let picked = selector as usize % connections.len().max(1);
     match (kind, connections.get(picked).copied()) {
         (0..=2, _) => {
-            harness.send_query((dice % 3) as u16 % 2, &[0.5, 0.3, 0.2]);
+            harness.send_query((selector % 3) as u16 % 2, &[0.5, 0.3, 0.2]);
         }
         (3..=4, Some(connection)) => harness.open_connection(connection),
-        (5..=6, Some(connection)) => harness.respond_to_oldest(connection, ends[dice as usize % 4]),
+        (5..=6, Some(connection)) => {
+            harness.respond_to_oldest(connection, ends[selector as usize % 4])
+        }
         (7, Some(connection)) => harness.lose_connection(connection),
         (8, _) => {
-            let status = statuses[dice as usize / 4 % 3];
-            harness.list_replica(1 + dice % 4, status, harness.now)
+            let status = statuses[selector as usize / 4 % 3];
+            harness.list_replica(1 + selector % 4, status, harness.now)
         }
-        (9, _) => harness.disconnect_some_client(dice),
-        (10, Some(connection)) => harness.send_malformed(connection, dice.is_multiple_of(2)),
+        (9, _) => harness.disconnect_some_client(selector),
+        (10, Some(connection)) => harness.send_malformed(connection, selector.is_multiple_of(2)),
         _ => harness.advance(ms),
     }
 }
--- a/crates/core/tests/endpoint_watch.rs
+++ b/crates/core/tests/endpoint_watch.rs
@@ -1,4 +1,5 @@
-//! The watch on the endpoint list on loopback sockets: silent, ended, moved, and in any layout.
+//! The watch on the endpoint list on loopback sockets: snapshots in any layout, watches that are
+//! silent or end, and reloads.
 
 mod support;
 
@@ -101,7 +102,7 @@
             silent.send_head().await;
             silent.send_chunk("\n").await;
             let since = Instant::now();
-            // The next watch meets an agent that is silent as well.
+            // The agent sends nothing to the next watch either.
             let unanswered = WatchConnection::accept(&harness.discovery).await;
             let mut third = WatchConnection::accept(&harness.discovery).await;
             third.send_head().await;
--- a/crates/core/tests/frontends.rs
+++ b/crates/core/tests/frontends.rs
@@ -11,7 +11,7 @@
 use support::socket_harness::Scenario;
 use tokio::time::{sleep, Duration};
 
-/// How long a request takes between two of its queries.
+/// The time between two queries of one request.
 const BETWEEN_QUERIES: Duration = Duration::from_millis(200);
 /// From the moment at which listening stops to the one just after the exit deadline, with the
 /// deadlines of the settings.
--- a/crates/core/tests/support/socket_harness.rs
+++ b/crates/core/tests/support/socket_harness.rs
@@ -28,7 +28,7 @@
 /// The seed of the policy's random numbers.
 const POLICY_SEED: u64 = 7;
 
-/// A running aggregator, and the sockets of the processes that it speaks to.
+/// A running aggregator, and the sockets of the processes that it is connected to.
 pub struct SocketHarness {
     /// Where the aggregator accepts clients.
     pub aggregator: SocketAddr,
--- a/crates/core/tests/support/socket_harness/client.rs
+++ b/crates/core/tests/support/socket_harness/client.rs
@@ -37,8 +37,8 @@
     (client, leaf)
 }
 
-/// Expects the end of a connection as its client sees it: everything was read, and nothing was
-/// reset.
+/// Expects that the aggregator has closed a connection after everything that it sent was read, and
+/// without a reset.
 pub async fn expect_clean_close(client: &mut TcpStream) {
     let end = timeout(HANG_TIMEOUT, client.read(&mut [0])).await;
     let end = end.expect("an end").map_err(|error| error.kind());
--- a/crates/core/tests/support/socket_harness/discovery.rs
+++ b/crates/core/tests/support/socket_harness/discovery.rs
@@ -17,7 +17,7 @@
     serde_json::json!({"index": index, "snapshot": true, "endpoints": endpoints})
 }
 
-/// A watch as discovery sees it.
+/// Discovery's side of a watch.
 pub struct WatchConnection {
     pub stream: TcpStream,
     /// The head of the request.
--- a/crates/core/tests/support/socket_harness/leaf_server.rs
+++ b/crates/core/tests/support/socket_harness/leaf_server.rs
@@ -9,11 +9,11 @@
 pub struct ReceivedCall {
     /// The part's id.
     pub id: String,
-    /// How long the aggregator says that it waits, in milliseconds.
+    /// The stated time for which the aggregator waits, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// A connection of the aggregator as a leaf server sees it.
+/// The leaf server's side of a connection.
 pub struct LeafServerConnection {
     pub stream: TcpStream,
 }
