--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -2,6 +2,7 @@
 //! the text that the simulator sends too, so that one parser serves both. They are parsed into two
 //! types: the settings of the policy, and those of the rest of the aggregator.
 
+mod addresses;
 mod aggregator_settings;
 mod error;
 mod flatten;
@@ -9,6 +10,7 @@
 mod platform;
 mod policy_settings;
 
+pub use addresses::Addresses;
 pub use aggregator_settings::{parse_aggregator_settings, AggregatorSettings};
 pub use error::{ConfigError, PlatformSettingsError};
 pub use platform::Config;
--- a/crates/core/src/config/platform.rs
+++ b/crates/core/src/config/platform.rs
@@ -1,9 +1,10 @@
 //! The platform's configuration file.
 
 use super::flatten::flatten_settings;
-use super::{parse_aggregator_settings, parse_policy_settings, AggregatorSettings, ConfigError};
+use super::{
+    parse_aggregator_settings, parse_policy_settings, Addresses, AggregatorSettings, ConfigError,
+};
 use crate::api::PolicySettings;
-use crate::net::Addresses;
 use crate::protocol::discovery::EndpointUpdate;
 use crate::protocol::query::NameTables;
 use serde::Deserialize;
--- a/crates/core/src/net/gossip.rs
+++ b/crates/core/src/net/gossip.rs
@@ -2,7 +2,7 @@
 
 use super::buffer_pool::BUFFER_BYTES;
 use super::shared::Shared;
-use super::Addresses;
+use crate::config::Addresses;
 use crate::engine::Input;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/core/src/net/mod.rs
+++ b/crates/core/src/net/mod.rs
@@ -46,26 +46,12 @@
 pub use open_requests::OpenRequest;
 pub use usage_recorder::UsageRecorder;
 
-use std::net::SocketAddr;
+use crate::config::Addresses;
 
 /// Commands that may be queued for one connection. The engine gives each connection one frame or
 /// reply at a time.
 const MAX_QUEUED_COMMANDS: usize = 4;
 
-/// The addresses of the processes that the aggregator exchanges messages with, besides clients and
-/// leaf servers.
-#[derive(Clone, Debug)]
-pub struct Addresses {
-    /// The discovery agent.
-    pub discovery: SocketAddr,
-    /// Where gossip messages are received; none if gossip is off.
-    pub gossip_listen: Option<SocketAddr>,
-    /// The other aggregators, by number.
-    pub peers: Vec<SocketAddr>,
-    /// The address that reaches all other aggregators at once.
-    pub gossip_broadcast: Option<SocketAddr>,
-}
-
 /// A request of the operator to a running aggregator.
 pub enum OperatorSignal {
     /// Shut down gracefully.
--- a/crates/core/tests/support/socket_harness.rs
+++ b/crates/core/tests/support/socket_harness.rs
@@ -5,9 +5,9 @@
 pub mod discovery;
 pub mod leaf_server;
 
-use aggregator_core::config::{parse_aggregator_settings, parse_policy_settings};
+use aggregator_core::config::{parse_aggregator_settings, parse_policy_settings, Addresses};
 use aggregator_core::engine::Engine;
-use aggregator_core::net::{self, Addresses, Clock, Extensions, OperatorSignal};
+use aggregator_core::net::{self, Clock, Extensions, OperatorSignal};
 use aggregator_core::protocol::discovery::EndpointUpdate;
 use aggregator_core::protocol::query::NameTables;
 use discovery::{endpoint, snapshot};
