--- a/crates/core/src/net/client_connection/linger.rs
+++ b/crates/core/src/net/client_connection/linger.rs
@@ -18,12 +18,11 @@
     stream.codec_mut().discard_input();
     let _ = stream.get_mut().shutdown().await;
     let discard = async { while let Some(Ok(_)) = stream.next().await {} };
-    let lingering = &shared.lingering;
-    lingering.set(lingering.get() + 1);
+    shared.clients.begin_lingering();
     tokio::select! {
         _ = timeout(LINGER_TIMEOUT, discard) => {}
         // A new connection needs the capacity that this one occupies.
-        () = shared.capacity_needed.notified() => {}
+        () = shared.clients.capacity_needed() => {}
     }
-    lingering.set(lingering.get() - 1);
+    shared.clients.end_lingering();
 }
--- a/crates/core/src/net/client_connection/mod.rs
+++ b/crates/core/src/net/client_connection/mod.rs
@@ -47,6 +47,5 @@
         linger(&shared, &mut connection.stream).await;
     }
     shared.buffers.recover(connection.stream);
-    shared.clients.borrow_mut().remove(&client);
-    shared.client_ended.notify_one();
+    shared.clients.remove(client);
 }
--- a/crates/core/src/net/driver/mod.rs
+++ b/crates/core/src/net/driver/mod.rs
@@ -44,7 +44,7 @@
         pending_replies: Option<PendingReplies>,
     ) -> Driver {
         Driver {
-            replies: ReplyDelivery::new(shared.clone(), pending_replies),
+            replies: ReplyDelivery::new(shared.clients.clone(), pending_replies),
             shared,
             connections: HashMap::new(),
             gossip,
--- a/crates/core/src/net/driver/reply_delivery.rs
+++ b/crates/core/src/net/driver/reply_delivery.rs
@@ -4,22 +4,25 @@
 use crate::engine::usage::{UsageRecord, UsageWatermark};
 use crate::engine::ClientId;
 use crate::net::client_command::ClientCommand;
+use crate::net::client_registry::ClientRegistry;
 use crate::net::pending_replies::{OutgoingReply, PendingReplies};
-use crate::net::shared::Shared;
 use tokio::time::Instant;
 
 /// Sends commands to the tasks of client connections, and holds the replies that wait for the usage
 /// log.
 pub(super) struct ReplyDelivery {
-    shared: Shared,
+    clients: ClientRegistry,
     /// Present if usage is recorded.
     pending_replies: Option<PendingReplies>,
 }
 
 impl ReplyDelivery {
-    pub(super) fn new(shared: Shared, pending_replies: Option<PendingReplies>) -> ReplyDelivery {
+    pub(super) fn new(
+        clients: ClientRegistry,
+        pending_replies: Option<PendingReplies>,
+    ) -> ReplyDelivery {
         ReplyDelivery {
-            shared,
+            clients,
             pending_replies,
         }
     }
@@ -53,7 +56,7 @@
         if let Some(pending_replies) = &mut self.pending_replies {
             pending_replies.close_client(client);
         }
-        self.send_command(client, command);
+        self.clients.send(client, command);
     }
 
     /// When the next reply stops waiting for its usage record.
@@ -105,16 +108,7 @@
             close,
         } = outgoing;
         let reply = Box::new(reply);
-        self.send_command(client, ClientCommand::Reply { reply, close });
-    }
-
-    fn send_command(&self, client: ClientId, command: ClientCommand) {
-        if let Some(commands) = self.shared.clients.borrow().get(&client) {
-            // The queue is full only if the task is blocked on a client that does not read; that
-            // client loses its response.
-            if commands.try_send(command).is_err() {
-                tracing::debug!(client, "a client's connection has ended or is blocked");
-            }
-        }
+        let command = ClientCommand::Reply { reply, close };
+        self.clients.send(client, command);
     }
 }
--- a/crates/core/src/net/driver/shutdown.rs
+++ b/crates/core/src/net/driver/shutdown.rs
@@ -11,7 +11,7 @@
 pub(super) async fn wait_for_clients(shared: &Shared, exit_deadline: Instant) {
     let all_ended = async {
         while has_open_clients(shared) {
-            shared.client_ended.notified().await;
+            shared.clients.client_ended().notified().await;
         }
     };
     let last_writes = Instant::now() + LAST_WRITES_TIMEOUT;
@@ -20,13 +20,13 @@
 
 /// Whether a client's connection, or a request of any frontend, has not ended.
 fn has_open_clients(shared: &Shared) -> bool {
-    !shared.clients.borrow().is_empty() || shared.open_requests.count() > 0
+    shared.clients.len() > 0 || shared.open_requests.count() > 0
 }
 
 /// Logs what has not ended when the process exits. Each request that was read must have been
 /// answered.
 pub(super) fn log_process_end(shared: &Shared) {
-    let connections = shared.clients.borrow().len();
+    let connections = shared.clients.len();
     let unanswered = shared.open_requests.count();
     if unanswered > 0 {
         tracing::error!(
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -2,15 +2,14 @@
 //! engine, their clients are of the same kind as those of the native protocol.
 
 use super::client_command::ClientCommand;
+use super::client_registry::RegisteredClient;
 use super::open_requests::OpenRequest;
 use super::running_frontend::RunningFrontend;
 use super::shared::{ServingPhase, Shared};
-use super::MAX_QUEUED_COMMANDS;
 use crate::api::Nanos;
 use crate::engine::{ClientId, Input};
 use crate::protocol::query::{ClientRequest, NameTables, QueryReply, QueryRequest};
 use std::rc::Rc;
-use tokio::sync::mpsc;
 
 /// Sends queries to the engine, each as a client of its own. Only for tasks of the aggregator's
 /// `LocalSet`.
@@ -39,8 +38,7 @@
 
 impl Drop for ConnectedClient {
     fn drop(&mut self) {
-        self.shared.clients.borrow_mut().remove(&self.client);
-        self.shared.client_ended.notify_one();
+        self.shared.clients.remove(self.client);
         self.shared.send_detached(Input::ClientDisconnected {
             client: self.client,
         });
@@ -73,9 +71,10 @@
     /// Sends a query that arrived at this time and waits for its reply. Dropping the future cancels
     /// the query.
     pub async fn send_query(&self, arrived: Nanos, query: QueryRequest) -> QueryReply {
-        let client = self.shared.next_client_id();
-        let (commands, mut queued_commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
-        self.shared.clients.borrow_mut().insert(client, commands);
+        let RegisteredClient {
+            client,
+            mut commands,
+        } = self.shared.clients.register();
         let connected = ConnectedClient {
             shared: self.shared.clone(),
             client,
@@ -91,7 +90,7 @@
             return QueryReply::REJECTED_AT_EXIT;
         }
         loop {
-            match queued_commands.recv().await {
+            match commands.recv().await {
                 Some(ClientCommand::Reply { reply, .. }) => return *reply,
                 // The query has crossed this command and is served.
                 Some(ClientCommand::Close | ClientCommand::Drain) => {}
--- a/crates/core/src/net/listener.rs
+++ b/crates/core/src/net/listener.rs
@@ -2,13 +2,12 @@
 
 use super::backlog::{pause_after_failed_accept, Backlog};
 use super::client_connection;
+use super::client_registry::RegisteredClient;
 use super::running_frontend::RunningFrontend;
 use super::shared::Shared;
-use super::MAX_QUEUED_COMMANDS;
 use crate::engine::Input;
 use std::pin::pin;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::mpsc;
 
 /// Connections above the maximum that are still accepted, while the engine closes others for them.
 /// Without a limit, a flood would take the descriptors that connections to leaf servers need.
@@ -47,12 +46,11 @@
 /// Accepts a connection once there is capacity for it.
 async fn accept_next(shared: &Shared, listener: &TcpListener, max_connections: usize) -> TcpStream {
     loop {
-        let is_full = shared.clients.borrow().len() >= max_connections;
-        if is_full && shared.lingering.get() > 0 {
-            shared.capacity_needed.notify_one();
+        if shared.clients.len() >= max_connections {
+            shared.clients.request_capacity();
         }
-        while shared.clients.borrow().len() >= max_connections + MAX_EXCESS_CONNECTIONS {
-            shared.client_ended.notified().await;
+        while shared.clients.len() >= max_connections + MAX_EXCESS_CONNECTIONS {
+            shared.clients.client_ended().notified().await;
         }
         match listener.accept().await {
             Ok((stream, _)) => return stream,
@@ -63,15 +61,13 @@
 
 /// Announces a connection to the engine and serves it.
 async fn serve_connection(shared: &Shared, stream: TcpStream) {
-    let client = shared.next_client_id();
-    let (commands, queued_commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
-    shared.clients.borrow_mut().insert(client, commands);
+    let RegisteredClient { client, commands } = shared.clients.register();
     let connected = Input::ClientConnected { client };
     let _ = shared.inputs.send(connected).await;
     tokio::task::spawn_local(client_connection::run(
         shared.clone(),
         client,
         stream,
-        queued_commands,
+        commands,
     ));
 }
--- a/crates/core/src/net/mod.rs
+++ b/crates/core/src/net/mod.rs
@@ -24,6 +24,7 @@
 mod buffer_pool;
 mod client_command;
 mod client_connection;
+mod client_registry;
 mod clock;
 mod driver;
 mod endpoint_watch;
--- a/crates/core/src/net/shared.rs
+++ b/crates/core/src/net/shared.rs
@@ -1,15 +1,13 @@
 //! The state that the tasks of all connections share.
 
 use super::buffer_pool::BufferPool;
-use super::client_command::ClientCommand;
+use super::client_registry::ClientRegistry;
 use super::open_requests::OpenRequests;
 use super::Clock;
-use crate::engine::{ClientId, Input};
+use crate::engine::Input;
 use crate::protocol::query::NameTables;
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::rc::Rc;
-use tokio::sync::{mpsc, watch, Notify};
+use tokio::sync::{mpsc, watch};
 
 /// What a frontend does with connections. A graceful shutdown passes through the phases in this
 /// order; `engine/shutdown.rs` decides when each begins.
@@ -30,37 +28,24 @@
     pub(super) buffers: BufferPool,
     /// The engine's input queue.
     pub(super) inputs: mpsc::Sender<Input>,
-    /// The open client connections, and the internal clients.
-    pub(super) clients: Rc<RefCell<HashMap<ClientId, mpsc::Sender<ClientCommand>>>>,
-    /// Notified whenever a client's connection or a request has ended: there may be capacity for
-    /// another connection, or nothing left to wait for.
-    pub(super) client_ended: Rc<Notify>,
+    pub(super) clients: ClientRegistry,
     /// The requests that were read and are not answered yet.
     pub(super) open_requests: OpenRequests,
-    /// The number of connections that only wait for their client to close.
-    pub(super) lingering: Rc<Cell<usize>>,
-    /// Notified when a lingering connection has to end because a new one needs its capacity.
-    pub(super) capacity_needed: Rc<Notify>,
     pub(super) names: Rc<NameTables>,
-    last_client: Rc<Cell<ClientId>>,
     /// The phase that all frontends are in.
     pub(super) phase: Rc<watch::Sender<ServingPhase>>,
 }
 
 impl Shared {
     pub(super) fn new(clock: Clock, names: NameTables, inputs: mpsc::Sender<Input>) -> Shared {
-        let client_ended = Rc::<Notify>::default();
+        let clients = ClientRegistry::default();
         Shared {
             clock,
             buffers: BufferPool::default(),
             inputs,
-            clients: Rc::default(),
-            open_requests: OpenRequests::new(client_ended.clone()),
-            client_ended,
-            lingering: Rc::default(),
-            capacity_needed: Rc::default(),
+            open_requests: OpenRequests::new(clients.client_ended().clone()),
+            clients,
             names: Rc::new(names),
-            last_client: Rc::default(),
             phase: Rc::new(watch::channel(ServingPhase::Running).0),
         }
     }
@@ -82,10 +67,4 @@
             .wait_for(|phase| *phase == ServingPhase::ListeningStopped)
             .await;
     }
-
-    /// An id for a new client; ids are never reused.
-    pub(super) fn next_client_id(&self) -> ClientId {
-        self.last_client.set(self.last_client.get() + 1);
-        self.last_client.get()
-    }
 }
