--- a/crates/core/tests/crossing_events.rs
+++ b/crates/core/tests/crossing_events.rs
@@ -90,7 +90,7 @@
     use tokio::time::{sleep, Duration};
 
     #[test]
-    fn timeout_of_a_request_runs_while_it_waits_behind_another() {
+    fn timeout_of_a_request_runs_while_another_is_open() {
         run_scenario(SETTINGS, 100, |harness| async move {
             let mut client = connect_client(harness.aggregator).await;
             let both = query_request("b1", "") + &query_request("b2", "X-Timeout: 1500m\r\n");
@@ -202,7 +202,7 @@
     }
 
     #[test]
-    fn requests_read_before_it_and_those_sent_with_them_are_answered() {
+    fn requests_read_before_and_those_sent_with_them_are_answered() {
         run_scenario(SETTINGS, 100, |harness| async move {
             let mut client = connect_client(harness.aggregator).await;
             let both = query_request("e1", "") + &query_request("e2", "");
--- a/crates/core/tests/frontends.rs
+++ b/crates/core/tests/frontends.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_process_goes_on_until_a_frontend_has_served_what_it_has_accepted() {
+fn the_process_goes_on_until_a_frontend_has_served_all_accepted_requests() {
     let reply = SharedReply::default();
     let frontend = frontend_with_late_query(BETWEEN_QUERIES, reply.clone());
     let scenario = scenario_with(frontend);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_query_that_comes_after_the_exit_deadline_is_rejected_at_once() {
+fn a_query_after_the_exit_deadline_is_rejected_at_once() {
     let reply = SharedReply::default();
     let frontend = frontend_with_late_query(UNTIL_AFTER_EXIT_DEADLINE, reply.clone());
     let scenario = scenario_with(frontend);
--- a/crates/core/tests/leaf_codec.rs
+++ b/crates/core/tests/leaf_codec.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_part_result_counts_only_if_it_is_well_formed() {
+fn only_a_well_formed_part_result_is_accepted() {
     let read = |bytes: &[u8]| decode_in_pieces(&mut LeafCodec::default(), bytes, &[9]);
     let malformed = |id: Option<&str>| vec![LeafResponse::Malformed(id.map(str::to_string))];
     for text in [
--- a/crates/core/tests/protocol.rs
+++ b/crates/core/tests/protocol.rs
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_snapshot_is_read_however_it_is_formatted() {
+fn a_snapshot_is_read_in_any_layout() {
     let list = serde_json::json!({"index": 43, "snapshot": true, "endpoints": [
         {"name": "s-}\"{", "address": "10.1.0.18:7070", "zone": "a\\", "group": 3, "status": "up", "since_ms": 0},
         {"name": "s-2", "address": "10.1.0.19:7070", "zone": "a", "group": 4, "status": "draining"}]});
--- a/crates/core/tests/readiness.rs
+++ b/crates/core/tests/readiness.rs
@@ -24,7 +24,7 @@
 }
 
 /// Ends every watch without a response until the outage is over.
-async fn refuse_watches_until(discovery: &TcpListener, end: Instant) {
+async fn close_watches_until(discovery: &TcpListener, end: Instant) {
     while let Ok(accepted) = timeout_at(end, discovery.accept()).await {
         drop(accepted.unwrap());
     }
@@ -38,7 +38,7 @@
     };
     scenario.run(|harness| async move {
         let started = Instant::now();
-        refuse_watches_until(&harness.discovery, started + OUTAGE).await;
+        close_watches_until(&harness.discovery, started + OUTAGE).await;
         assert!(!is_ready(&harness).await, "no endpoint is known");
         let mut watch = WatchConnection::accept(&harness.discovery).await;
         watch.send_head().await;
