--- a/crates/core/src/config/aggregator_settings.rs
+++ b/crates/core/src/config/aggregator_settings.rs
@@ -1,4 +1,5 @@
-//! The settings that the aggregator needs outside of the policy.
+//! The settings that the aggregator needs outside of the policy. The keys are the platform's; only
+//! here they are mapped to fields.
 
 use super::key_values::KeyValues;
 use super::PlatformSettingsError;
--- a/crates/core/src/config/platform.rs
+++ b/crates/core/src/config/platform.rs
@@ -14,7 +14,7 @@
 /// The most file descriptors of one aggregator, also where the configuration allows more.
 const MAX_DESCRIPTORS: usize = 1024;
 
-/// The file as the platform writes it.
+/// The file as the platform writes it; the names of the fields are the platform's.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
--- a/crates/core/src/config/policy_settings.rs
+++ b/crates/core/src/config/policy_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the policy.
+//! The settings of the policy. The keys are the platform's; only here they are mapped to fields.
 
 use super::key_values::KeyValues;
 use super::PlatformSettingsError;
