--- a/crates/core/tests/crossing_events.rs
+++ b/crates/core/tests/crossing_events.rs
@@ -299,7 +299,7 @@
 mod capacity {
     use crate::support::engine_harness::SETTINGS;
     use crate::support::socket_harness::client::{
-        connect_client, read_response, send_query, served_client,
+        connect_client, read_response, read_response_head, send_query, served_client,
     };
     use crate::support::socket_harness::discovery::WatchConnection;
     use crate::support::socket_harness::run_scenario;
@@ -315,9 +315,8 @@
             for n in 0..60 {
                 let mut client = connect_client(harness.aggregator).await;
                 send_query(&mut client, &format!("j{n}")).await;
-                assert!(read_response(&mut client)
+                assert!(read_response_head(&mut client)
                     .await
-                    .head
                     .starts_with("HTTP/1.1 200"));
                 idle.push(client);
                 idle.push(connect_client(harness.aggregator).await);
--- a/crates/core/tests/endpoint_watch.rs
+++ b/crates/core/tests/endpoint_watch.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use support::socket_harness::client::{connect_client, query_request, read_response};
+use support::socket_harness::client::{connect_client, query_request, read_response_head};
 use tokio::io::AsyncWriteExt;
 use tokio::time::Duration;
 
@@ -18,9 +18,8 @@
         .write_all(query_request("gone", "X-Timeout: 400m\r\n").as_bytes())
         .await
         .unwrap();
-    read_response(&mut client)
+    read_response_head(&mut client)
         .await
-        .head
         .starts_with("HTTP/1.1 503")
 }
 
--- a/crates/core/tests/frontends.rs
+++ b/crates/core/tests/frontends.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use support::engine_harness::{query, SETTINGS};
 use support::socket_harness::leaf_server::LeafServerConnection;
-use support::socket_harness::Scenario;
+use support::socket_harness::SocketScenario;
 use tokio::time::{sleep, Duration};
 
 /// The time between two queries of one request.
@@ -33,13 +33,13 @@
     })
 }
 
-fn scenario_with(frontend: StartFrontend) -> Scenario<'static> {
-    Scenario {
+fn scenario_with(frontend: StartFrontend) -> SocketScenario<'static> {
+    SocketScenario {
         extensions: Extensions {
             frontends: vec![frontend],
             ..Extensions::default()
         },
-        ..Scenario::new(SETTINGS, 100)
+        ..SocketScenario::new(SETTINGS, 100)
     }
 }
 
--- a/crates/core/tests/readiness.rs
+++ b/crates/core/tests/readiness.rs
@@ -5,7 +5,7 @@
 use support::engine_harness::SETTINGS;
 use support::socket_harness::client::{connect_client, read_response, served_client};
 use support::socket_harness::discovery::{endpoint, snapshot, WatchConnection};
-use support::socket_harness::{run_scenario, CachedList, Scenario, SocketHarness};
+use support::socket_harness::{run_scenario, CachedList, SocketHarness, SocketScenario};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout_at, Duration, Instant};
@@ -32,9 +32,9 @@
 
 /// Expects that an aggregator without a cached list is ready in time after an outage of discovery.
 fn expect_ready_after_outage(settings: &str) {
-    let scenario = Scenario {
+    let scenario = SocketScenario {
         cached_list: CachedList::Empty,
-        ..Scenario::new(settings, 100)
+        ..SocketScenario::new(settings, 100)
     };
     scenario.run(|harness| async move {
         let started = Instant::now();
--- a/crates/core/tests/sockets.rs
+++ b/crates/core/tests/sockets.rs
@@ -4,9 +4,11 @@
 use std::future::Future;
 use std::net::SocketAddr;
 use support::engine_harness::SETTINGS;
-use support::socket_harness::client::{query_request, read_response, send_query};
+use support::socket_harness::client::{
+    query_request, read_response, read_response_head, send_query,
+};
 use support::socket_harness::leaf_server::LeafServerConnection;
-use support::socket_harness::{CachedList, Scenario, SocketHarness, TestTime};
+use support::socket_harness::{CachedList, SocketHarness, SocketScenario, TestTime};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, Duration, Instant};
@@ -86,10 +88,10 @@
     time: TestTime,
     client: impl FnOnce(SocketAddr) -> F,
 ) {
-    let scenario = Scenario {
+    let scenario = SocketScenario {
         cached_list: CachedList::Missing,
         time,
-        ..Scenario::new(SETTINGS, DESCRIPTORS)
+        ..SocketScenario::new(SETTINGS, DESCRIPTORS)
     };
     scenario.run(|harness| async move {
         let SocketHarness {
@@ -117,9 +119,8 @@
             .write_all(b"GET /-/ready HTTP/1.1\r\n\r\n")
             .await
             .unwrap();
-        if read_response(&mut stream)
+        if read_response_head(&mut stream)
             .await
-            .head
             .starts_with("HTTP/1.1 200")
         {
             return;
@@ -173,9 +174,8 @@
             .write_all((head.to_string() + &body).as_bytes())
             .await
             .unwrap();
-        assert!(read_response(&mut stream)
+        assert!(read_response_head(&mut stream)
             .await
-            .head
             .starts_with("HTTP/1.1 413"));
     });
 }
@@ -189,16 +189,14 @@
             .write_all(b"\0\0\0 what is this\r\n\r\n")
             .await
             .unwrap();
-        assert!(read_response(&mut stream)
+        assert!(read_response_head(&mut stream)
             .await
-            .head
             .starts_with("HTTP/1.1 400"));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
         let mut stream = TcpStream::connect(address).await.unwrap();
         send_query(&mut stream, "b1").await;
-        assert!(read_response(&mut stream)
+        assert!(read_response_head(&mut stream)
             .await
-            .head
             .starts_with("HTTP/1.1 200"));
         stream
             .write_all(b"GET /-/stats HTTP/1.1\r\n\r\n")
@@ -230,9 +228,8 @@
         let begun = Instant::now();
         let mut stream = TcpStream::connect(address).await.unwrap();
         send_query(&mut stream, "slow").await;
-        assert!(read_response(&mut stream)
+        assert!(read_response_head(&mut stream)
             .await
-            .head
             .starts_with("HTTP/1.1 200"));
         let (mut reading, mut writing) = stream.into_split();
         let slow = async {
@@ -276,9 +273,8 @@
         }
         let mut stream = TcpStream::connect(address).await.unwrap();
         send_query(&mut stream, "good").await;
-        assert!(read_response(&mut stream)
+        assert!(read_response_head(&mut stream)
             .await
-            .head
             .starts_with("HTTP/1.1 200"));
         assert!(begun.elapsed().as_millis() < 1000, "{:?}", begun.elapsed());
     });
--- a/crates/core/tests/stalled_usage_log.rs
+++ b/crates/core/tests/stalled_usage_log.rs
@@ -10,7 +10,7 @@
 use support::engine_harness::SETTINGS;
 use support::socket_harness::client::{connect_client, read_response, send_query};
 use support::socket_harness::leaf_server::LeafServerConnection;
-use support::socket_harness::Scenario;
+use support::socket_harness::SocketScenario;
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
 
@@ -49,12 +49,12 @@
         written: watch::channel(0).0,
         is_closed: is_closed.clone(),
     };
-    let scenario = Scenario {
+    let scenario = SocketScenario {
         extensions: Extensions {
             recorder: Some(Box::new(recorder)),
             ..Extensions::default()
         },
-        ..Scenario::new(SETTINGS, 100)
+        ..SocketScenario::new(SETTINGS, 100)
     };
     scenario.run(|harness| async move {
         let mut client = connect_client(harness.aggregator).await;
--- a/crates/core/tests/support/socket_harness.rs
+++ b/crates/core/tests/support/socket_harness.rs
@@ -87,7 +87,7 @@
 }
 
 /// What an aggregator is started with.
-pub struct Scenario<'a> {
+pub struct SocketScenario<'a> {
     /// The settings as lines of `key=value`.
     pub settings: &'a str,
     /// The most file descriptors, which limit the number of clients.
@@ -98,10 +98,10 @@
     pub extensions: Extensions,
 }
 
-impl<'a> Scenario<'a> {
+impl<'a> SocketScenario<'a> {
     /// One leaf server on the cached list, paused time and no extensions.
-    pub fn new(settings: &'a str, descriptors: usize) -> Scenario<'a> {
-        Scenario {
+    pub fn new(settings: &'a str, descriptors: usize) -> SocketScenario<'a> {
+        SocketScenario {
             settings,
             descriptors,
             cached_list: CachedList::OneEndpoint,
@@ -171,7 +171,7 @@
     descriptors: usize,
     test: impl FnOnce(SocketHarness) -> F,
 ) {
-    Scenario::new(settings, descriptors).run(test);
+    SocketScenario::new(settings, descriptors).run(test);
 }
 
 async fn listener() -> (TcpListener, SocketAddr) {
--- a/crates/core/tests/support/socket_harness/client.rs
+++ b/crates/core/tests/support/socket_harness/client.rs
@@ -84,6 +84,11 @@
     HttpResponse { head, body }
 }
 
+/// Reads one response and returns its status line and header fields.
+pub async fn read_response_head(stream: &mut TcpStream) -> String {
+    read_response(stream).await.head
+}
+
 /// A query with one part, of the class that needs every part.
 pub fn query_request(name: &str, headers: &str) -> String {
     let body = "{\"shards\":[{\"shard\":3,\"weight\":1.0}],\"q\":\"c41e\"}";
