--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -1,6 +1,6 @@
 //! Writes the engine's usage records to the usage log.
 
-use aggregator_core::engine::usage::{Outcome, UsageRecord, UsageWatermark};
+use aggregator_core::engine::usage::{QueryOutcome, QueryUsage, UsageWatermark};
 use aggregator_core::net::UsageRecorder;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -23,7 +23,7 @@
 }
 
 impl UsageRecorder for UsageLogRecorder {
-    fn record(&mut self, usage: UsageRecord) -> bool {
+    fn record(&mut self, usage: QueryUsage) -> bool {
         let accepted = self.writer.try_enqueue(What::Record(wire_record(usage)));
         if !accepted {
             self.writer.count_lost_record();
@@ -33,9 +33,9 @@
 
     /// A watermark that does not fit into the writer's queue is dropped: the next one covers it.
     fn record_watermark(&mut self, mark: UsageWatermark) {
-        let complete_ms = mark.complete / NANOS_PER_MS;
+        let complete_ms = mark.complete_until / NANOS_PER_MS;
         self.writer
-            .try_enqueue(writer::mark(mark.sequence, complete_ms, mark.end));
+            .try_enqueue(writer::mark(mark.sequence, complete_ms, mark.is_final));
     }
 
     fn written(&self) -> watch::Receiver<u64> {
@@ -56,26 +56,26 @@
 }
 
 /// Converts a record to the published wire format, whose names differ from the engine's.
-fn wire_record(usage: UsageRecord) -> Record {
+fn wire_record(usage: QueryUsage) -> Record {
     let (outcome, share) = match usage.outcome {
-        Outcome::Complete => (WireOutcome::Whole, 0),
-        Outcome::Partial(share) => (WireOutcome::Partial, share),
-        Outcome::Rejected => (WireOutcome::Refused, 0),
-        Outcome::Failed => (WireOutcome::Failed, 0),
-        Outcome::ClientDisconnected => (WireOutcome::Left, 0),
+        QueryOutcome::Complete => (WireOutcome::Whole, 0),
+        QueryOutcome::Partial(share) => (WireOutcome::Partial, share),
+        QueryOutcome::Rejected => (WireOutcome::Refused, 0),
+        QueryOutcome::Failed => (WireOutcome::Failed, 0),
+        QueryOutcome::ClientDisconnected => (WireOutcome::Left, 0),
     };
     Record {
         sequence: usage.sequence,
         tenant: usage.tenant,
         class: u32::from(usage.class),
-        arrived_ms: usage.arrived / NANOS_PER_MS,
+        arrived_ms: usage.arrived_at / NANOS_PER_MS,
         outcome: outcome.into(),
         share,
         parts: usage.parts,
         attempts: usage.attempts,
         crossed: usage.cross_zone_attempts,
         repeat: usage.is_retry,
-        key: usage.key,
+        key: usage.join_key,
         keyed: usage.has_client_key,
     }
 }
--- a/crates/core/src/engine/effect.rs
+++ b/crates/core/src/engine/effect.rs
@@ -2,7 +2,7 @@
 
 use super::counters::Counters;
 use super::ids::{ClientId, ConnectionId};
-use super::usage::{UsageRecord, UsageWatermark};
+use super::usage::{QueryUsage, UsageWatermark};
 use crate::api::Nanos;
 use crate::protocol::leaf::LeafRequest;
 use crate::protocol::query::QueryReply;
@@ -71,7 +71,7 @@
     /// Accept no more clients.
     StopListening,
     /// Record a query that has ended. This precedes its reply, which waits for the record.
-    RecordUsage(UsageRecord),
+    RecordUsage(QueryUsage),
     /// Record up to when the usage log is complete.
     RecordWatermark(UsageWatermark),
     /// Let no reply wait for its usage record any more.
--- a/crates/core/src/engine/replies.rs
+++ b/crates/core/src/engine/replies.rs
@@ -1,7 +1,7 @@
 //! The replies to queries, and the ways in which a query ends.
 
 use super::queries::{EndedQuery, Part};
-use super::usage::Outcome;
+use super::usage::QueryOutcome;
 use super::{Engine, MILLISECOND};
 use crate::api::{Event, Nanos, RequestId};
 use crate::protocol::query::{QueryHit, QueryReply};
@@ -43,7 +43,7 @@
     /// Ends a query whose client has disconnected.
     pub(super) fn abandon_query(&mut self, now: Nanos, id: RequestId) {
         if let Some(ended) = self.end_query(now, id) {
-            self.record_query(&ended, Outcome::ClientDisconnected);
+            self.record_query(&ended, QueryOutcome::ClientDisconnected);
         }
     }
 
@@ -57,7 +57,7 @@
             return;
         };
         let reply = compose_reply(self, &ended);
-        let outcome = Outcome::of_reply(&reply, ended.covered_weight(), ended.total_weight());
+        let outcome = QueryOutcome::of_reply(&reply, ended.covered_weight(), ended.total_weight());
         self.record_query(&ended, outcome);
         if tracing::enabled!(tracing::Level::DEBUG) {
             log_query_ended(now, id, &ended, outcome);
@@ -103,7 +103,7 @@
 
 /// Logs a query that has ended, with the number of attempts at each of its parts and whether the
 /// part has a result.
-fn log_query_ended(now: Nanos, id: RequestId, ended: &EndedQuery, outcome: Outcome) {
+fn log_query_ended(now: Nanos, id: RequestId, ended: &EndedQuery, outcome: QueryOutcome) {
     let attempts = |part: &Part| {
         let result = if part.value.is_some() { "+" } else { "-" };
         format!("{}:{}{result}", part.shard, part.attempts)
--- a/crates/core/src/engine/usage.rs
+++ b/crates/core/src/engine/usage.rs
@@ -4,14 +4,15 @@
 use crate::protocol::query::QueryReply;
 use xxhash_rust::xxh3::Xxh3;
 
-/// In which [`Outcome::Partial`] counts the share of the weight: the whole weight is this many.
+/// The unit of [`QueryOutcome::Partial`]: the total weight is this many.
 const MILLIONTHS: f64 = 1e6;
 
-/// The key that joins the retries of one use. It is the same at every aggregator and in every run,
-/// so that a retry elsewhere is recognised. Odd if the client gave it; 0 is no key.
+/// Identifies one use, which a client may request several times. The key is the same at every
+/// aggregator and in every run, so that a retry at another aggregator is recognised. Keys that the
+/// client gave are odd, others even; 0 is no key.
 pub type JoinKey = u64;
 
-/// The key of a use that its client has named.
+/// The key of a use for which the client has sent an idempotency key.
 pub fn key_of_client(class: &str, key: &str) -> JoinKey {
     let mut hash = hash_of(class);
     hash.update(key.as_bytes());
@@ -49,7 +50,7 @@
 
 /// How a query ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Outcome {
+pub enum QueryOutcome {
     /// Answered completely.
     Complete,
     /// Answered from parts with this share of the weight, in millionths.
@@ -62,36 +63,40 @@
     ClientDisconnected,
 }
 
-impl Outcome {
+impl QueryOutcome {
     /// The outcome of a query with this reply, whose parts with a result have `covered_weight` of
     /// the `total_weight`.
-    pub(super) fn of_reply(reply: &QueryReply, covered_weight: f64, total_weight: f64) -> Outcome {
+    pub(super) fn of_reply(
+        reply: &QueryReply,
+        covered_weight: f64,
+        total_weight: f64,
+    ) -> QueryOutcome {
         match reply {
-            QueryReply::Answer { complete: true, .. } => Outcome::Complete,
+            QueryReply::Answer { complete: true, .. } => QueryOutcome::Complete,
             QueryReply::Answer { .. } => {
                 let share = covered_weight / total_weight.max(f64::MIN_POSITIVE);
-                Outcome::Partial((share * MILLIONTHS).round().clamp(0.0, MILLIONTHS) as u32)
+                QueryOutcome::Partial((share * MILLIONTHS).round().clamp(0.0, MILLIONTHS) as u32)
             }
-            QueryReply::Rejected { .. } => Outcome::Rejected,
-            _ => Outcome::Failed,
+            QueryReply::Rejected { .. } => QueryOutcome::Rejected,
+            _ => QueryOutcome::Failed,
         }
     }
 }
 
-/// One query that ended.
+/// The usage record of one query that has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UsageRecord {
+pub struct QueryUsage {
     /// Counts from 1 over the records of this run, without a gap.
     pub sequence: u64,
     /// The tenant, by its number in the settings.
     pub tenant: u32,
     /// The class, by its number in the settings.
     pub class: u16,
-    /// Unix nanoseconds by this aggregator's clock; never before what a watermark has declared
-    /// complete.
-    pub arrived: Nanos,
+    /// Unix nanoseconds by this aggregator's clock; never before the
+    /// [`complete_until`](UsageWatermark::complete_until) of an earlier watermark.
+    pub arrived_at: Nanos,
     /// How the query ended.
-    pub outcome: Outcome,
+    pub outcome: QueryOutcome,
     /// The number of its parts.
     pub parts: u32,
     /// The number of attempts at its parts.
@@ -100,20 +105,20 @@
     pub cross_zone_attempts: u32,
     /// The client marked it as a retry.
     pub is_retry: bool,
-    /// Joins it with the other tries of the same use.
-    pub key: JoinKey,
-    /// The key is one that the client gave.
+    /// The same for all queries by which a client requests the same use.
+    pub join_key: JoinKey,
+    /// The client gave the join key.
     pub has_client_key: bool,
 }
 
-/// Every query that arrived before `complete` and has ended is recorded with a sequence up to
-/// `sequence`, and none that arrived before it will follow.
+/// States up to when the usage records are complete: every query that arrived before
+/// `complete_until` has ended and is recorded with a sequence up to `sequence`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageWatermark {
     /// The sequence of the last record.
     pub sequence: u64,
-    /// Up to when the records are complete.
-    pub complete: Nanos,
+    /// Unix nanoseconds; no later record has an earlier arrival.
+    pub complete_until: Nanos,
     /// No record follows at all: the aggregator exits.
-    pub end: bool,
+    pub is_final: bool,
 }
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -4,7 +4,7 @@
 use super::effect::Effect;
 use super::queries::{EndedQuery, Part};
 use super::timers::Timer;
-use super::usage::{self, JoinKey, Outcome, UsageRecord, UsageWatermark};
+use super::usage::{self, JoinKey, QueryOutcome, QueryUsage, UsageWatermark};
 use super::Engine;
 use crate::api::{Nanos, RequestId};
 use crate::protocol::query::QueryRequest;
@@ -55,8 +55,8 @@
     fn watermark(&self, end: bool) -> UsageWatermark {
         UsageWatermark {
             sequence: self.last_sequence,
-            complete: self.complete,
-            end,
+            complete_until: self.complete,
+            is_final: end,
         }
     }
 }
@@ -113,20 +113,20 @@
     }
 
     /// Records a query that has ended.
-    pub(super) fn record_query(&mut self, ended: &EndedQuery, outcome: Outcome) {
+    pub(super) fn record_query(&mut self, ended: &EndedQuery, outcome: QueryOutcome) {
         let EndedQuery { query, parts } = ended;
         let total = |count: fn(&Part) -> u8| parts.iter().map(|part| u32::from(count(part))).sum();
-        self.append_record(UsageRecord {
+        self.append_record(QueryUsage {
             sequence: 0,
             tenant: query.tenant,
             class: query.class,
-            arrived: query.arrived,
+            arrived_at: query.arrived,
             outcome,
             parts: parts.len() as u32,
             attempts: total(|part| part.attempts),
             cross_zone_attempts: total(|part| part.cross_zone_attempts),
             is_retry: query.is_retry,
-            key: query.join_key,
+            join_key: query.join_key,
             has_client_key: usage::is_client_key(query.join_key),
         });
     }
@@ -137,24 +137,24 @@
             return;
         };
         let arrived = log.effective_arrival(arrived);
-        let key = self.join_key(request);
-        self.append_record(UsageRecord {
+        let join_key = self.join_key(request);
+        self.append_record(QueryUsage {
             sequence: 0,
             tenant: request.tenant,
             class: request.class,
-            arrived,
-            outcome: Outcome::Rejected,
+            arrived_at: arrived,
+            outcome: QueryOutcome::Rejected,
             parts: request.parts.len() as u32,
             attempts: 0,
             cross_zone_attempts: 0,
             is_retry: request.is_retry,
-            key,
-            has_client_key: usage::is_client_key(key),
+            join_key,
+            has_client_key: usage::is_client_key(join_key),
         });
     }
 
     /// Numbers a record and hands it on.
-    fn append_record(&mut self, mut record: UsageRecord) {
+    fn append_record(&mut self, mut record: QueryUsage) {
         let Some(log) = &mut self.usage_log else {
             return;
         };
--- a/crates/core/src/net/driver/reply_delivery.rs
+++ b/crates/core/src/net/driver/reply_delivery.rs
@@ -1,7 +1,7 @@
 //! Delivers replies and closes to the tasks of client connections, each reply once its usage record
 //! is written.
 
-use crate::engine::usage::{UsageRecord, UsageWatermark};
+use crate::engine::usage::{QueryUsage, UsageWatermark};
 use crate::engine::ClientId;
 use crate::net::client_command::ClientCommand;
 use crate::net::client_registry::ClientRegistry;
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) fn record_usage(&mut self, usage: UsageRecord) {
+    pub(super) fn record_usage(&mut self, usage: QueryUsage) {
         if let Some(pending_replies) = &mut self.pending_replies {
             pending_replies.record(usage);
         }
--- a/crates/core/src/net/pending_replies.rs
+++ b/crates/core/src/net/pending_replies.rs
@@ -2,7 +2,7 @@
 //! the log stalls.
 
 use super::UsageRecorder;
-use crate::engine::usage::{UsageRecord, UsageWatermark};
+use crate::engine::usage::{QueryUsage, UsageWatermark};
 use crate::engine::ClientId;
 use crate::protocol::query::QueryReply;
 use std::collections::VecDeque;
@@ -61,7 +61,7 @@
     }
 
     /// Queues a record; the reply that follows waits for it.
-    pub fn record(&mut self, usage: UsageRecord) {
+    pub fn record(&mut self, usage: QueryUsage) {
         let sequence = usage.sequence;
         self.latest_record = self.recorder.record(usage).then_some(sequence);
     }
--- a/crates/core/src/net/usage_recorder.rs
+++ b/crates/core/src/net/usage_recorder.rs
@@ -1,6 +1,6 @@
 //! The interface to a usage log.
 
-use crate::engine::usage::{UsageRecord, UsageWatermark};
+use crate::engine::usage::{QueryUsage, UsageWatermark};
 use tokio::sync::watch;
 use tokio::time::Duration;
 
@@ -8,7 +8,7 @@
 /// loop.
 pub trait UsageRecorder {
     /// Queues a record; false if there was no capacity and the record is lost.
-    fn record(&mut self, usage: UsageRecord) -> bool;
+    fn record(&mut self, usage: QueryUsage) -> bool;
     /// Queues a watermark: the time up to which the log is complete.
     fn record_watermark(&mut self, watermark: UsageWatermark);
     /// The sequence up to which records have been handed to the operating system.
--- a/crates/core/tests/pending_replies.rs
+++ b/crates/core/tests/pending_replies.rs
@@ -1,6 +1,6 @@
 //! Replies that wait for their usage record, with a usage log that advances when the test says so.
 
-use aggregator_core::engine::usage::{Outcome, UsageRecord, UsageWatermark};
+use aggregator_core::engine::usage::{QueryOutcome, QueryUsage, UsageWatermark};
 use aggregator_core::engine::ClientId;
 use aggregator_core::net::pending_replies::{OutgoingReply, PendingReplies};
 use aggregator_core::net::UsageRecorder;
@@ -18,7 +18,7 @@
 }
 
 impl UsageRecorder for ManualRecorder {
-    fn record(&mut self, _: UsageRecord) -> bool {
+    fn record(&mut self, _: QueryUsage) -> bool {
         self.has_capacity
     }
     fn record_watermark(&mut self, _: UsageWatermark) {}
@@ -35,18 +35,18 @@
     fn close(&mut self) {}
 }
 
-fn usage(sequence: u64) -> UsageRecord {
-    UsageRecord {
+fn usage(sequence: u64) -> QueryUsage {
+    QueryUsage {
         sequence,
         tenant: 0,
         class: 0,
-        arrived: 0,
-        outcome: Outcome::Complete,
+        arrived_at: 0,
+        outcome: QueryOutcome::Complete,
         parts: 1,
         attempts: 1,
         cross_zone_attempts: 0,
         is_retry: false,
-        key: 2,
+        join_key: 2,
         has_client_key: false,
     }
 }
--- a/crates/core/tests/stalled_usage_log.rs
+++ b/crates/core/tests/stalled_usage_log.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use aggregator_core::engine::usage::{UsageRecord, UsageWatermark};
+use aggregator_core::engine::usage::{QueryUsage, UsageWatermark};
 use aggregator_core::net::{Extensions, UsageRecorder};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 }
 
 impl UsageRecorder for StalledRecorder {
-    fn record(&mut self, _: UsageRecord) -> bool {
+    fn record(&mut self, _: QueryUsage) -> bool {
         true
     }
     fn record_watermark(&mut self, _: UsageWatermark) {}
--- a/crates/core/tests/support/engine_harness.rs
+++ b/crates/core/tests/support/engine_harness.rs
@@ -6,7 +6,7 @@
 pub use inputs::{address, query, MS, SETTINGS};
 
 use aggregator_core::config;
-use aggregator_core::engine::usage::{UsageRecord, UsageWatermark};
+use aggregator_core::engine::usage::{QueryUsage, UsageWatermark};
 use aggregator_core::engine::{ClientId, ConnectionId, Effect, Engine, Input};
 use aggregator_core::protocol::leaf::{CallPart, LeafRequest, LeafResponse, PartStatus};
 use aggregator_core::protocol::query::{ClientRequest, QueryReply};
@@ -62,7 +62,7 @@
     pub writes_are_stuck: bool,
     /// Connections to clients stay open although the engine has closed them.
     pub closes_are_pending: bool,
-    pub records: Vec<UsageRecord>,
+    pub records: Vec<QueryUsage>,
     pub watermarks: Vec<UsageWatermark>,
     /// When watches on the endpoint list were started.
     pub watch_starts: Vec<u64>,
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use aggregator_core::engine::usage::{is_client_key, key_of_client, key_of_query, Outcome};
+use aggregator_core::engine::usage::{is_client_key, key_of_client, key_of_query, QueryOutcome};
 use aggregator_core::engine::Input;
 use aggregator_core::protocol::leaf::PartStatus;
 use aggregator_core::protocol::query::{ClientRequest, QueryRequest};
@@ -44,7 +44,7 @@
     let rejected = harness
         .records
         .iter()
-        .filter(|record| record.outcome == Outcome::Rejected)
+        .filter(|record| record.outcome == QueryOutcome::Rejected)
         .count();
     assert_eq!(
         rejected,
@@ -56,10 +56,10 @@
     assert_eq!(harness.records.len(), 3 + many.len());
     let first = &harness.records[0];
     assert_eq!(
-        (first.outcome, first.parts, first.attempts, first.arrived),
-        (Outcome::Complete, 2, 2, START)
+        (first.outcome, first.parts, first.attempts, first.arrived_at),
+        (QueryOutcome::Complete, 2, 2, START)
     );
-    assert_eq!(harness.records[1].outcome, Outcome::ClientDisconnected);
+    assert_eq!(harness.records[1].outcome, QueryOutcome::ClientDisconnected);
     let numbers: Vec<u64> = harness
         .records
         .iter()
@@ -93,7 +93,7 @@
     assert_eq!(harness.records.len(), 1);
     assert_eq!(
         harness.records[0].outcome,
-        Outcome::Partial(700_000),
+        QueryOutcome::Partial(700_000),
         "{:?}",
         harness.records[0]
     );
@@ -110,7 +110,11 @@
     harness.advance(1000);
     let held_back = harness.watermarks.last().unwrap();
     assert_eq!(
-        (held_back.complete, held_back.sequence, held_back.end),
+        (
+            held_back.complete_until,
+            held_back.sequence,
+            held_back.is_final
+        ),
         (arrived, 0, false),
         "an open query holds it back"
     );
@@ -118,7 +122,10 @@
     harness.respond_to_all();
     assert!(harness.last_reply(early).is_some());
     harness.advance(200);
-    let (complete, now) = (harness.watermarks.last().unwrap().complete, harness.now);
+    let (complete, now) = (
+        harness.watermarks.last().unwrap().complete_until,
+        harness.now,
+    );
     assert!(complete > arrived && harness.watermarks.last().unwrap().sequence == 1);
     // It arrived before the watermark, and had to wait for its batch.
     let client = harness.connect_client();
@@ -130,11 +137,11 @@
     });
     harness.open_all_connections();
     harness.respond_to_all();
-    assert_eq!(harness.records[1].arrived, complete);
+    assert_eq!(harness.records[1].arrived_at, complete);
     harness.apply(Input::ShutdownRequested);
     harness.advance(7000);
     assert!(
-        harness.has_exited && harness.watermarks.last().unwrap().end,
+        harness.has_exited && harness.watermarks.last().unwrap().is_final,
         "the last watermark states that nothing follows"
     );
 }
@@ -147,7 +154,7 @@
     harness.apply(Input::ShutdownRequested);
     harness.advance(7000);
     assert!(
-        harness.has_exited && harness.watermarks.last().unwrap().end,
+        harness.has_exited && harness.watermarks.last().unwrap().is_final,
         "the settlement would wait for further records"
     );
 }
@@ -175,7 +182,11 @@
     send_lookup(&mut harness, "a", 1, None);
     send_lookup(&mut harness, "b", 1, None);
     send_lookup(&mut harness, "c", 1, Some("k"));
-    let keys: Vec<u64> = harness.records.iter().map(|record| record.key).collect();
+    let keys: Vec<u64> = harness
+        .records
+        .iter()
+        .map(|record| record.join_key)
+        .collect();
     let parts = [(1, 0.5), (0, 0.5)];
     assert_eq!(
         keys[0],
