--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -22,7 +22,7 @@
 
 /// An attempt that has not ended. It outlives its query where cancellation is not allowed.
 #[derive(Debug)]
-pub(super) struct Attempt {
+pub(super) struct OpenAttempt {
     pub(super) replica: ReplicaId,
     pub(super) connection: ConnectionId,
     requested_at: Nanos,
@@ -32,7 +32,7 @@
     pub(super) text: Bytes,
 }
 
-impl Attempt {
+impl OpenAttempt {
     /// Whether it must not be sent any more.
     fn is_expired(&self, now: Nanos) -> bool {
         let past_latest_start = self.latest_start.is_some_and(|latest| latest < now);
@@ -43,11 +43,11 @@
 /// The attempts that are waiting for a connection or in flight.
 #[derive(Debug, Default)]
 pub(super) struct AttemptTable {
-    attempts: BTreeMap<AttemptId, Attempt>,
+    attempts: BTreeMap<AttemptId, OpenAttempt>,
 }
 
 impl AttemptTable {
-    pub(super) fn get(&self, id: AttemptId) -> Option<&Attempt> {
+    pub(super) fn get(&self, id: AttemptId) -> Option<&OpenAttempt> {
         self.attempts.get(&id)
     }
 
@@ -55,7 +55,7 @@
     pub(super) fn of_part(
         &self,
         part: RequestId,
-    ) -> impl Iterator<Item = (AttemptId, &Attempt)> + '_ {
+    ) -> impl Iterator<Item = (AttemptId, &OpenAttempt)> + '_ {
         let first = AttemptId { part, number: 0 };
         let last = AttemptId {
             part,
@@ -65,11 +65,11 @@
         attempts.map(|(id, attempt)| (*id, attempt))
     }
 
-    fn insert(&mut self, id: AttemptId, attempt: Attempt) {
+    fn insert(&mut self, id: AttemptId, attempt: OpenAttempt) {
         self.attempts.insert(id, attempt);
     }
 
-    fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
+    fn remove(&mut self, id: AttemptId) -> Option<OpenAttempt> {
         self.attempts.remove(&id)
     }
 
@@ -118,7 +118,7 @@
             times_out_in_ms = times_out_at.saturating_sub(now) / MILLISECOND,
             "attempt queued"
         );
-        let attempt = Attempt {
+        let attempt = OpenAttempt {
             replica,
             connection,
             requested_at: now,
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -2,7 +2,7 @@
 
 use super::effect::Effect;
 use super::ids::ConnectionId;
-use super::leaf_connection::{AttemptId, CallEntry, LeafConnection, Phase};
+use super::leaf_connection::{AttemptId, CallEntry, LeafConnection, LeafConnectionPhase};
 use super::timers::Timer;
 use super::Engine;
 use crate::api::{AttemptOutcome, LoadReport, Nanos, ReplicaId};
@@ -123,8 +123,8 @@
     pub(super) fn on_connection_closed(&mut self, now: Nanos, id: ConnectionId) {
         let counters = &mut self.counters.connections;
         match self.connections.get(id).map(LeafConnection::phase) {
-            Some(Phase::Connecting) => counters.connect_failed += 1,
-            Some(Phase::Open) => counters.lost += 1,
+            Some(LeafConnectionPhase::Connecting) => counters.connect_failed += 1,
+            Some(LeafConnectionPhase::Open) => counters.lost += 1,
             None => {}
         }
         self.end_connection(now, id, false);
@@ -132,7 +132,7 @@
 
     pub(super) fn on_connect_timeout(&mut self, now: Nanos, id: ConnectionId) {
         let phase = self.connections.get(id).map(LeafConnection::phase);
-        if phase == Some(Phase::Connecting) {
+        if phase == Some(LeafConnectionPhase::Connecting) {
             self.counters.connections.connect_failed += 1;
             self.close_connection(now, id);
         }
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -15,7 +15,7 @@
 
 /// One replica of a leaf server.
 #[derive(Debug)]
-pub(super) struct Replica {
+pub(super) struct ReplicaEndpoint {
     pub(super) address: SocketAddr,
     pub(super) zone: u16,
     pub(super) state: ReplicaState,
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     numbers: BTreeMap<String, ReplicaId>,
-    replicas: BTreeMap<ReplicaId, Replica>,
+    replicas: BTreeMap<ReplicaId, ReplicaEndpoint>,
     last_number: u64,
     /// The zones that the settings name, by number.
     zones: Vec<String>,
@@ -54,17 +54,17 @@
         }
     }
 
-    pub(super) fn get(&self, id: ReplicaId) -> Option<&Replica> {
+    pub(super) fn get(&self, id: ReplicaId) -> Option<&ReplicaEndpoint> {
         self.replicas.get(&id)
     }
 
     /// A replica that takes new requests.
-    pub(super) fn get_ready(&self, id: ReplicaId) -> Option<&Replica> {
+    pub(super) fn get_ready(&self, id: ReplicaId) -> Option<&ReplicaEndpoint> {
         self.get(id)
             .filter(|replica| replica.state == ReplicaState::Ready)
     }
 
-    pub(super) fn get_mut(&mut self, id: ReplicaId) -> Option<&mut Replica> {
+    pub(super) fn get_mut(&mut self, id: ReplicaId) -> Option<&mut ReplicaEndpoint> {
         self.replicas.get_mut(&id)
     }
 
@@ -157,7 +157,7 @@
         };
         let id = self.number_of(&endpoint.name);
         let zone = self.zone_number(&endpoint.zone);
-        let replica = self.replicas.entry(id).or_insert(Replica {
+        let replica = self.replicas.entry(id).or_insert(ReplicaEndpoint {
             address,
             zone,
             state,
@@ -202,15 +202,15 @@
 
 /// The watch on the endpoint list.
 #[derive(Debug)]
-pub(super) struct EndpointWatch {
+pub(super) struct CurrentWatch {
     /// The number of the present watch, or of the last one; they count from 1.
     number: u64,
     answer_timeout: Nanos,
 }
 
-impl EndpointWatch {
-    pub(super) fn new(answer_timeout: Nanos) -> EndpointWatch {
-        EndpointWatch {
+impl CurrentWatch {
+    pub(super) fn new(answer_timeout: Nanos) -> CurrentWatch {
+        CurrentWatch {
             number: 0,
             answer_timeout,
         }
--- a/crates/core/src/engine/leaf_connection.rs
+++ b/crates/core/src/engine/leaf_connection.rs
@@ -52,7 +52,7 @@
 
 /// Whether a connection has been established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum LeafConnectionPhase {
     /// Not yet.
     Connecting,
     /// It has.
@@ -102,7 +102,7 @@
 /// The state of one connection to a leaf server.
 #[derive(Debug)]
 pub struct LeafConnection {
-    phase: Phase,
+    phase: LeafConnectionPhase,
     /// Frames that wait for the socket, oldest first.
     queue: VecDeque<OutgoingFrame>,
     /// The frame that the socket was given and has not taken completely.
@@ -128,7 +128,7 @@
     /// A connection that is being established.
     pub fn new(now: Nanos) -> LeafConnection {
         LeafConnection {
-            phase: Phase::Connecting,
+            phase: LeafConnectionPhase::Connecting,
             queue: VecDeque::new(),
             writing: None,
             in_flight: BTreeMap::new(),
@@ -142,7 +142,7 @@
     }
 
     /// Whether the connection has been established.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> LeafConnectionPhase {
         self.phase
     }
 
@@ -208,14 +208,14 @@
 
     /// The connection has been established.
     pub fn on_opened(&mut self, now: Nanos) {
-        self.phase = Phase::Open;
+        self.phase = LeafConnectionPhase::Open;
         self.last_activity = now;
     }
 
     /// The next frame for the socket, which takes one at a time: what stays in the queue can still
     /// be cancelled without a trace.
     pub fn next_frame(&mut self, now: Nanos) -> Option<OutgoingFrame> {
-        if self.phase != Phase::Open || self.writing.is_some() {
+        if self.phase != LeafConnectionPhase::Open || self.writing.is_some() {
             return None;
         }
         self.writing = self.queue.pop_front();
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -39,13 +39,13 @@
 use clients::ClientTable;
 use connections::ConnectionTable;
 use counters::Counters;
-use endpoints::{EndpointTable, EndpointWatch};
+use endpoints::{CurrentWatch, EndpointTable};
 use health_checks::HealthCheckTable;
 use ids::IdAllocator;
-use queries::QueryTable;
+use queries::OpenQueryTable;
 use shutdown::ShutdownState;
 use timers::TimerQueue;
-use usage_log::UsageLog;
+use usage_log::WatermarkTracker;
 
 /// In nanoseconds.
 const MILLISECOND: Nanos = 1_000_000;
@@ -74,16 +74,16 @@
     ids: IdAllocator,
     timers: TimerQueue,
     endpoints: EndpointTable,
-    watch: EndpointWatch,
+    watch: CurrentWatch,
     connections: ConnectionTable,
     clients: ClientTable,
-    queries: QueryTable,
+    queries: OpenQueryTable,
     attempts: AttemptTable,
     health_checks: HealthCheckTable,
     shutdown: ShutdownState,
     counters: Counters,
     /// None where no usage is recorded.
-    usage_log: Option<UsageLog>,
+    usage_log: Option<WatermarkTracker>,
 }
 
 impl Engine {
@@ -111,10 +111,10 @@
             effects: Vec::new(),
             ids: IdAllocator::default(),
             timers: TimerQueue::default(),
-            watch: EndpointWatch::new(answer_timeout),
+            watch: CurrentWatch::new(answer_timeout),
             connections: ConnectionTable::new(descriptors * LEAF_CONNECTION_PERCENT / 100),
             clients: ClientTable::new(descriptors * CLIENT_PERCENT / 100),
-            queries: QueryTable::default(),
+            queries: OpenQueryTable::default(),
             attempts: AttemptTable::default(),
             health_checks: HealthCheckTable::default(),
             shutdown: ShutdownState::default(),
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -17,7 +17,7 @@
 
 /// A query that waits for its reply.
 #[derive(Debug)]
-pub(super) struct Query {
+pub(super) struct OpenQuery {
     /// The client's name for it.
     pub(super) name: Rc<str>,
     pub(super) client: ClientId,
@@ -36,7 +36,7 @@
 
 /// A part of a query that waits for its reply.
 #[derive(Debug)]
-pub(super) struct Part {
+pub(super) struct OpenPart {
     pub(super) query: RequestId,
     pub(super) shard: u32,
     pub(super) weight: f64,
@@ -51,7 +51,7 @@
     pub(super) value: Option<String>,
 }
 
-impl Part {
+impl OpenPart {
     /// The identifier of the next attempt at this part, which is counted.
     pub(super) fn begin_attempt(&mut self, id: RequestId, crosses_zones: bool) -> AttemptId {
         let number = self.attempts;
@@ -65,8 +65,8 @@
 /// A query that has ended, with its parts.
 #[derive(Debug)]
 pub(super) struct EndedQuery {
-    pub(super) query: Query,
-    pub(super) parts: Vec<Part>,
+    pub(super) query: OpenQuery,
+    pub(super) parts: Vec<OpenPart>,
 }
 
 impl EndedQuery {
@@ -84,21 +84,21 @@
 
 /// The queries that wait for their replies.
 #[derive(Debug, Default)]
-pub(super) struct QueryTable {
-    queries: BTreeMap<RequestId, Query>,
-    parts: BTreeMap<RequestId, Part>,
+pub(super) struct OpenQueryTable {
+    queries: BTreeMap<RequestId, OpenQuery>,
+    parts: BTreeMap<RequestId, OpenPart>,
     /// The names of the queries.
     names: BTreeSet<Rc<str>>,
     /// The number that joined the latest query and its parts in the events.
     last_group: u32,
 }
 
-impl QueryTable {
-    pub(super) fn get(&self, query: RequestId) -> Option<&Query> {
+impl OpenQueryTable {
+    pub(super) fn get(&self, query: RequestId) -> Option<&OpenQuery> {
         self.queries.get(&query)
     }
 
-    pub(super) fn part_mut(&mut self, part: RequestId) -> Option<&mut Part> {
+    pub(super) fn part_mut(&mut self, part: RequestId) -> Option<&mut OpenPart> {
         self.parts.get_mut(&part)
     }
 
@@ -140,12 +140,12 @@
         self.last_group
     }
 
-    fn insert(&mut self, id: RequestId, query: Query) {
+    fn insert(&mut self, id: RequestId, query: OpenQuery) {
         self.names.insert(query.name.clone());
         self.queries.insert(id, query);
     }
 
-    fn insert_part(&mut self, id: RequestId, part: Part) {
+    fn insert_part(&mut self, id: RequestId, part: OpenPart) {
         self.parts.insert(id, part);
     }
 
@@ -275,7 +275,7 @@
             client_timeout_ms = client_timeout / MILLISECOND,
             "query admitted"
         );
-        let query = Query {
+        let query = OpenQuery {
             name: request.name.as_str().into(),
             client,
             class: request.class,
@@ -297,7 +297,7 @@
         &QueryPart { shard, weight, .. }: &QueryPart,
     ) -> RequestId {
         let id = self.ids.allocate();
-        let part = Part {
+        let part = OpenPart {
             query,
             shard,
             weight,
--- a/crates/core/src/engine/replies.rs
+++ b/crates/core/src/engine/replies.rs
@@ -1,6 +1,6 @@
 //! The replies to queries, and the ways in which a query ends.
 
-use super::queries::{EndedQuery, Part};
+use super::queries::{EndedQuery, OpenPart};
 use super::usage::QueryOutcome;
 use super::{Engine, MILLISECOND};
 use crate::api::{Event, Nanos, RequestId};
@@ -95,7 +95,7 @@
     ended.covered_weight() + COVERAGE_TOLERANCE >= needed
 }
 
-fn hit(part: &Part) -> Option<QueryHit> {
+fn hit(part: &OpenPart) -> Option<QueryHit> {
     let doc = part.value.clone()?;
     let shard = part.shard;
     Some(QueryHit { shard, doc })
@@ -104,7 +104,7 @@
 /// Logs a query that has ended, with the number of attempts at each of its parts and whether the
 /// part has a result.
 fn log_query_ended(now: Nanos, id: RequestId, ended: &EndedQuery, outcome: QueryOutcome) {
-    let attempts = |part: &Part| {
+    let attempts = |part: &OpenPart| {
         let result = if part.value.is_some() { "+" } else { "-" };
         format!("{}:{}{result}", part.shard, part.attempts)
     };
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -2,7 +2,7 @@
 //! records are complete.
 
 use super::effect::Effect;
-use super::queries::{EndedQuery, Part};
+use super::queries::{EndedQuery, OpenPart};
 use super::timers::Timer;
 use super::usage::{self, JoinKey, QueryOutcome, QueryUsage, UsageWatermark};
 use super::Engine;
@@ -15,7 +15,7 @@
 
 /// What the watermarks are made from.
 #[derive(Debug)]
-pub(super) struct UsageLog {
+pub(super) struct WatermarkTracker {
     /// The time between two watermarks.
     interval: Nanos,
     last_sequence: u64,
@@ -25,9 +25,9 @@
     open: BTreeSet<(Nanos, RequestId)>,
 }
 
-impl UsageLog {
-    fn new(interval: Nanos) -> UsageLog {
-        UsageLog {
+impl WatermarkTracker {
+    fn new(interval: Nanos) -> WatermarkTracker {
+        WatermarkTracker {
             interval,
             last_sequence: 0,
             complete: 0,
@@ -64,7 +64,7 @@
 impl Engine {
     /// Records usage from now on, with a watermark each `interval`.
     pub fn record_usage(&mut self, interval: Nanos) {
-        self.usage_log = Some(UsageLog::new(interval));
+        self.usage_log = Some(WatermarkTracker::new(interval));
         self.timers.set(0, Timer::UsageWatermark);
     }
 
@@ -115,7 +115,8 @@
     /// Records a query that has ended.
     pub(super) fn record_query(&mut self, ended: &EndedQuery, outcome: QueryOutcome) {
         let EndedQuery { query, parts } = ended;
-        let total = |count: fn(&Part) -> u8| parts.iter().map(|part| u32::from(count(part))).sum();
+        let total =
+            |count: fn(&OpenPart) -> u8| parts.iter().map(|part| u32::from(count(part))).sum();
         self.append_record(QueryUsage {
             sequence: 0,
             tenant: query.tenant,
