--- a/crates/core/src/engine/actions.rs
+++ b/crates/core/src/engine/actions.rs
@@ -2,7 +2,7 @@
 
 use super::attempts::AttemptRequest;
 use super::effect::Effect;
-use super::leaf_connection::AttemptId;
+use super::ids::AttemptId;
 use super::timers::Timer;
 use super::Engine;
 use crate::api::{Action, AttemptOutcome, Nanos};
@@ -37,7 +37,8 @@
                 let request = AttemptRequest {
                     part,
                     replica,
-                    until,
+                    // The policy's 0 stands for the deadline of the query.
+                    times_out_at: Some(until).filter(|until| *until > 0),
                     latest_start,
                 };
                 self.start_attempt(now, request);
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -1,110 +1,76 @@
 //! Attempts, from the policy's request to their end. Each attempt that was requested ends once, and
-//! the policy is told of it.
+//! is reported to the policy as an [`Event::AttemptEnded`].
 
-use super::ids::ConnectionId;
-use super::leaf_connection::{AttemptId, CallEntry};
+use super::attempt_table::OpenAttempt;
+use super::ids::{AttemptId, ConnectionId};
+use super::leaf_connection::CallEntry;
+use super::query_table::BegunAttempt;
 use super::timers::Timer;
 use super::{Engine, MILLISECOND};
 use crate::api::{AttemptEnded, AttemptOutcome, Event, LoadReport, Nanos, ReplicaId, RequestId};
-use bytes::Bytes;
-use std::collections::BTreeMap;
 
 /// An attempt as the policy requests it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRequest {
     pub(super) part: RequestId,
     pub(super) replica: ReplicaId,
-    /// When it times out; 0 stands for the deadline of the query.
-    pub(super) until: Nanos,
+    /// When it times out; at the deadline of its query where there is none.
+    pub(super) times_out_at: Option<Nanos>,
     /// It is dropped if it has not been sent by then.
     pub(super) latest_start: Option<Nanos>,
 }
 
-/// An attempt that has not ended. It outlives its query where cancellation is not allowed.
-#[derive(Debug)]
-pub(super) struct OpenAttempt {
-    pub(super) replica: ReplicaId,
-    pub(super) connection: ConnectionId,
-    requested_at: Nanos,
-    pub(super) times_out_at: Nanos,
-    latest_start: Option<Nanos>,
-    pub(super) shard: u32,
-    pub(super) text: Bytes,
-}
-
-impl OpenAttempt {
-    /// Whether it must not be sent any more.
-    fn is_expired(&self, now: Nanos) -> bool {
-        let past_latest_start = self.latest_start.is_some_and(|latest| latest < now);
-        self.times_out_at <= now || past_latest_start
-    }
-}
-
-/// The attempts that are waiting for a connection or in flight.
-#[derive(Debug, Default)]
-pub(super) struct AttemptTable {
-    attempts: BTreeMap<AttemptId, OpenAttempt>,
-}
-
-impl AttemptTable {
-    pub(super) fn get(&self, id: AttemptId) -> Option<&OpenAttempt> {
-        self.attempts.get(&id)
-    }
-
-    /// The attempts at a part, in the order sent.
-    pub(super) fn of_part(
-        &self,
-        part: RequestId,
-    ) -> impl Iterator<Item = (AttemptId, &OpenAttempt)> + '_ {
-        let first = AttemptId { part, number: 0 };
-        let last = AttemptId {
-            part,
-            number: u8::MAX,
-        };
-        let attempts = self.attempts.range(first..=last);
-        attempts.map(|(id, attempt)| (*id, attempt))
-    }
-
-    fn insert(&mut self, id: AttemptId, attempt: OpenAttempt) {
-        self.attempts.insert(id, attempt);
-    }
-
-    fn remove(&mut self, id: AttemptId) -> Option<OpenAttempt> {
-        self.attempts.remove(&id)
-    }
-
-    pub(super) fn len(&self) -> usize {
-        self.attempts.len()
-    }
-}
-
 impl Engine {
     /// Queues an attempt at a connection to its replica.
     pub(super) fn start_attempt(&mut self, now: Nanos, request: AttemptRequest) {
-        let replica = request.replica;
-        let crosses_zones = self.is_in_other_zone(replica);
-        let Some(part) = self.queries.part_mut(request.part) else {
+        let crosses_zones = self.is_in_other_zone(request.replica);
+        let Some(begun) = self.queries.begin_attempt(request.part, crosses_zones) else {
             self.counters.faults.unknown_target += 1;
             tracing::error!(part = request.part, "attempt at a part that has ended");
             return;
         };
-        let id = part.begin_attempt(request.part, crosses_zones);
-        let (query, shard) = (part.query, part.shard);
-        let (wire_id, text) = (part.wire_id.clone(), part.text.clone());
         self.counters.sent.attempts += 1;
-        self.counters.sent.retries += u64::from(id.number > 0);
-        let times_out_at = self.attempt_timeout(now, query, request.until);
-        let max_attempts = self.settings.max_attempts;
-        let is_allowed = usize::from(id.number) < max_attempts && times_out_at > now;
-        if !is_allowed || self.endpoints.get_ready(replica).is_none() {
-            return self.on_attempt_not_placed(id, replica, AttemptOutcome::NotSent);
+        self.counters.sent.retries += u64::from(begun.id.number > 0);
+        let times_out_at = begun.timeout(request.times_out_at);
+        match self.place_attempt(now, request.replica, &begun, times_out_at) {
+            Ok(connection) => self.queue_attempt(now, request, begun, connection, times_out_at),
+            Err(outcome) => self.on_attempt_not_placed(begun.id, request.replica, outcome),
         }
-        let Some(connection) = self.find_or_open_connection(now, replica, &wire_id) else {
-            return self.on_attempt_not_placed(id, replica, AttemptOutcome::Unreachable);
-        };
+    }
+
+    fn is_in_other_zone(&self, replica: ReplicaId) -> bool {
+        let zone = self.endpoints.zone_of(replica);
+        zone.is_some_and(|zone| zone != self.settings.zone)
+    }
+
+    /// The connection for an attempt, or how the attempt ends where it gets none.
+    fn place_attempt(
+        &mut self,
+        now: Nanos,
+        replica: ReplicaId,
+        begun: &BegunAttempt,
+        times_out_at: Nanos,
+    ) -> Result<ConnectionId, AttemptOutcome> {
+        let within_limit = usize::from(begun.id.number) < self.settings.max_attempts;
+        if !within_limit || times_out_at <= now || !self.endpoints.is_ready(replica) {
+            return Err(AttemptOutcome::NotSent);
+        }
+        self.find_or_open_connection(now, replica, &begun.wire_id)
+            .ok_or(AttemptOutcome::Unreachable)
+    }
+
+    fn queue_attempt(
+        &mut self,
+        now: Nanos,
+        request: AttemptRequest,
+        begun: BegunAttempt,
+        connection: ConnectionId,
+        times_out_at: Nanos,
+    ) {
+        let id = begun.id;
         let entry = CallEntry {
             attempt: id,
-            wire_id,
+            wire_id: begun.wire_id,
         };
         let max_parts_per_call = self.settings.max_parts_per_call;
         self.connections
@@ -113,37 +79,23 @@
         tracing::debug!(
             part = id.part,
             attempt = id.number,
-            replica = replica.0,
-            shard,
+            replica = request.replica.0,
+            shard = begun.shard,
             times_out_in_ms = times_out_at.saturating_sub(now) / MILLISECOND,
             "attempt queued"
         );
         let attempt = OpenAttempt {
-            replica,
+            replica: request.replica,
             connection,
             requested_at: now,
             times_out_at,
             latest_start: request.latest_start,
-            shard,
-            text,
+            shard: begun.shard,
+            text: begun.text,
         };
         self.attempts.insert(id, attempt);
     }
 
-    fn is_in_other_zone(&self, replica: ReplicaId) -> bool {
-        let replica = self.endpoints.get(replica);
-        replica.is_some_and(|replica| replica.zone != self.settings.zone)
-    }
-
-    /// When an attempt times out: never after its query's deadline.
-    fn attempt_timeout(&self, now: Nanos, query: RequestId, until: Nanos) -> Nanos {
-        let deadline = self.queries.get(query).map_or(now, |query| query.deadline);
-        match until {
-            0 => deadline,
-            until => until.min(deadline),
-        }
-    }
-
     /// Ends an attempt for which there is no connection.
     fn on_attempt_not_placed(
         &mut self,
@@ -161,7 +113,7 @@
         self.report_attempt_ended(id, replica, outcome, LoadReport::new());
     }
 
-    /// Ends an attempt that was queued at a connection, and which the connection no longer holds.
+    /// Ends an attempt that was queued at a connection and is no longer in flight there.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Nanos,
@@ -203,24 +155,24 @@
         }));
     }
 
-    /// Ends an attempt from our side. One that never went out is known not to have been executed.
+    /// Ends an attempt from our side. One that was never sent and would time out ends as
+    /// [`AttemptOutcome::NotSent`]: it is known not to have been executed.
     pub(super) fn end_attempt(&mut self, now: Nanos, id: AttemptId, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
         };
-        let connection_id = attempt.connection;
-        let mut outcome = outcome;
-        if let Some(connection) = self.connections.get_mut(connection_id) {
-            let was_unresponsive = connection.is_unresponsive();
-            let response_timeout = 2 * self.settings.connect_timeout;
-            let may_have_run = connection.cancel_attempt(id, now, response_timeout);
-            if !may_have_run && outcome == AttemptOutcome::TimedOut {
-                outcome = AttemptOutcome::NotSent;
-            }
-            let became_unresponsive = connection.is_unresponsive() && !was_unresponsive;
-            self.counters.connections.silent += u64::from(became_unresponsive);
-        }
-        self.connections.mark_pending(connection_id);
+        let response_timeout = 2 * self.settings.connect_timeout;
+        let cancelled =
+            self.connections
+                .cancel_attempt(attempt.connection, id, now, response_timeout);
+        let became_unresponsive = cancelled.is_some_and(|cancelled| cancelled.became_unresponsive);
+        self.counters.connections.silent += u64::from(became_unresponsive);
+        let was_unsent = cancelled.is_some_and(|cancelled| !cancelled.may_have_run);
+        let outcome = if was_unsent && outcome == AttemptOutcome::TimedOut {
+            AttemptOutcome::NotSent
+        } else {
+            outcome
+        };
         self.on_attempt_ended(now, id, outcome, LoadReport::new());
     }
 
--- /dev/null
+++ b/crates/core/src/engine/client_table.rs
@@ -0,0 +1,132 @@
+//! The clients that are connected, and which of them are closed to make room.
+
+use super::ids::ClientId;
+use super::MILLISECOND;
+use crate::api::{Nanos, RequestId};
+use std::collections::BTreeMap;
+
+/// Once more than half of the capacity is in use, a client that has been idle this long since its
+/// last reply is closed.
+const CLIENT_IDLE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
+
+/// The most clients closed for each that connects. More than one, so that idle clients are closed
+/// faster than new ones connect.
+const MAX_EVICTIONS_PER_CONNECT: usize = 2;
+
+/// One client's connection.
+#[derive(Debug, Default)]
+struct Client {
+    /// The query that it waits for.
+    query: Option<RequestId>,
+    /// When its last reply was sent, or it connected.
+    idle_since: Nanos,
+    /// It has sent a query that was admitted.
+    has_sent_query: bool,
+    /// Its connection is to be closed.
+    close_requested: bool,
+}
+
+/// The clients that are connected.
+#[derive(Debug)]
+pub(super) struct ClientTable {
+    clients: BTreeMap<ClientId, Client>,
+    capacity: usize,
+}
+
+impl ClientTable {
+    pub(super) fn new(capacity: usize) -> ClientTable {
+        ClientTable {
+            clients: BTreeMap::new(),
+            capacity,
+        }
+    }
+
+    /// The most clients that may be connected.
+    pub(super) fn capacity(&self) -> usize {
+        self.capacity
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.clients.len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.clients.is_empty()
+    }
+
+    pub(super) fn contains(&self, client: ClientId) -> bool {
+        self.clients.contains_key(&client)
+    }
+
+    /// The clients that wait for no query.
+    pub(super) fn without_query(&self) -> impl Iterator<Item = ClientId> + '_ {
+        let clients = self.clients.iter();
+        let idle = clients.filter(|(_, client)| client.query.is_none());
+        idle.map(|(id, _)| *id)
+    }
+
+    /// Adds a client that has connected.
+    pub(super) fn insert(&mut self, client: ClientId, now: Nanos) {
+        let state = Client {
+            idle_since: now,
+            ..Client::default()
+        };
+        self.clients.insert(client, state);
+    }
+
+    /// Removes a client, and returns the query that it waits for.
+    pub(super) fn remove(&mut self, client: ClientId) -> Option<RequestId> {
+        self.clients.remove(&client)?.query
+    }
+
+    /// Notes that a client waits for a query.
+    pub(super) fn set_query(&mut self, client: ClientId, query: RequestId) {
+        if let Some(client) = self.clients.get_mut(&client) {
+            client.query = Some(query);
+            client.has_sent_query = true;
+        }
+    }
+
+    /// Notes that a client gets the reply to its request, and returns whether its connection is to
+    /// be closed then; none if the client has disconnected.
+    pub(super) fn on_reply(&mut self, client: ClientId, now: Nanos) -> Option<bool> {
+        let client = self.clients.get_mut(&client)?;
+        client.query = None;
+        client.idle_since = now;
+        Some(client.close_requested)
+    }
+
+    /// Picks the clients to close so that `newest` has room, and marks them: many may connect
+    /// before the first one that was picked is gone. Those that never sent a usable query go
+    /// first, then those that have been idle for longest.
+    pub(super) fn pick_evictions(&mut self, now: Nanos, newest: ClientId) -> Vec<ClientId> {
+        if self.clients.len() <= self.capacity / 2 {
+            return Vec::new();
+        }
+        let is_full = self.clients.len() > self.capacity;
+        let candidates = self.clients.iter_mut().filter(|(id, client)| {
+            **id != newest && client.is_closable() && (is_full || client.is_long_idle(now))
+        });
+        let mut candidates: Vec<(ClientId, &mut Client)> =
+            candidates.map(|(id, client)| (*id, client)).collect();
+        candidates
+            .sort_unstable_by_key(|(id, client)| (client.has_sent_query, client.idle_since, *id));
+        let evicted = candidates.into_iter().take(MAX_EVICTIONS_PER_CONNECT);
+        evicted
+            .map(|(id, client)| {
+                client.close_requested = true;
+                id
+            })
+            .collect()
+    }
+}
+
+impl Client {
+    fn is_closable(&self) -> bool {
+        self.query.is_none() && !self.close_requested
+    }
+
+    fn is_long_idle(&self, now: Nanos) -> bool {
+        self.has_sent_query && now.saturating_sub(self.idle_since) >= CLIENT_IDLE_TIMEOUT
+    }
+}
--- a/crates/core/src/engine/frames.rs
+++ b/crates/core/src/engine/frames.rs
@@ -3,7 +3,7 @@
 use super::effect::Effect;
 use super::ids::ConnectionId;
 use super::leaf_connection::{CallEntry, OutgoingFrame, ResponseMatch};
-use super::{Engine, MILLISECOND};
+use super::{load_reports, Engine};
 use crate::api::{AttemptOutcome, LoadReport, Nanos};
 use crate::protocol::leaf::{CallPart, LeafRequest, LeafResponse, PartStatus};
 use bytes::Bytes;
@@ -17,8 +17,8 @@
 }
 
 impl Engine {
-    /// Gives each connection that has work its next frame, and closes those that have no use any
-    /// more.
+    /// Writes the next frame on each connection that has one, and closes the connections that are
+    /// of no use any more.
     pub(super) fn flush_pending_writes(&mut self, now: Nanos) {
         while let Some(connection) = self.connections.pop_pending() {
             self.drop_expired_attempts(now, connection);
@@ -43,18 +43,11 @@
         match self.encode_frame(now, frame) {
             Some(frame) => self.effects.push(Effect::WriteFrame { connection, frame }),
             // Nothing of it is left: proceed as if it were written.
-            None => self.on_frame_written(connection),
+            None => self.connections.on_frame_written(connection),
         }
     }
 
-    pub(super) fn on_frame_written(&mut self, id: ConnectionId) {
-        if let Some(connection) = self.connections.get_mut(id) {
-            connection.on_frame_written();
-            self.connections.mark_pending(id);
-        }
-    }
-
-    /// The frame as it goes out; none for a call whose attempts have all ended.
+    /// The frame as it is sent; none for a call whose attempts have all ended.
     fn encode_frame(&mut self, now: Nanos, frame: OutgoingFrame) -> Option<LeafRequest> {
         match frame {
             OutgoingFrame::Call(entries) => {
@@ -84,23 +77,16 @@
         }
     }
 
+    /// The entry of a call as it is sent; none if its attempt has ended.
     fn encode_part(&self, now: Nanos, entry: CallEntry) -> Option<CallPart> {
         let attempt = self.attempts.get(entry.attempt)?;
-        let time_left = attempt.times_out_at.saturating_sub(now);
-        Some(CallPart {
-            id: entry.wire_id,
-            shard: attempt.shard,
-            wait_ms: time_left.div_ceil(MILLISECOND),
-            text: attempt.text.clone(),
-        })
+        Some(attempt.call_part(now, entry.wire_id))
     }
 
     pub(super) fn on_frame_received(&mut self, now: Nanos, id: ConnectionId, frame: LeafResponse) {
-        let Some(connection) = self.connections.get_mut(id) else {
+        if !self.connections.on_activity(id, now) {
             return;
-        };
-        connection.on_activity(now);
-        self.connections.mark_pending(id);
+        }
         match frame {
             LeafResponse::PartResult {
                 id: wire_id,
@@ -143,19 +129,18 @@
             PartStatus::Busy => AttemptOutcome::Rejected,
         };
         if outcome == AttemptOutcome::Success {
-            if let Some(part) = self.queries.part_mut(attempt.part) {
-                // The codec has checked that it is text, so nothing is lost here.
-                let text = || String::from_utf8_lossy(&result.value).into_owned();
-                part.value.get_or_insert_with(text);
-            }
+            // The codec has checked that it is text, so nothing is lost here.
+            let text = || String::from_utf8_lossy(&result.value).into_owned();
+            self.queries.add_result(attempt.part, text);
         }
-        let report = self.parse_load_report(&result.report);
+        let report = load_reports::parse(&result.report, &self.settings.load_report_fields);
         self.on_attempt_ended(now, attempt, outcome, report);
     }
 
-    /// A leaf server has sent what can't be read. It is alive and has executed what it answered:
-    /// that attempt has failed. Where the next frame begins is not known, so the other attempts
-    /// on the connection will get no response: they are cancelled at once, by closing it.
+    /// A leaf server has sent a frame that can't be decoded. It is alive and has executed the part
+    /// that it answered: that attempt has failed. The start of its next frame is unknown, so the
+    /// other attempts on the connection get no response: they are cancelled at once by closing the
+    /// connection.
     fn on_malformed_response(&mut self, now: Nanos, id: ConnectionId, wire_id: Option<&str>) {
         let replica = self.connections.replica_of(id);
         let Some(connection) = self.connections.get_mut(id) else {
@@ -179,21 +164,4 @@
         }
         self.close_connection(now, id);
     }
-
-    /// The values of a load report, in the order that the settings state. A report that is `-`, or
-    /// that lacks one of them, is none.
-    pub(super) fn parse_load_report(&self, text: &str) -> LoadReport {
-        let fields = self.settings.load_report_fields.iter();
-        let values: Option<LoadReport> = fields.map(|name| find_load_value(text, name)).collect();
-        values.unwrap_or_default()
-    }
-}
-
-/// The value of one field of a load report.
-fn find_load_value(report: &str, name: &str) -> Option<f32> {
-    let pairs = report.split([',', ';']);
-    let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
-    let (_, value) = pairs.find(|(key, _)| key.trim() == name)?;
-    let value: f32 = value.trim().parse().ok()?;
-    value.is_finite().then_some(value)
 }
--- a/crates/core/src/engine/health_checks.rs
+++ b/crates/core/src/engine/health_checks.rs
@@ -1,9 +1,9 @@
 //! Health checks of leaf servers, which the policy requests.
 
-use super::ids::ConnectionId;
-use super::leaf_connection::HealthCheckId;
+use super::ids::{ConnectionId, HealthCheckId};
+use super::leaf_connection::LeafConnection;
 use super::timers::Timer;
-use super::Engine;
+use super::{load_reports, Engine};
 use crate::api::{
     AttemptOutcome, Event, HealthCheckEnded, LoadReport, Nanos, ReplicaId, ReplicaState,
 };
@@ -48,10 +48,7 @@
             }));
         };
         let id = self.ids.allocate();
-        if let Some(connection) = self.connections.get_mut(connection_id) {
-            connection.queue_health_check(id);
-        }
-        self.connections.mark_pending(connection_id);
+        self.connections.queue_health_check(connection_id, id);
         let times_out_at = now + self.settings.connect_timeout;
         self.timers.set(times_out_at, Timer::HealthCheckTimeout(id));
         let check = HealthCheck {
@@ -67,7 +64,7 @@
         now: Nanos,
         replica: ReplicaId,
     ) -> Option<ConnectionId> {
-        let state = self.endpoints.get(replica)?.state;
+        let state = self.endpoints.state_of(replica)?;
         if state == ReplicaState::Gone || !self.settings.health_checks_allowed {
             return None;
         }
@@ -79,19 +76,20 @@
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        ok: bool,
+        is_healthy: bool,
         report: &str,
     ) {
         let connection = self.connections.get_mut(connection);
-        let check = connection.and_then(|connection| connection.match_health_check_response());
-        let outcome = if ok {
+        let Some(check) = connection.and_then(LeafConnection::match_health_check_response) else {
+            return;
+        };
+        let outcome = if is_healthy {
             AttemptOutcome::Success
         } else {
             AttemptOutcome::Error
         };
-        if let Some(check) = check {
-            self.on_health_check_ended(now, check, outcome, report);
-        }
+        let report = load_reports::parse(report, &self.settings.load_report_fields);
+        self.on_health_check_ended(now, check, outcome, report);
     }
 
     pub(super) fn on_health_check_ended(
@@ -99,7 +97,7 @@
         now: Nanos,
         id: HealthCheckId,
         outcome: AttemptOutcome,
-        report: &str,
+        report: LoadReport,
     ) {
         let Some(check) = self.health_checks.remove(id) else {
             return;
@@ -107,14 +105,12 @@
         let times_out_at = check.started_at + self.settings.connect_timeout;
         self.timers
             .cancel(times_out_at, Timer::HealthCheckTimeout(id));
-        if let Some(connection) = self.connections.get_mut(check.connection) {
-            connection.cancel_health_check(id);
-        }
+        self.connections.cancel_health_check(check.connection, id);
         self.events.push(Event::HealthCheckEnded(HealthCheckEnded {
             replica: check.replica,
             outcome,
             latency: now.saturating_sub(check.started_at),
-            report: self.parse_load_report(report),
+            report,
         }));
     }
 }
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -9,43 +9,51 @@
 //! are next to it. `Engine` only joins them.
 
 mod actions;
+mod attempt_table;
 mod attempts;
+mod client_table;
 mod clients;
+mod connection_table;
 mod connections;
 pub mod counters;
 mod effect;
+mod endpoint_table;
 mod endpoints;
 mod frames;
 mod health_checks;
 mod ids;
 mod input;
 pub mod leaf_connection;
+mod load_reports;
 mod queries;
+mod query_table;
 mod replies;
 mod shutdown;
 mod timers;
 pub mod usage;
 mod usage_log;
+mod watermark_tracker;
 
 pub use effect::Effect;
-pub use ids::{ClientId, ConnectionId};
+pub use ids::{AttemptId, ClientId, ConnectionId, HealthCheckId, WireId};
 pub use input::Input;
 
 use crate::api::{EndpointUpdateKind, Event, Nanos, PolicySettings};
 use crate::config::AggregatorSettings;
 use crate::protocol::discovery::EndpointUpdate;
 use crate::Policy;
-use attempts::AttemptTable;
-use clients::ClientTable;
-use connections::ConnectionTable;
+use attempt_table::AttemptTable;
+use client_table::ClientTable;
+use connection_table::ConnectionTable;
 use counters::Counters;
-use endpoints::{CurrentWatch, EndpointTable};
+use endpoint_table::EndpointTable;
+use endpoints::CurrentWatch;
 use health_checks::HealthCheckTable;
 use ids::IdAllocator;
-use queries::OpenQueryTable;
+use query_table::OpenQueryTable;
 use shutdown::ShutdownState;
 use timers::TimerQueue;
-use usage_log::WatermarkTracker;
+use watermark_tracker::WatermarkTracker;
 
 /// In nanoseconds.
 const MILLISECOND: Nanos = 1_000_000;
@@ -195,8 +203,8 @@
                 request,
             } => self.on_request(now, client, arrived, request),
             Input::ClientDisconnected { client } => self.on_client_disconnected(now, client),
-            Input::ConnectionOpened { connection } => self.on_connection_opened(now, connection),
-            Input::FrameWritten { connection } => self.on_frame_written(connection),
+            Input::ConnectionOpened { connection } => self.connections.on_opened(connection, now),
+            Input::FrameWritten { connection } => self.connections.on_frame_written(connection),
             Input::FrameReceived { connection, frame } => {
                 self.on_frame_received(now, connection, frame)
             }
--- /dev/null
+++ b/crates/core/src/engine/query_table.rs
@@ -0,0 +1,214 @@
+//! The queries that wait for their replies, and their parts.
+
+use super::ids::{AttemptId, ClientId, WireId};
+use super::usage::JoinKey;
+use crate::api::{Nanos, RequestId};
+use bytes::Bytes;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// A query that waits for its reply.
+#[derive(Debug)]
+pub(super) struct OpenQuery {
+    /// The client's name for it.
+    pub(super) name: Rc<str>,
+    pub(super) client: ClientId,
+    pub(super) class: u16,
+    pub(super) tenant: u32,
+    /// By when the reply has to be sent.
+    pub(super) deadline: Nanos,
+    /// Its parts, in the order of the request.
+    pub(super) parts: Vec<RequestId>,
+    /// When it arrived, as the usage log counts it.
+    pub(super) arrived_at: Nanos,
+    pub(super) is_retry: bool,
+    /// Identifies the use that it requests; 0 while no usage is recorded.
+    pub(super) join_key: JoinKey,
+}
+
+/// A part of a query that waits for its reply.
+#[derive(Debug)]
+pub(super) struct OpenPart {
+    query: RequestId,
+    pub(super) shard: u32,
+    weight: f64,
+    wire_id: WireId,
+    /// The query's text.
+    text: Bytes,
+    /// Attempts that the policy has requested.
+    pub(super) attempts: u8,
+    /// Of the attempts, those to replicas in other zones.
+    pub(super) cross_zone_attempts: u8,
+    /// The result of the first attempt that succeeded.
+    pub(super) value: Option<String>,
+}
+
+impl OpenPart {
+    /// A part without attempts. Its id in frames is made of the query's name and the shard.
+    pub(super) fn new(
+        query: RequestId,
+        query_name: &str,
+        shard: u32,
+        weight: f64,
+        text: Bytes,
+    ) -> OpenPart {
+        OpenPart {
+            query,
+            shard,
+            weight,
+            wire_id: format!("{query_name}.{shard}").into(),
+            text,
+            attempts: 0,
+            cross_zone_attempts: 0,
+            value: None,
+        }
+    }
+
+    /// The number of the next attempt, which is counted.
+    fn count_attempt(&mut self, crosses_zones: bool) -> u8 {
+        let number = self.attempts;
+        self.attempts = self.attempts.saturating_add(1);
+        let crossed = u8::from(crosses_zones);
+        self.cross_zone_attempts = self.cross_zone_attempts.saturating_add(crossed);
+        number
+    }
+}
+
+/// An attempt that has been counted, and has no connection yet.
+#[derive(Debug)]
+pub(super) struct BegunAttempt {
+    pub(super) id: AttemptId,
+    pub(super) shard: u32,
+    /// What stands for its part in frames.
+    pub(super) wire_id: WireId,
+    /// The query's text.
+    pub(super) text: Bytes,
+    query_deadline: Nanos,
+}
+
+impl BegunAttempt {
+    /// When it times out: as requested, but never after its query's deadline.
+    pub(super) fn timeout(&self, requested: Option<Nanos>) -> Nanos {
+        requested.map_or(self.query_deadline, |at| at.min(self.query_deadline))
+    }
+}
+
+/// A query that has ended, with its parts.
+#[derive(Debug)]
+pub(super) struct EndedQuery {
+    pub(super) query: OpenQuery,
+    pub(super) parts: Vec<OpenPart>,
+}
+
+impl EndedQuery {
+    /// The weight of all parts.
+    pub(super) fn total_weight(&self) -> f64 {
+        self.parts.iter().map(|part| part.weight).sum()
+    }
+
+    /// The weight of the parts that have a result.
+    pub(super) fn covered_weight(&self) -> f64 {
+        let covered = self.parts.iter().filter(|part| part.value.is_some());
+        covered.map(|part| part.weight).sum()
+    }
+}
+
+/// The queries that wait for their replies, and their parts.
+#[derive(Debug, Default)]
+pub(super) struct OpenQueryTable {
+    queries: BTreeMap<RequestId, OpenQuery>,
+    parts: BTreeMap<RequestId, OpenPart>,
+    /// The names of the queries.
+    names: BTreeSet<Rc<str>>,
+    /// The number that joined the latest query and its parts in the events.
+    last_group: u32,
+}
+
+impl OpenQueryTable {
+    pub(super) fn get(&self, query: RequestId) -> Option<&OpenQuery> {
+        self.queries.get(&query)
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.queries.len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.queries.is_empty()
+    }
+
+    /// The number of queries, parts and names.
+    pub(super) fn entries(&self) -> usize {
+        self.queries.len() + self.parts.len() + self.names.len()
+    }
+
+    pub(super) fn has_name(&self, name: &str) -> bool {
+        self.names.contains(name)
+    }
+
+    /// The number of parts without a result. A part that has its result takes no capacity any
+    /// more: counting it would reject queries that fit.
+    pub(super) fn count_open_parts(&self) -> usize {
+        let open = self.parts.values().filter(|part| part.value.is_none());
+        open.count()
+    }
+
+    /// The number that joins a new query and its parts in the events.
+    pub(super) fn next_group(&mut self) -> u32 {
+        self.last_group = self.last_group.wrapping_add(1);
+        self.last_group
+    }
+
+    pub(super) fn insert(&mut self, id: RequestId, query: OpenQuery) {
+        self.names.insert(query.name.clone());
+        self.queries.insert(id, query);
+    }
+
+    pub(super) fn insert_part(&mut self, id: RequestId, part: OpenPart) {
+        self.parts.insert(id, part);
+    }
+
+    /// Counts an attempt at a part; none if the part has ended.
+    pub(super) fn begin_attempt(
+        &mut self,
+        id: RequestId,
+        crosses_zones: bool,
+    ) -> Option<BegunAttempt> {
+        let part = self.parts.get_mut(&id)?;
+        let query_deadline = self.queries.get(&part.query)?.deadline;
+        Some(BegunAttempt {
+            id: AttemptId {
+                part: id,
+                number: part.count_attempt(crosses_zones),
+            },
+            shard: part.shard,
+            wire_id: part.wire_id.clone(),
+            text: part.text.clone(),
+            query_deadline,
+        })
+    }
+
+    /// Keeps the result of a part, unless it has one or has ended.
+    pub(super) fn add_result(&mut self, part: RequestId, value: impl FnOnce() -> String) {
+        if let Some(part) = self.parts.get_mut(&part) {
+            part.value.get_or_insert_with(value);
+        }
+    }
+
+    /// Moves the deadlines that are later than `latest` there; returns each query with its former
+    /// deadline.
+    pub(super) fn shorten_deadlines(&mut self, latest: Nanos) -> Vec<(RequestId, Nanos)> {
+        let queries = self.queries.iter_mut();
+        let late = queries.filter(|(_, query)| query.deadline > latest);
+        late.map(|(id, query)| (*id, std::mem::replace(&mut query.deadline, latest)))
+            .collect()
+    }
+
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<EndedQuery> {
+        let query = self.queries.remove(&id)?;
+        self.names.remove(&query.name);
+        let parts = query.parts.iter();
+        let parts = parts.filter_map(|part| self.parts.remove(part)).collect();
+        Some(EndedQuery { query, parts })
+    }
+}
--- a/crates/core/src/engine/replies.rs
+++ b/crates/core/src/engine/replies.rs
@@ -1,6 +1,6 @@
 //! The replies to queries, and the ways in which a query ends.
 
-use super::queries::{EndedQuery, OpenPart};
+use super::query_table::{EndedQuery, OpenPart};
 use super::usage::QueryOutcome;
 use super::{Engine, MILLISECOND};
 use crate::api::{Event, Nanos, RequestId};
--- a/crates/core/src/engine/timers.rs
+++ b/crates/core/src/engine/timers.rs
@@ -1,9 +1,8 @@
 //! The engine's timers.
 
-use super::ids::ConnectionId;
-use super::leaf_connection::{AttemptId, HealthCheckId};
+use super::ids::{AttemptId, ConnectionId, HealthCheckId};
 use super::Engine;
-use crate::api::{AttemptOutcome, Event, Nanos, RequestId};
+use crate::api::{AttemptOutcome, Event, LoadReport, Nanos, RequestId};
 use std::collections::BTreeSet;
 
 /// What happens when a timer is due. Timers that are due at the same time run in the order of the
@@ -79,7 +78,7 @@
             Timer::ConnectTimeout(connection) => self.on_connect_timeout(now, connection),
             Timer::IdleTimeout(connection) => self.on_idle_timeout(now, connection),
             Timer::HealthCheckTimeout(check) => {
-                self.on_health_check_ended(now, check, AttemptOutcome::TimedOut, "")
+                self.on_health_check_ended(now, check, AttemptOutcome::TimedOut, LoadReport::new())
             }
             Timer::ReplyDeadline(query) => self.on_reply_deadline(now, query),
             Timer::UsageWatermark => self.record_watermark(now),
--- a/crates/core/tests/connection.rs
+++ b/crates/core/tests/connection.rs
@@ -4,9 +4,10 @@
 mod support;
 
 use aggregator_core::engine::leaf_connection::{
-    AttemptId, CallEntry, LeafConnection, LostAttempt, OutgoingFrame, ResponseMatch, WireId,
+    CallEntry, CallPlacement, ConnectionEnd, LeafConnection, LostAttempt, OutgoingFrame,
+    ResponseMatch,
 };
-use aggregator_core::engine::ConnectionId;
+use aggregator_core::engine::{AttemptId, ConnectionId, WireId};
 use aggregator_core::protocol::leaf::{LeafRequest, PartStatus};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -111,7 +112,7 @@
         match step {
             Step::QueueAttempt => {
                 let attempt = AttemptId { part: n, number: 0 };
-                connection.queue_attempt(call_entry(attempt), false, 1);
+                connection.queue_attempt(call_entry(attempt), CallPlacement::NewCall);
                 model.attempts.insert(attempt, AttemptState::Queued);
                 model.frames.push_back(call(attempt));
             }
@@ -231,7 +232,12 @@
 
     /// Ends the connection and compares what was lost.
     fn end(self, closed_by_us: bool) -> Result<(), TestCaseError> {
-        let mut lost = self.connection.end(closed_by_us).attempts;
+        let end = if closed_by_us {
+            ConnectionEnd::ClosedByUs
+        } else {
+            ConnectionEnd::ReportedBySocket
+        };
+        let mut lost = self.connection.end(end).attempts;
         lost.sort();
         // Where we close, the socket's report of a frame that it took may still be on its way.
         let may_have_run = |state| {
