--- a/crates/aggregator/src/process/mod.rs
+++ b/crates/aggregator/src/process/mod.rs
@@ -17,7 +17,7 @@
 use crate::settings::{self, LogSettings, SettingsError, SCHEMA};
 use crate::usage_recorder::UsageLogRecorder;
 use aggregator_core::config::Config;
-use aggregator_core::engine::Engine;
+use aggregator_core::engine::{Engine, EngineOptions};
 use aggregator_core::net::{self, Clock, Extensions, UsageRecorder};
 use ini_config::Settings;
 use reload::Reloader;
@@ -81,14 +81,14 @@
         Some(usage_log) => Some(start_recorder(usage_log, &config, &clock)?),
         None => None,
     };
-    let mut engine = Engine::new(
-        clock.now(),
-        config.aggregator_settings,
-        config.policy_settings,
-        config.seed,
-        &config.initial_endpoints,
-        config.max_descriptors,
-    );
+    let options = EngineOptions {
+        settings: config.aggregator_settings,
+        policy_settings: config.policy_settings,
+        policy_seed: config.seed,
+        cached_endpoints: config.initial_endpoints,
+        max_descriptors: config.max_descriptors,
+    };
+    let mut engine = Engine::new(clock.now(), options);
     if let Some(usage_log) = &usage_log {
         engine.record_usage(usage_log.mark.as_nanos() as u64);
     }
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -25,6 +25,7 @@
 mod input;
 pub mod leaf_connection;
 mod load_reports;
+mod options;
 mod queries;
 mod query_table;
 mod replies;
@@ -37,8 +38,9 @@
 pub use effect::Effect;
 pub use ids::{AttemptId, ClientId, ConnectionId, HealthCheckId, WireId};
 pub use input::Input;
+pub use options::EngineOptions;
 
-use crate::api::{EndpointUpdateKind, Event, Nanos, PolicySettings};
+use crate::api::{EndpointUpdateKind, Event, Nanos};
 use crate::config::AggregatorSettings;
 use crate::protocol::discovery::EndpointUpdate;
 use crate::Policy;
@@ -95,16 +97,16 @@
 }
 
 impl Engine {
-    /// Starts an engine that may use as many file `descriptors`. `known` is the endpoint list as
-    /// it was last held, which may be stale.
-    pub fn new(
-        now: Nanos,
-        settings: AggregatorSettings,
-        policy_settings: PolicySettings,
-        seed: u64,
-        known: &EndpointUpdate,
-        descriptors: usize,
-    ) -> Engine {
+    /// Starts an engine. The effects of its start are returned by the first call of
+    /// [`Engine::apply`].
+    pub fn new(now: Nanos, options: EngineOptions) -> Engine {
+        let EngineOptions {
+            settings,
+            policy_settings,
+            policy_seed,
+            cached_endpoints,
+            max_descriptors,
+        } = options;
         let list_is_polled = policy_settings.endpoint_list_polled;
         let answer_timeout = if list_is_polled {
             POLLED_LIST_TIMEOUT
@@ -114,14 +116,14 @@
         let mut engine = Engine {
             endpoints: EndpointTable::new(settings.zones.clone()),
             settings,
-            policy: Policy::new(policy_settings, seed),
+            policy: Policy::new(policy_settings, policy_seed),
             events: Vec::new(),
             effects: Vec::new(),
             ids: IdAllocator::default(),
             timers: TimerQueue::default(),
             watch: CurrentWatch::new(answer_timeout),
-            connections: ConnectionTable::new(descriptors * LEAF_CONNECTION_PERCENT / 100),
-            clients: ClientTable::new(descriptors * CLIENT_PERCENT / 100),
+            connections: ConnectionTable::new(max_descriptors * LEAF_CONNECTION_PERCENT / 100),
+            clients: ClientTable::new(max_descriptors * CLIENT_PERCENT / 100),
             queries: OpenQueryTable::default(),
             attempts: AttemptTable::default(),
             health_checks: HealthCheckTable::default(),
@@ -129,7 +131,7 @@
             counters: Counters::default(),
             usage_log: None,
         };
-        engine.load_cached_endpoints(known);
+        engine.load_cached_endpoints(&cached_endpoints);
         // Where the list has to be polled, the policy says when, in its first batch.
         if !list_is_polled {
             engine.start_watch();
@@ -138,8 +140,8 @@
         engine
     }
 
-    fn load_cached_endpoints(&mut self, known: &EndpointUpdate) {
-        let entries = self.endpoints.apply(known).entries;
+    fn load_cached_endpoints(&mut self, cached: &EndpointUpdate) {
+        let entries = self.endpoints.apply(cached).entries;
         self.events.push(Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Cached,
             entries,
--- a/crates/core/tests/support/engine_harness.rs
+++ b/crates/core/tests/support/engine_harness.rs
@@ -7,7 +7,7 @@
 
 use aggregator_core::config;
 use aggregator_core::engine::usage::{QueryUsage, UsageWatermark};
-use aggregator_core::engine::{ClientId, ConnectionId, Effect, Engine, Input};
+use aggregator_core::engine::{ClientId, ConnectionId, Effect, Engine, EngineOptions, Input};
 use aggregator_core::protocol::leaf::{CallPart, LeafRequest, LeafResponse, PartStatus};
 use aggregator_core::protocol::query::{ClientRequest, QueryReply};
 use bytes::Bytes;
@@ -89,18 +89,22 @@
 
     /// An engine whose policy has this seed.
     pub fn with_seed(settings: &str, replicas: u64, seed: u64) -> EngineHarness {
-        let site = config::parse_aggregator_settings(settings).unwrap();
-        let settings = config::parse_policy_settings(settings).unwrap();
         let ready = |replica| ListLine {
             replica,
             status: "up",
             started: 0,
         };
         let lines: Vec<_> = (1..=replicas).map(ready).collect();
-        let known = endpoint_update(1, true, &lines);
+        let options = EngineOptions {
+            settings: config::parse_aggregator_settings(settings).unwrap(),
+            policy_settings: config::parse_policy_settings(settings).unwrap(),
+            policy_seed: seed,
+            cached_endpoints: endpoint_update(1, true, &lines),
+            max_descriptors: DESCRIPTORS,
+        };
         let statuses = (1..=replicas).map(|replica| (address(replica), "up".to_string()));
         let mut harness = EngineHarness {
-            engine: Engine::new(START, site, settings, seed, &known, DESCRIPTORS),
+            engine: Engine::new(START, options),
             now: START,
             replies: BTreeMap::new(),
             disconnected: BTreeSet::new(),
--- a/crates/core/tests/support/socket_harness.rs
+++ b/crates/core/tests/support/socket_harness.rs
@@ -6,7 +6,7 @@
 pub mod leaf_server;
 
 use aggregator_core::config::{parse_aggregator_settings, parse_policy_settings, Addresses};
-use aggregator_core::engine::Engine;
+use aggregator_core::engine::{Engine, EngineOptions};
 use aggregator_core::net::{self, Clock, Extensions, OperatorSignal};
 use aggregator_core::protocol::discovery::EndpointUpdate;
 use aggregator_core::protocol::query::NameTables;
@@ -132,7 +132,7 @@
         let cached_list = self.cached_list.endpoint_update(leaf_address);
         let (signals, received_signals) = mpsc::channel(1);
         let served = tokio::task::spawn_local(net::serve(
-            self.engine(&clock, &cached_list),
+            self.engine(&clock, cached_list),
             clock,
             name_tables(self.settings),
             clients,
@@ -149,15 +149,15 @@
         }
     }
 
-    fn engine(&self, clock: &Clock, cached_list: &EndpointUpdate) -> Engine {
-        let mut engine = Engine::new(
-            clock.now(),
-            parse_aggregator_settings(self.settings).unwrap(),
-            parse_policy_settings(self.settings).unwrap(),
-            POLICY_SEED,
-            cached_list,
-            self.descriptors,
-        );
+    fn engine(&self, clock: &Clock, cached_endpoints: EndpointUpdate) -> Engine {
+        let options = EngineOptions {
+            settings: parse_aggregator_settings(self.settings).unwrap(),
+            policy_settings: parse_policy_settings(self.settings).unwrap(),
+            policy_seed: POLICY_SEED,
+            cached_endpoints,
+            max_descriptors: self.descriptors,
+        };
+        let mut engine = Engine::new(clock.now(), options);
         if self.extensions.recorder.is_some() {
             engine.record_usage(USAGE_WATERMARK_INTERVAL_NS);
         }
