--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -177,8 +177,8 @@
     }
 
     /// Ends the attempts that have waited for a connection past their timeout, or past their
-    /// latest start. Their timers may not have run yet: the socket may be free for them a moment
-    /// before the end of the batch.
+    /// latest start. Their timers may not have run yet: they run at the end of a batch, and the
+    /// socket may accept a frame before.
     pub(super) fn drop_expired_attempts(&mut self, now: Nanos, connection: ConnectionId) {
         for id in self.connections.unsent_attempts(connection) {
             let attempt = self.attempts.get(id);
--- a/crates/core/src/engine/clients.rs
+++ b/crates/core/src/engine/clients.rs
@@ -13,8 +13,7 @@
         self.counters.connections.clients += 1;
         self.clients.insert(client, now);
         if self.shutdown.is_drain_period_over() {
-            // It was accepted while the listener closed: without a request it would delay the
-            // exit.
+            // It was accepted while the listener closed. Without a request it would delay the exit.
             self.effects.push(Effect::DrainClient { client });
             return;
         }
--- a/crates/core/src/engine/connection_table.rs
+++ b/crates/core/src/engine/connection_table.rs
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Begins a period without anything to do on a connection.
+    /// Notes that a connection is idle from now on.
     pub(super) fn begin_idle_period(&mut self, id: ConnectionId, now: Nanos) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.idle_since = now;
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -9,8 +9,7 @@
 use crate::api::{AttemptOutcome, LoadReport, Nanos, ReplicaId};
 
 /// We close a connection once it has been idle for this share of the idle timeout, in tenths. The
-/// leaf server does so when the whole of it has passed, and whatever is written from then on is
-/// lost.
+/// leaf server closes it after the full timeout, and a frame that is written then is lost.
 const IDLE_TIMEOUT_TENTHS: Nanos = 9;
 
 impl Engine {
@@ -44,7 +43,7 @@
         }
     }
 
-    /// A connection has nothing left to do: keeps it while its replica may get more.
+    /// A connection has become idle: keeps it for the idle period if its replica is ready.
     pub(super) fn on_connection_idle(&mut self, now: Nanos, id: ConnectionId) {
         if !self.leads_to_ready_replica(id) {
             return self.close_connection(now, id);
--- a/crates/core/src/engine/counters.rs
+++ b/crates/core/src/engine/counters.rs
@@ -1,6 +1,7 @@
 //! What the aggregator has received, sent and answered since its start.
 //!
-//! The counters are published as JSON; the names of the fields are its keys.
+//! The counters are published as JSON (`GET /-/stats`). The names of the fields are its keys, so
+//! they must not change.
 
 use crate::api::AttemptOutcome;
 use serde::Serialize;
@@ -21,14 +22,14 @@
     pub connections: Connections,
     /// Updates of the endpoint list.
     pub endpoint_updates: u64,
-    /// Usage records handed on; 0 where none are kept.
+    /// Usage records that were passed to the usage log; 0 while no usage is recorded.
     pub recorded: u64,
     /// Of the records, those of each tenant and class that the settings name: `TENANT CLASS`.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub recorded_of: BTreeMap<String, u64>,
     /// Reloads of the configuration.
     pub reloads: Reloads,
-    /// What must never happen; each is logged with its cause.
+    /// Events that must never happen; each is logged with its cause.
     pub faults: Faults,
 }
 
@@ -132,9 +133,9 @@
     pub lost: u64,
     /// Connections to leaf servers that became unresponsive.
     pub silent: u64,
-    /// Connections to leaf servers that were closed since something malformed came in on them.
+    /// Connections to leaf servers that were closed because of a malformed response.
     pub malformed: u64,
-    /// Connections to leaf servers that were closed since they were idle.
+    /// Connections to leaf servers that were closed because they were idle.
     pub idle_closed: u64,
 }
 
@@ -147,7 +148,7 @@
     pub failed: u64,
 }
 
-/// What must never happen.
+/// Events that must never happen.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Faults {
     /// Queries that were open at their reply deadline and failed then.
--- a/crates/core/src/engine/effect.rs
+++ b/crates/core/src/engine/effect.rs
@@ -1,4 +1,4 @@
-//! What the engine requests.
+//! The effects that the engine requests.
 
 use super::counters::Counters;
 use super::ids::{ClientId, ConnectionId};
@@ -8,7 +8,7 @@
 use crate::protocol::query::QueryReply;
 use std::net::SocketAddr;
 
-/// One request of the engine. Effects are carried out in their order.
+/// An action outside the engine. Effects are carried out in their order.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Send a client the reply to its request.
@@ -20,12 +20,12 @@
         /// Close the connection after the reply.
         close: bool,
     },
-    /// Close a client's connection unless a request has come in on it.
+    /// Close a client's connection unless it has sent a request in the meantime.
     CloseClient {
         /// The client.
         client: ClientId,
     },
-    /// Close a client's connection once no request is on its way: the process ends.
+    /// Close a client's connection during a shutdown, once no request can be on its way on it.
     DrainClient {
         /// The client.
         client: ClientId,
@@ -51,7 +51,7 @@
     },
     /// Send a message to one other aggregator, or to all.
     SendGossip {
-        /// The receiver, by number; all where there is none.
+        /// The receiver, by number; none for all others.
         to: Option<u32>,
         /// The message.
         bytes: Vec<u8>,
@@ -60,27 +60,27 @@
     StartWatch {
         /// The number of the watch.
         watch: u64,
-        /// The version of the list from which on changes are wanted.
+        /// The version of the list that is known: later changes are requested.
         from: u64,
-        /// The first answer has to come within this time.
+        /// How long the watch may take to answer.
         answer_within: Nanos,
     },
-    /// A shutdown has begun: let frontends of other protocols close each connection after its
-    /// response.
+    /// The drain period of a shutdown has begun: let frontends of other protocols close each
+    /// connection after its response.
     StartDraining,
-    /// Accept no more clients.
+    /// The drain period of a shutdown is over: accept no more clients.
     StopListening,
     /// Record a query that has ended. This precedes its reply, which waits for the record.
     RecordUsage(QueryUsage),
-    /// Record up to when the usage log is complete.
+    /// Record up to when the usage records are complete.
     RecordWatermark(UsageWatermark),
-    /// Let no reply wait for its usage record any more.
+    /// The answer deadline of a shutdown has passed: replies wait for no usage record any more.
     ReleaseReplies,
-    /// The process exits: everything that was read has been answered.
+    /// Exit the process: every request that was read has been answered.
     Exit {
         /// What was counted since the start.
         counters: Box<Counters>,
-        /// By when the process ends, whether or not all connections have ended.
+        /// The exit deadline: the process ends by then, whether or not all connections have ended.
         deadline: Nanos,
     },
 }
--- a/crates/core/src/engine/endpoint_table.rs
+++ b/crates/core/src/engine/endpoint_table.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The zone of a replica whose zone the settings do not name: it is no aggregator's own.
+/// The zone of a replica whose zone the settings do not name. No aggregator is in it.
 const UNKNOWN_ZONE: u16 = u16::MAX;
 
 /// One replica of a leaf server, as it is listed.
@@ -29,8 +29,8 @@
     pub(super) stopped: Vec<ConnectionId>,
 }
 
-/// The replicas that are listed, and those gone that still have connections. Each name keeps its
-/// number while it is known, and no number is given twice.
+/// The replicas that are listed, and those gone that still have connections. Each name has the same
+/// number for as long as it is known, and no number is used twice.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     numbers: BTreeMap<String, ReplicaId>,
@@ -170,7 +170,7 @@
             Status::Draining => ReplicaState::Draining,
             Status::Removed => ReplicaState::Gone,
         };
-        // A replica that is gone may be listed without an address; one that is new may not.
+        // The line of a replica that is known may lack a valid address, as after its removal.
         let address = endpoint.address.parse().ok();
         let Some(address) = address.or_else(|| self.known_address(&endpoint.name)) else {
             tracing::warn!(
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -60,8 +60,9 @@
         }
     }
 
-    /// The endpoint list, connections and queries are kept; only the source of the list may have
-    /// changed. The watch is restarted even if it has not: that may be what the reload is for.
+    /// Starts a new watch, since the address of discovery may have changed. It is started even if
+    /// the address is the same: an operator may reload in order to restart the watch. The endpoint
+    /// list, connections and queries stay.
     pub(super) fn on_configuration_reloaded(&mut self, usable: bool) {
         if !usable {
             self.counters.reloads.failed += 1;
@@ -71,7 +72,7 @@
         self.start_watch();
     }
 
-    /// Watches the list from the present version on, in place of any other watch.
+    /// Watches the list from the current version on, in place of any other watch.
     pub(super) fn start_watch(&mut self) {
         self.watch.number += 1;
         self.effects.push(Effect::StartWatch {
--- a/crates/core/src/engine/frames.rs
+++ b/crates/core/src/engine/frames.rs
@@ -42,7 +42,7 @@
     fn write_frame(&mut self, now: Nanos, connection: ConnectionId, frame: OutgoingFrame) {
         match self.encode_frame(now, frame) {
             Some(frame) => self.effects.push(Effect::WriteFrame { connection, frame }),
-            // Nothing of it is left: proceed as if it were written.
+            // All its attempts have ended: continue as if it were written.
             None => self.connections.on_frame_written(connection),
         }
     }
--- a/crates/core/src/engine/input.rs
+++ b/crates/core/src/engine/input.rs
@@ -1,4 +1,4 @@
-//! What the engine is told.
+//! The inputs of the engine.
 
 use super::ids::{ClientId, ConnectionId};
 use crate::api::Nanos;
@@ -7,23 +7,23 @@
 use crate::protocol::leaf::LeafResponse;
 use crate::protocol::query::ClientRequest;
 
-/// One thing that happened outside the engine.
+/// An event outside the engine.
 #[derive(Debug)]
 pub enum Input {
     /// A frontend has started, which may hand over requests from now on.
     FrontendStarted,
-    /// A frontend accepts no more clients, and has handed over all that it has accepted.
+    /// A frontend accepts no more clients, and has handed over all requests of those it accepted.
     FrontendStopped,
     /// A client has connected.
     ClientConnected {
         /// The client.
         client: ClientId,
     },
-    /// A client's request has come in, or what came in is no valid request.
+    /// A client has sent a request, valid or not.
     RequestReceived {
         /// The client.
         client: ClientId,
-        /// When the last byte of the request came in.
+        /// When the last byte of the request was received.
         arrived: Nanos,
         /// The request, or why it is invalid.
         request: Result<ClientRequest, RequestError>,
@@ -38,7 +38,7 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// The socket has taken the last byte of the frame that it was given.
+    /// The socket of a connection has taken the last byte of the frame that it was given.
     FrameWritten {
         /// The connection.
         connection: ConnectionId,
@@ -62,7 +62,7 @@
         /// The watch, as numbered by [`super::Effect::StartWatch`].
         watch: u64,
     },
-    /// A message of another aggregator has come in.
+    /// Another aggregator has sent a message.
     GossipReceived {
         /// The sender, by number.
         from: u32,
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -1,12 +1,16 @@
 //! The engine: one reducer that owns the whole state of an aggregator.
 //!
 //! Data flows from the sockets as [`Input`]s into [`Engine::apply`], which returns [`Effect`]s for
-//! the sockets. The engine touches neither a socket nor a clock, so it is deterministic: the same
-//! inputs at the same times yield the same effects. What happened becomes events; at the end of
-//! each batch of inputs the [`Policy`] decides on them, and its actions are executed.
+//! the sockets. The engine has neither a socket nor a clock, so it is deterministic: the same
+//! inputs at the same times yield the same effects. Inputs become events; at the end of each batch
+//! of inputs the [`Policy`] decides on them, and its actions are executed (`actions.rs`).
 //!
-//! Each table in the submodules owns one part of the state, and the handlers of that part's inputs
-//! are next to it. `Engine` only joins them.
+//! The state is in tables, one for each kind of thing, which keep their fields private:
+//! `client_table`, `connection_table` (with a [`leaf_connection`] for each connection),
+//! `endpoint_table`, `query_table`, `attempt_table` and `watermark_tracker`; the small ones of
+//! `health_checks`, `timers` and `shutdown` are in the same file as their handlers. The handlers
+//! are methods of [`Engine`]: `clients`, `connections`, `endpoints`, `frames`, `queries`,
+//! `replies`, `attempts` and `usage_log`.
 
 mod actions;
 mod attempt_table;
@@ -60,13 +64,13 @@
 /// In nanoseconds.
 const MILLISECOND: Nanos = 1_000_000;
 
-/// Shares of the file descriptors, in percent, for connections to leaf servers and to clients.
-/// Well-behaved ones use a third at most; either kind leaves the other its share.
+/// The shares of the file descriptors, in percent, for connections to leaf servers and to clients.
+/// Neither kind can use up the share of the other. In normal operation each needs a third at most.
 const LEAF_CONNECTION_PERCENT: usize = 40;
 const CLIENT_PERCENT: usize = 45;
 
-/// How long a watch may take to answer where the list is pushed: the local agent answers at once,
-/// and has more to tell as soon as discovery is back.
+/// How long a watch may take to answer where the list is pushed. The local agent answers at once; a
+/// watch without an answer is soon restarted, to get the list once discovery is available again.
 const PUSHED_LIST_TIMEOUT: Nanos = 1_000 * MILLISECOND;
 
 /// How long a watch may take to answer where the list is polled: a single service answers all
@@ -77,9 +81,9 @@
 pub struct Engine {
     settings: AggregatorSettings,
     policy: Policy,
-    /// What the policy has yet to be told.
+    /// Events of this batch, on which the policy has not decided yet.
     events: Vec<Event>,
-    /// What the caller of `apply` has yet to carry out.
+    /// Effects that `apply` has not returned yet.
     effects: Vec<Effect>,
     ids: IdAllocator,
     timers: TimerQueue,
@@ -92,7 +96,7 @@
     health_checks: HealthCheckTable,
     shutdown: ShutdownState,
     counters: Counters,
-    /// None where no usage is recorded.
+    /// None while no usage is recorded.
     usage_log: Option<WatermarkTracker>,
 }
 
@@ -132,7 +136,7 @@
             usage_log: None,
         };
         engine.load_cached_endpoints(&cached_endpoints);
-        // Where the list has to be polled, the policy says when, in its first batch.
+        // Where the list is polled, the policy starts the first watch, at a random time.
         if !list_is_polled {
             engine.start_watch();
         }
@@ -148,7 +152,7 @@
         });
     }
 
-    /// The version of the endpoint list that is held: a watch continues from there.
+    /// The version of the current endpoint list, from which a watch continues.
     pub fn endpoints_version(&self) -> u64 {
         self.endpoints.version()
     }
@@ -158,7 +162,7 @@
         self.clients.capacity()
     }
 
-    /// When a batch has to end next, even if nothing comes in until then.
+    /// When a batch has to end next, even if there is no input until then. 0 stands for at once.
     pub fn next_due(&self) -> Option<Nanos> {
         if !self.events.is_empty() {
             return Some(0);
@@ -166,8 +170,8 @@
         self.timers.next_due()
     }
 
-    /// The number of things of every kind that are held in memory. It is bounded while the load
-    /// is, however many names come and go.
+    /// The number of entries in all tables. While the load is bounded it is too, however many
+    /// replicas, clients and queries with new names there were.
     pub fn retained_entries(&self) -> usize {
         self.queries.entries()
             + self.attempts.len()
@@ -184,7 +188,7 @@
         &self.counters
     }
 
-    /// Applies one input at `now` and returns what is to be done about it, in order.
+    /// Applies one input at `now` and returns the effects, in the order to carry them out.
     ///
     /// Frames are only written at [`Input::BatchEnded`], so that a disconnected client, a draining
     /// replica or a shutdown takes precedence over a connection that was opened in the same batch.
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -9,7 +9,7 @@
 use crate::protocol::http::RequestError;
 use crate::protocol::query::{QueryPart, QueryReply, QueryRequest};
 
-/// Taken off the time that a client waits: the network both ways, and a delay on our side.
+/// Subtracted from the client timeout: the network both ways, and a delay on our side.
 const CLIENT_TIMEOUT_MARGIN: Nanos = 8 * MILLISECOND;
 
 /// A query that has arrived and is not admitted yet.
@@ -145,7 +145,7 @@
         id
     }
 
-    /// Has every open query end by `latest`.
+    /// Shortens the deadline of every open query to `latest` at most.
     pub(super) fn shorten_deadlines(&mut self, latest: Nanos) {
         for (id, former_deadline) in self.queries.shorten_deadlines(latest) {
             let timer = Timer::ReplyDeadline(id);
--- a/crates/core/src/engine/replies.rs
+++ b/crates/core/src/engine/replies.rs
@@ -6,7 +6,7 @@
 use crate::api::{Event, Nanos, RequestId};
 use crate::protocol::query::{QueryHit, QueryReply};
 
-/// How far below a threshold a coverage may be by rounding, as a share of the weight.
+/// How far below a threshold a coverage may be because of rounding, as a share of the weight.
 const COVERAGE_TOLERANCE: f64 = 1e-4;
 
 impl Engine {
@@ -30,8 +30,8 @@
         });
     }
 
-    /// Fails a query that the policy has not ended in time. It should have: every query that was
-    /// admitted is to be answered before its client gives up.
+    /// Fails a query that the policy has not ended in time, which is a fault: the policy must end
+    /// each admitted query before its client times out.
     pub(super) fn on_reply_deadline(&mut self, now: Nanos, id: RequestId) {
         self.counters.faults.reply_deadline += 1;
         let name = self.queries.get(id).map(|query| &*query.name);
@@ -65,8 +65,8 @@
         self.send_reply(now, ended.query.client, reply);
     }
 
-    /// The answer from the results that are in. It claims nothing that its parts do not support,
-    /// whatever the policy requests: a single answer that overstates its coverage is very costly.
+    /// The answer from the results so far. If they cover less than the policy's decision requires,
+    /// the query fails instead: a single answer that overstates its coverage is very costly.
     fn compose_answer(&mut self, ended: &EndedQuery, complete: bool) -> QueryReply {
         let class = usize::from(ended.query.class);
         let is_complete = covers(ended, &self.settings.completeness_thresholds, class);
@@ -88,7 +88,8 @@
     }
 }
 
-/// Whether the results that are in reach the class's threshold. A class without one needs all.
+/// Whether the results so far reach the threshold of the class. A class without a threshold needs
+/// all parts.
 fn covers(ended: &EndedQuery, thresholds: &[f64], class: usize) -> bool {
     let threshold = thresholds.get(class).copied().unwrap_or(1.0);
     let needed = threshold * ended.total_weight().min(1.0);
--- a/crates/core/src/engine/shutdown.rs
+++ b/crates/core/src/engine/shutdown.rs
@@ -1,34 +1,39 @@
-//! Graceful shutdown.
+//! Graceful shutdown: its phases, and when each ends.
 //!
-//! During the drain period everything goes on, since clients learn of the shutdown with a delay;
-//! each reply asks its client to close the connection. Then listening stops and idle clients are
-//! closed; open queries go on, but all have ended by the answer deadline. What still arrives after
-//! it is rejected at once.
+//! 1. **Drain period** ([`Effect::StartDraining`]): from the request on, everything goes on, since
+//!    it takes a while until clients know of the shutdown. Each reply states that its connection
+//!    closes.
+//! 2. **End of the drain period** ([`Effect::StopListening`]): no more clients are accepted, and
+//!    idle ones are closed ([`Effect::DrainClient`]). Open queries go on, and so do requests on
+//!    connections that have not closed yet.
+//! 3. **Answer deadline** ([`Effect::ReleaseReplies`]): every query has ended, since none has a
+//!    later deadline. What still arrives is rejected at once, and no reply waits for the usage log.
+//! 4. **Exit** ([`Effect::Exit`]): once no query is open, every frontend has reported that it has
+//!    stopped and every client's connection that it has ended; at the latest at the **exit
+//!    deadline**, without these reports. That no query is open is not enough: a request may be on
+//!    its way from a connection that is still read.
 //!
-//! The ends of the phases follow from the moment at which the platform may kill the process, which
-//! depends on the longest deadline in the settings. No phase has a length of its own that could
-//! reach past that moment.
+//! The platform may kill the process some time after the request, which depends on the longest
+//! client deadline in the settings (`Schedule`). The answer deadline and the exit deadline are
+//! fixed times before the earliest kill, so no phase can last until the kill.
 //!
-//! The process exits once nothing is left that could need an answer: every frontend has reported
-//! that it has stopped, every client's connection that it has ended, and no query is open. Until
-//! then the engine goes on, however long it has known of no open query: a request may be on its
-//! way from a connection that is still read. Only at the exit deadline it exits without these
-//! reports.
+//! What the sockets do in each phase is described in [`crate::net`].
 
 use super::effect::Effect;
 use super::timers::Timer;
 use super::{Engine, MILLISECOND};
 use crate::api::{Event, Nanos};
 
-/// How long all goes on after a shutdown was requested: new connections keep coming for 0.4 s.
+/// The length of the drain period. Clients open new connections for 0.4 s after the request.
 const DRAIN_PERIOD: Nanos = 500 * MILLISECOND;
 
-/// The earliest kill comes this long after the longest deadline.
+/// The earliest kill comes this long after the longest client deadline has passed.
 const KILL_GRACE: Nanos = 700 * MILLISECOND;
-/// A longer deadline does not delay the kill any further.
+
+/// The longest client deadline that delays the kill; a longer one counts as this.
 const MAX_COUNTED_DEADLINE: Nanos = 3_000 * MILLISECOND;
 
-/// How long before the earliest kill every query is answered. A process may be held up for 150 ms
+/// How long before the earliest kill every query is answered. A process may be suspended for 150 ms
 /// between reading its clock and writing.
 const ANSWER_MARGIN: Nanos = 200 * MILLISECOND;
 
@@ -38,7 +43,7 @@
 /// When the phases of a shutdown end.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
-    drain_period_ends: Nanos,
+    drain_period_end: Nanos,
     answer_deadline: Nanos,
     exit_deadline: Nanos,
 }
@@ -48,7 +53,7 @@
         let counted_deadline = longest_client_deadline.min(MAX_COUNTED_DEADLINE);
         let earliest_kill = requested_at + counted_deadline + KILL_GRACE;
         Schedule {
-            drain_period_ends: requested_at + DRAIN_PERIOD,
+            drain_period_end: requested_at + DRAIN_PERIOD,
             answer_deadline: earliest_kill - ANSWER_MARGIN,
             exit_deadline: earliest_kill - EXIT_MARGIN,
         }
@@ -60,10 +65,10 @@
 pub(super) struct ShutdownState {
     /// None while no shutdown was requested.
     schedule: Option<Schedule>,
-    drain_period_ended: bool,
+    is_drain_period_over: bool,
     /// Frontends that may still hand over a request.
     running_frontends: usize,
-    exited: bool,
+    has_exited: bool,
 }
 
 impl ShutdownState {
@@ -78,12 +83,19 @@
 
     /// No more clients are accepted, and idle ones are closed.
     pub(super) fn is_drain_period_over(&self) -> bool {
-        self.drain_period_ended
+        self.is_drain_period_over
     }
 
     /// The engine has requested the exit of the process.
     pub(super) fn has_exited(&self) -> bool {
-        self.exited
+        self.has_exited
+    }
+
+    /// The exit deadline if a shutdown was requested and the exit was not: notes the exit.
+    fn begin_exit(&mut self) -> Option<Nanos> {
+        let schedule = self.schedule.filter(|_| !self.has_exited)?;
+        self.has_exited = true;
+        Some(schedule.exit_deadline)
     }
 }
 
@@ -94,7 +106,7 @@
         }
         let schedule = Schedule::new(now, self.longest_client_deadline());
         self.timers
-            .set(schedule.drain_period_ends, Timer::DrainPeriodEnded);
+            .set(schedule.drain_period_end, Timer::DrainPeriodEnded);
         self.timers
             .set(schedule.answer_deadline, Timer::AnswerDeadline);
         self.timers.set(schedule.exit_deadline, Timer::ExitDeadline);
@@ -124,15 +136,15 @@
 
     pub(super) fn on_drain_period_ended(&mut self) {
         self.log_shutdown_state("drain period ended");
-        self.shutdown.drain_period_ended = true;
+        self.shutdown.is_drain_period_over = true;
         self.effects.push(Effect::StopListening);
         let idle_clients = self.clients.without_query();
         self.effects
             .extend(idle_clients.map(|client| Effect::DrainClient { client }));
     }
 
-    /// No query is open any more, as each had this as its deadline at the latest; replies to them
-    /// wait for nothing.
+    /// No query is open any more, since none had a later deadline. From now on no reply waits for
+    /// its usage record.
     pub(super) fn on_answer_deadline(&mut self) {
         self.log_shutdown_state("answer deadline");
         self.effects.push(Effect::ReleaseReplies);
@@ -140,7 +152,7 @@
 
     /// Exits although something has not ended: a client does not read, or does not close.
     pub(super) fn on_exit_deadline(&mut self) {
-        if !self.shutdown.exited {
+        if !self.shutdown.has_exited() {
             self.log_shutdown_state("exit deadline");
         }
         self.exit();
@@ -151,19 +163,18 @@
         let nothing_left = self.queries.is_empty()
             && self.clients.is_empty()
             && self.shutdown.running_frontends == 0;
-        if self.shutdown.drain_period_ended && nothing_left {
+        if self.shutdown.is_drain_period_over() && nothing_left {
             self.exit();
         }
     }
 
     fn exit(&mut self) {
-        let Some(schedule) = self.shutdown.schedule.filter(|_| !self.shutdown.exited) else {
+        let Some(deadline) = self.shutdown.begin_exit() else {
             return;
         };
-        self.shutdown.exited = true;
         self.effects.push(Effect::Exit {
             counters: Box::new(self.counters.clone()),
-            deadline: schedule.exit_deadline,
+            deadline,
         });
     }
 
--- a/crates/core/src/engine/timers.rs
+++ b/crates/core/src/engine/timers.rs
@@ -19,7 +19,7 @@
     IdleTimeout(ConnectionId),
     /// A health check times out.
     HealthCheckTimeout(HealthCheckId),
-    /// The last moment at which the reply to a query reaches its client in time.
+    /// A query's reply has to be sent now to reach its client in time.
     ReplyDeadline(RequestId),
     /// The next watermark of the usage log is due.
     UsageWatermark,
