--- a/crates/core/tests/reducer/connections.rs
+++ b/crates/core/tests/reducer/connections.rs
@@ -116,7 +116,7 @@
 
 /// The rest of the descriptors is for clients, the watch and the process itself.
 #[test]
-fn connections_to_leaf_servers_use_no_more_than_their_share_of_the_descriptors() {
+fn they_use_no_more_than_their_share_of_the_descriptors() {
     const MAX_CONNECTIONS: usize = 409;
     let settings = SETTINGS.replace("open_cap=60", "open_cap=9999");
     let mut harness = EngineHarness::with_settings(&settings, 500);
--- a/crates/core/tests/reducer/main.rs
+++ b/crates/core/tests/reducer/main.rs
@@ -1,14 +1,17 @@
-//! The engine with hand-made inputs: what it owes clients and leaf servers, one danger a test.
+//! The engine with hand-made inputs: its guarantees to clients and leaf servers, one behaviour a
+//! test.
 
 mod attempts;
 mod clients;
 mod connections;
 mod endpoints;
+mod malformed_responses;
 mod queries;
 mod shutdown;
 mod shutdown_deadlines;
 #[path = "../support/mod.rs"]
 mod support;
+mod unsent_attempts;
 
 use aggregator_core::engine::{ConnectionId, Effect, Input};
 use aggregator_core::protocol::leaf::LeafRequest;
--- a/crates/core/tests/reducer/queries.rs
+++ b/crates/core/tests/reducer/queries.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_query_that_no_replica_can_answer_is_rejected_at_once_with_retry_after() {
+fn without_replicas_a_query_is_rejected_at_once_with_retry_after() {
     let mut harness = EngineHarness::new(1);
     harness.list_replica(1, "removed", 0);
     let client = harness.send_query(1, &[1.0]);
--- a/crates/core/tests/reducer/shutdown.rs
+++ b/crates/core/tests/reducer/shutdown.rs
@@ -66,7 +66,7 @@
 
 /// What a leaf server computes after the kill is lost.
 #[test]
-fn a_query_that_arrives_in_the_drain_period_waits_no_longer_than_the_shutdown_takes() {
+fn a_query_of_the_drain_period_waits_no_longer_than_the_shutdown() {
     // The class's deadline of 6 s counts as 3 s, and 0.15 s are left for a process that is held up.
     const KILL_MS: u64 = 3700;
     const HELD_UP_MS: u64 = 150;
--- a/crates/core/tests/reducer/shutdown_deadlines.rs
+++ b/crates/core/tests/reducer/shutdown_deadlines.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_its_connection_is_answered_before_the_exit() {
+fn a_request_that_crosses_a_close_is_answered_before_the_exit() {
     for deadline_ms in DEADLINES_MS {
         let mut harness = harness_with_deadline(deadline_ms);
         harness.closes_are_pending = true;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_process_exits_before_a_kill_can_follow_though_a_client_never_closes() {
+fn the_exit_precedes_a_kill_though_a_client_never_closes() {
     for deadline_ms in DEADLINES_MS {
         let mut harness = harness_with_deadline(deadline_ms);
         harness.closes_are_pending = true;
--- /dev/null
+++ b/crates/core/tests/reducer/unsent_attempts.rs
@@ -0,0 +1,152 @@
+//! Attempts that wait for a connection or a free socket, and when they are not sent.
+
+use crate::support::engine_harness::{address, EngineHarness, MS, SETTINGS, START};
+use crate::{frames_of_batch, sent_parts, snapshot_of_one};
+use aggregator_core::engine::{ConnectionId, Effect, Input};
+use aggregator_core::protocol::leaf::{LeafRequest, PartStatus};
+use aggregator_core::protocol::query::QueryReply;
+
+#[test]
+fn are_dropped_when_their_replica_drains() {
+    let mut harness = EngineHarness::new(1);
+    harness.send_query(1, &[1.0]);
+    let connection = harness.first_connection();
+    harness.list_replica(1, "draining", 0);
+    harness.open_connection(connection);
+    harness.advance(3000);
+    assert!(
+        sent_parts(&harness).is_empty(),
+        "its first byte would break the rule"
+    );
+    assert_eq!(harness.engine.counters().attempts_ended.not_sent, 1);
+}
+
+#[test]
+fn are_not_sent_once_expired_in_the_queue() {
+    let mut harness = EngineHarness::new(1);
+    harness.writes_are_stuck = true;
+    harness.send_query(1, &[0.5, 0.5]);
+    harness.open_all_connections();
+    let connection = harness.first_connection();
+    harness.now = START + 2100 * MS;
+    let frames = frames_of_batch(&mut harness, vec![Input::FrameWritten { connection }]);
+    assert_eq!(frames, [], "its time was the latency objective of 2 s");
+    assert_eq!(harness.engine.counters().attempts_ended.not_sent, 1);
+}
+
+#[test]
+fn are_not_sent_to_the_former_address_of_their_replica() {
+    let mut harness = EngineHarness::new(2);
+    harness.send_query(1, &[0.5, 0.5]);
+    harness.set_status_of_address("127.0.0.9:7070", "up");
+    let former: Vec<ConnectionId> = harness.connections.keys().copied().collect();
+    harness.apply(snapshot_of_one(2, "127.0.0.9:7070"));
+    harness.set_status_of_address(&address(2), "removed");
+    harness.open_all_connections();
+    harness.advance(100);
+    let sent = sent_parts(&harness);
+    assert!(
+        sent.iter().all(|connection| !former.contains(connection)),
+        "{sent:?}"
+    );
+    assert!(
+        former
+            .iter()
+            .all(|connection| !harness.connections.contains_key(connection)),
+        "nothing is left to do on them"
+    );
+    harness.open_all_connections();
+    assert_eq!(sent_parts(&harness).len(), 2, "both at the new address");
+}
+
+/// When several inputs come at once, nothing may be written that any of them forbids.
+#[test]
+fn are_not_sent_after_a_disconnect_or_drain_in_the_batch_of_the_open() {
+    for (opened_first, cancelling) in [(true, true), (true, false), (false, true), (false, false)] {
+        let cancelling = format!("cancelling={cancelling}");
+        let settings = SETTINGS.replace("cancelling=true", &cancelling);
+        let mut harness = EngineHarness::with_settings(&settings, 1);
+        let client = harness.send_query(1, &[0.5, 0.5]);
+        let connection = harness.first_connection();
+        let mut inputs = vec![
+            Input::ClientDisconnected { client },
+            Input::ConnectionOpened { connection },
+        ];
+        if opened_first {
+            inputs.reverse();
+        }
+        assert_eq!(
+            frames_of_batch(&mut harness, inputs),
+            [],
+            "nobody waits for it any more, whether or not cancellation is allowed"
+        );
+        assert_eq!(harness.engine.counters().attempts_ended.cancelled, 2);
+    }
+    let mut harness = EngineHarness::new(2);
+    harness.send_query(1, &[1.0]);
+    let connection = harness.first_connection();
+    let used_address = &harness.connections[&connection].address;
+    let other = if *used_address == address(1) { 2 } else { 1 };
+    let inputs = vec![
+        Input::ConnectionOpened { connection },
+        snapshot_of_one(other, &address(other)),
+    ];
+    let frames: Vec<Effect> = frames_of_batch(&mut harness, inputs);
+    assert_eq!(frames, [], "a replica that the snapshot omits is gone");
+}
+
+/// Duplicates are dropped for a while after a part may first have been executed: a retry that is
+/// delayed by its connection would run again.
+#[test]
+fn retries_are_not_sent_after_their_idempotency_window() {
+    let keyed = "classes.1.semantics=idempotency_key\nclasses.1.dedup_window_ns=100000000";
+    let settings = SETTINGS.replace("classes.1.semantics=read_like", keyed);
+    for (opened_after_ms, sent) in [(60, 2), (150, 1)] {
+        let mut harness = EngineHarness::with_settings(&settings, 2);
+        let client = harness.send_query(1, &[1.0]);
+        let first = harness.first_connection();
+        harness.open_connection(first);
+        harness.advance(10);
+        harness.respond_to_oldest(first, PartStatus::Error);
+        harness.advance(20);
+        assert_eq!(
+            harness.connections.len(),
+            2,
+            "the retry waits for its connection"
+        );
+        harness.advance(opened_after_ms - 30);
+        harness.open_all_connections();
+        assert_eq!(
+            sent_parts(&harness).len(),
+            sent,
+            "opened after {opened_after_ms} ms"
+        );
+        harness.advance(200);
+        let reply = harness.last_reply(client);
+        let failed = matches!(reply, Some(QueryReply::Failed));
+        assert_eq!(failed, sent == 1, "{reply:?}");
+    }
+}
+
+#[test]
+fn are_not_sent_behind_a_stuck_frame_after_a_disconnect() {
+    let mut harness = EngineHarness::new(1);
+    harness.writes_are_stuck = true;
+    let client = harness.send_query(1, &[0.5, 0.5]);
+    harness.open_all_connections();
+    assert_eq!(harness.frames.len(), 1, "the other is in the queue");
+    let LeafRequest::Call(stuck) = harness.frames[0].frame.clone() else {
+        panic!("no call: {:?}", harness.frames);
+    };
+    harness.advance(300);
+    harness.disconnected.insert(client);
+    harness.apply(Input::ClientDisconnected { client });
+    let connection = harness.first_connection();
+    let inputs = vec![Input::FrameWritten { connection }];
+    let written = frames_of_batch(&mut harness, inputs);
+    let cancellation = Effect::WriteFrame {
+        connection,
+        frame: LeafRequest::Cancel(stuck[0].id.clone()),
+    };
+    assert_eq!(written, [cancellation]);
+}
--- a/crates/core/tests/stalled_usage_log.rs
+++ b/crates/core/tests/stalled_usage_log.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_reply_does_not_wait_for_a_stalled_log_until_the_process_may_be_killed() {
+fn a_reply_does_not_wait_for_a_stalled_log_until_the_kill() {
     let is_closed = Rc::<Cell<bool>>::default();
     let recorder = StalledRecorder {
         written: watch::channel(0).0,
