--- a/crates/core/src/engine/actions.rs
+++ b/crates/core/src/engine/actions.rs
@@ -48,7 +48,7 @@
                     part,
                     number: attempt,
                 };
-                self.end_attempt(now, attempt, AttemptOutcome::Cancelled);
+                self.cancel_attempt(now, attempt, AttemptOutcome::Cancelled);
             }
             Action::Answer { query, complete } => self.answer_query(now, query, complete),
             Action::Reject { query, retry_after } => self.reject_query(now, query, retry_after),
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -55,7 +55,7 @@
         if !within_limit || times_out_at <= now || !self.endpoints.is_ready(replica) {
             return Err(AttemptOutcome::NotSent);
         }
-        self.find_or_open_connection(now, replica, &begun.wire_id)
+        self.find_or_open_connection(now, replica, Some(&begun.wire_id))
             .ok_or(AttemptOutcome::Unreachable)
     }
 
@@ -155,9 +155,12 @@
         }));
     }
 
-    /// Ends an attempt from our side. One that was never sent and would time out ends as
-    /// [`AttemptOutcome::NotSent`]: it is known not to have been executed.
-    pub(super) fn end_attempt(&mut self, now: Nanos, id: AttemptId, outcome: AttemptOutcome) {
+    /// Ends an attempt from our side, as on its timeout: at its connection, in the table and in the
+    /// timers. The policy is informed by the event.
+    ///
+    /// An attempt that times out and was never sent ends as [`AttemptOutcome::NotSent`]: it is
+    /// known not to have been executed.
+    pub(super) fn cancel_attempt(&mut self, now: Nanos, id: AttemptId, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
         };
@@ -183,7 +186,7 @@
         for id in self.connections.unsent_attempts(connection) {
             let attempt = self.attempts.get(id);
             if attempt.is_some_and(|attempt| attempt.is_expired(now)) {
-                self.end_attempt(now, id, AttemptOutcome::TimedOut);
+                self.cancel_attempt(now, id, AttemptOutcome::TimedOut);
             }
         }
     }
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -76,13 +76,14 @@
         }
     }
 
-    /// A connection to a replica that has capacity for one more frame with this wire id: the
-    /// oldest first, so that few stay in use, and a new one where none has any.
+    /// A connection to a replica that has capacity for one more attempt with this wire id, or for
+    /// a health check, which has no wire id. The oldest one is preferred, so that few stay in use;
+    /// where none has capacity, a new one is opened.
     pub(super) fn find_or_open_connection(
         &mut self,
         now: Nanos,
         replica: ReplicaId,
-        wire_id: &str,
+        wire_id: Option<&str>,
     ) -> Option<ConnectionId> {
         let max_streams = self.settings.max_streams;
         let mut oldest_first = self.endpoints.connections_of(replica)?.iter().copied();
--- a/crates/core/src/engine/counters.rs
+++ b/crates/core/src/engine/counters.rs
@@ -9,17 +9,17 @@
 
 /// All counters of a process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Counters {
+pub struct EngineCounters {
     /// What clients have sent.
-    pub received: Received,
+    pub received: ReceivedCounters,
     /// What was sent to leaf servers and other aggregators.
-    pub sent: Sent,
+    pub sent: SentCounters,
     /// How attempts ended.
-    pub attempts_ended: AttemptsEnded,
+    pub attempts_ended: AttemptCounters,
     /// How queries ended.
-    pub queries_ended: QueriesEnded,
+    pub queries_ended: QueryCounters,
     /// Connections to clients and leaf servers.
-    pub connections: Connections,
+    pub connections: ConnectionCounters,
     /// Updates of the endpoint list.
     pub endpoint_updates: u64,
     /// Usage records that were passed to the usage log; 0 while no usage is recorded.
@@ -28,14 +28,14 @@
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub recorded_of: BTreeMap<String, u64>,
     /// Reloads of the configuration.
-    pub reloads: Reloads,
+    pub reloads: ReloadCounters,
     /// Events that must never happen; each is logged with its cause.
-    pub faults: Faults,
+    pub faults: FaultCounters,
 }
 
 /// What clients have sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Received {
+pub struct ReceivedCounters {
     /// Queries that were admitted.
     pub queries: u64,
     /// Parts of the queries that were admitted.
@@ -52,7 +52,7 @@
 
 /// What was sent to leaf servers and other aggregators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Sent {
+pub struct SentCounters {
     /// Calls, each with one or more parts.
     pub calls: u64,
     /// Attempts that the policy requested.
@@ -67,9 +67,9 @@
     pub gossip_messages: u64,
 }
 
-/// How attempts ended; see [`AttemptOutcome`].
+/// How attempts ended, by [`AttemptOutcome`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct AttemptsEnded {
+pub struct AttemptCounters {
     /// With a result.
     pub success: u64,
     /// With an error, or with a malformed response.
@@ -88,7 +88,7 @@
     pub not_sent: u64,
 }
 
-impl AttemptsEnded {
+impl AttemptCounters {
     /// Counts one attempt.
     pub(super) fn count(&mut self, outcome: AttemptOutcome) {
         let counter = match outcome {
@@ -107,7 +107,7 @@
 
 /// How the queries that were admitted ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct QueriesEnded {
+pub struct QueryCounters {
     /// With a complete answer.
     pub complete: u64,
     /// With a partial answer.
@@ -122,7 +122,7 @@
 
 /// Connections to clients and leaf servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Connections {
+pub struct ConnectionCounters {
     /// Clients that connected.
     pub clients: u64,
     /// Connections to leaf servers that were begun.
@@ -141,7 +141,7 @@
 
 /// Reloads of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Reloads {
+pub struct ReloadCounters {
     /// Those that were applied.
     pub applied: u64,
     /// Those whose configuration could not be used.
@@ -150,7 +150,7 @@
 
 /// Events that must never happen.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Faults {
+pub struct FaultCounters {
     /// Queries that were open at their reply deadline and failed then.
     pub reply_deadline: u64,
     /// Answers that claimed more than their parts support.
--- a/crates/core/src/engine/effect.rs
+++ b/crates/core/src/engine/effect.rs
@@ -1,6 +1,6 @@
 //! The effects that the engine requests.
 
-use super::counters::Counters;
+use super::counters::EngineCounters;
 use super::ids::{ClientId, ConnectionId};
 use super::usage::{QueryUsage, UsageWatermark};
 use crate::api::Nanos;
@@ -79,7 +79,7 @@
     /// Exit the process: every request that was read has been answered.
     Exit {
         /// What was counted since the start.
-        counters: Box<Counters>,
+        counters: Box<EngineCounters>,
         /// The exit deadline: the process ends by then, whether or not all connections have ended.
         deadline: Nanos,
     },
--- a/crates/core/src/engine/endpoint_table.rs
+++ b/crates/core/src/engine/endpoint_table.rs
@@ -30,12 +30,12 @@
 }
 
 /// The replicas that are listed, and those gone that still have connections. Each name has the same
-/// number for as long as it is known, and no number is used twice.
+/// id for as long as it is known, and no id is used twice.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
-    numbers: BTreeMap<String, ReplicaId>,
+    ids_by_name: BTreeMap<String, ReplicaId>,
     replicas: BTreeMap<ReplicaId, ReplicaEndpoint>,
-    last_number: u64,
+    last_id: u64,
     /// The zones that the settings name, by number.
     zones: Vec<String>,
     version: u64,
@@ -145,7 +145,7 @@
             replica.state != ReplicaState::Gone || !replica.connections.is_empty()
         });
         let replicas = &self.replicas;
-        self.numbers.retain(|_, id| replicas.contains_key(id));
+        self.ids_by_name.retain(|_, id| replicas.contains_key(id));
     }
 
     /// A snapshot omits the replicas that are gone.
@@ -180,7 +180,7 @@
             );
             return None;
         };
-        let id = self.number_of(&endpoint.name);
+        let id = self.id_of(&endpoint.name);
         let zone = self.zone_number(&endpoint.zone);
         let replica = self.replicas.entry(id).or_insert(ReplicaEndpoint {
             address,
@@ -205,17 +205,17 @@
     }
 
     fn known_address(&self, name: &str) -> Option<SocketAddr> {
-        let id = self.numbers.get(name)?;
+        let id = self.ids_by_name.get(name)?;
         self.replicas.get(id).map(|replica| replica.address)
     }
 
-    fn number_of(&mut self, name: &str) -> ReplicaId {
-        if let Some(id) = self.numbers.get(name) {
+    fn id_of(&mut self, name: &str) -> ReplicaId {
+        if let Some(id) = self.ids_by_name.get(name) {
             return *id;
         }
-        self.last_number += 1;
-        let id = ReplicaId(self.last_number);
-        self.numbers.insert(name.to_string(), id);
+        self.last_id += 1;
+        let id = ReplicaId(self.last_id);
+        self.ids_by_name.insert(name.to_string(), id);
         id
     }
 
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -44,7 +44,7 @@
         // counts as sent with its first byte.
         for connection in stopped {
             for attempt in self.connections.unsent_attempts(connection) {
-                self.end_attempt(now, attempt, AttemptOutcome::NotSent);
+                self.cancel_attempt(now, attempt, AttemptOutcome::NotSent);
             }
             self.connections.mark_pending(connection);
         }
--- a/crates/core/src/engine/health_checks.rs
+++ b/crates/core/src/engine/health_checks.rs
@@ -39,21 +39,23 @@
 
 impl Engine {
     pub(super) fn start_health_check(&mut self, now: Nanos, replica: ReplicaId) {
-        let Some(connection_id) = self.connection_for_health_check(now, replica) else {
-            return self.events.push(Event::HealthCheckEnded(HealthCheckEnded {
+        let Some(connection) = self.connection_for_health_check(now, replica) else {
+            let not_sent = HealthCheckEnded {
                 replica,
                 outcome: AttemptOutcome::NotSent,
                 latency: 0,
                 report: LoadReport::new(),
-            }));
+            };
+            self.events.push(Event::HealthCheckEnded(not_sent));
+            return;
         };
         let id = self.ids.allocate();
-        self.connections.queue_health_check(connection_id, id);
+        self.connections.queue_health_check(connection, id);
         let times_out_at = now + self.settings.connect_timeout;
         self.timers.set(times_out_at, Timer::HealthCheckTimeout(id));
         let check = HealthCheck {
             replica,
-            connection: connection_id,
+            connection,
             started_at: now,
         };
         self.health_checks.insert(id, check);
@@ -68,8 +70,7 @@
         if state == ReplicaState::Gone || !self.settings.health_checks_allowed {
             return None;
         }
-        // Health checks carry no wire id.
-        self.find_or_open_connection(now, replica, "")
+        self.find_or_open_connection(now, replica, None)
     }
 
     pub(super) fn on_health_check_result(
--- a/crates/core/src/engine/leaf_connection/mod.rs
+++ b/crates/core/src/engine/leaf_connection/mod.rs
@@ -87,12 +87,13 @@
         self.phase
     }
 
-    /// Whether one more attempt with this wire id may be sent on it. Two attempts with one wire id
-    /// can't be distinguished, and nothing new is sent while the connection is unresponsive.
-    pub fn has_capacity(&self, max_streams: usize, wire_id: &str) -> bool {
+    /// Whether one more attempt with this wire id, or a health check without one, may be sent on
+    /// it. Two attempts with one wire id can't be distinguished, and nothing new is sent while the
+    /// connection is unresponsive.
+    pub fn has_capacity(&self, max_streams: usize, wire_id: Option<&str>) -> bool {
         !self.is_unresponsive
             && self.streams_in_use() < max_streams
-            && !self.in_flight.contains(wire_id)
+            && !wire_id.is_some_and(|wire_id| self.in_flight.contains(wire_id))
     }
 
     fn streams_in_use(&self) -> usize {
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -51,7 +51,7 @@
 use attempt_table::AttemptTable;
 use client_table::ClientTable;
 use connection_table::ConnectionTable;
-use counters::Counters;
+use counters::EngineCounters;
 use endpoint_table::EndpointTable;
 use endpoints::CurrentWatch;
 use health_checks::HealthCheckTable;
@@ -95,9 +95,9 @@
     attempts: AttemptTable,
     health_checks: HealthCheckTable,
     shutdown: ShutdownState,
-    counters: Counters,
+    counters: EngineCounters,
     /// None while no usage is recorded.
-    usage_log: Option<WatermarkTracker>,
+    watermarks: Option<WatermarkTracker>,
 }
 
 impl Engine {
@@ -132,8 +132,8 @@
             attempts: AttemptTable::default(),
             health_checks: HealthCheckTable::default(),
             shutdown: ShutdownState::default(),
-            counters: Counters::default(),
-            usage_log: None,
+            counters: EngineCounters::default(),
+            watermarks: None,
         };
         engine.load_cached_endpoints(&cached_endpoints);
         // Where the list is polled, the policy starts the first watch, at a random time.
@@ -184,7 +184,7 @@
     }
 
     /// What was counted since the start.
-    pub fn counters(&self) -> &Counters {
+    pub fn counters(&self) -> &EngineCounters {
         &self.counters
     }
 
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -119,7 +119,7 @@
             tenant: request.tenant,
             deadline,
             parts,
-            arrived_at: self.log_query_admitted(id, arrived_at),
+            arrived_at: self.track_open_query(id, arrived_at),
             is_retry: request.is_retry,
             join_key: self.join_key(&request),
         };
@@ -160,12 +160,12 @@
         let ended = self.queries.remove(id)?;
         for part in &ended.query.parts {
             for attempt in self.unsent_attempts_of(*part) {
-                self.end_attempt(now, attempt, AttemptOutcome::Cancelled);
+                self.cancel_attempt(now, attempt, AttemptOutcome::Cancelled);
             }
         }
         let deadline = ended.query.deadline;
         self.timers.cancel(deadline, Timer::ReplyDeadline(id));
-        self.log_query_ended(id, ended.query.arrived_at);
+        self.untrack_query(id, ended.query.arrived_at);
         Some(ended)
     }
 
--- a/crates/core/src/engine/timers.rs
+++ b/crates/core/src/engine/timers.rs
@@ -73,7 +73,7 @@
         match timer {
             Timer::Policy(token) => self.events.push(Event::TimerFired { token }),
             Timer::AttemptTimeout(attempt) => {
-                self.end_attempt(now, attempt, AttemptOutcome::TimedOut)
+                self.cancel_attempt(now, attempt, AttemptOutcome::TimedOut)
             }
             Timer::ConnectTimeout(connection) => self.on_connect_timeout(now, connection),
             Timer::IdleTimeout(connection) => self.on_idle_timeout(now, connection),
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -17,14 +17,14 @@
 impl Engine {
     /// Records usage from now on, with a watermark each `interval`.
     pub fn record_usage(&mut self, interval: Nanos) {
-        self.usage_log = Some(WatermarkTracker::new(interval));
+        self.watermarks = Some(WatermarkTracker::new(interval));
         self.timers.set(0, Timer::UsageWatermark);
     }
 
     /// The key of the use that a query requests: by the client's idempotency key, else by the
     /// contents of the query. 0 while no usage is recorded.
     pub(super) fn join_key(&self, request: &QueryRequest) -> JoinKey {
-        if self.usage_log.is_none() {
+        if self.watermarks.is_none() {
             return 0;
         }
         let class = self.class_name(request.class);
@@ -50,25 +50,25 @@
     }
 
     /// Notes that a query is open, and returns when it counts as arrived.
-    pub(super) fn log_query_admitted(&mut self, id: RequestId, arrived_at: Nanos) -> Nanos {
-        let Some(log) = &mut self.usage_log else {
+    pub(super) fn track_open_query(&mut self, id: RequestId, arrived_at: Nanos) -> Nanos {
+        let Some(watermarks) = &mut self.watermarks else {
             return arrived_at;
         };
-        let arrived_at = log.effective_arrival(arrived_at);
-        log.insert(arrived_at, id);
+        let arrived_at = watermarks.effective_arrival(arrived_at);
+        watermarks.insert(arrived_at, id);
         arrived_at
     }
 
     /// Notes that a query is no longer open.
-    pub(super) fn log_query_ended(&mut self, id: RequestId, arrived_at: Nanos) {
-        if let Some(log) = &mut self.usage_log {
-            log.remove(arrived_at, id);
+    pub(super) fn untrack_query(&mut self, id: RequestId, arrived_at: Nanos) {
+        if let Some(watermarks) = &mut self.watermarks {
+            watermarks.remove(arrived_at, id);
         }
     }
 
     /// Records a query that has ended.
     pub(super) fn record_query(&mut self, ended: &EndedQuery, outcome: QueryOutcome) {
-        let Some(log) = &mut self.usage_log else {
+        let Some(watermarks) = &mut self.watermarks else {
             return;
         };
         let EndedQuery { query, parts } = ended;
@@ -77,7 +77,7 @@
             counts.sum()
         };
         let usage = QueryUsage {
-            sequence: log.next_sequence(),
+            sequence: watermarks.next_sequence(),
             tenant: query.tenant,
             class: query.class,
             arrived_at: query.arrived_at,
@@ -96,14 +96,14 @@
     pub(super) fn record_rejection_on_arrival(&mut self, query: &ArrivedQuery) {
         let request = &query.request;
         let join_key = self.join_key(request);
-        let Some(log) = &mut self.usage_log else {
+        let Some(watermarks) = &mut self.watermarks else {
             return;
         };
         let usage = QueryUsage {
-            sequence: log.next_sequence(),
+            sequence: watermarks.next_sequence(),
             tenant: request.tenant,
             class: request.class,
-            arrived_at: log.effective_arrival(query.arrived_at),
+            arrived_at: watermarks.effective_arrival(query.arrived_at),
             outcome: QueryOutcome::Rejected,
             parts: request.parts.len() as u32,
             attempts: 0,
@@ -126,18 +126,19 @@
 
     pub(super) fn record_watermark(&mut self, now: Nanos) {
         let exited = self.shutdown.has_exited();
-        let Some(log) = self.usage_log.as_mut().filter(|_| !exited) else {
+        let Some(watermarks) = self.watermarks.as_mut().filter(|_| !exited) else {
             return;
         };
-        let watermark = log.advance(now);
-        self.timers.set(now + log.interval(), Timer::UsageWatermark);
+        let watermark = watermarks.advance(now);
+        self.timers
+            .set(now + watermarks.interval(), Timer::UsageWatermark);
         self.effects.push(Effect::RecordWatermark(watermark));
     }
 
     /// Records the last watermark, which states that no record follows.
     pub(super) fn record_final_watermark(&mut self) {
-        if let Some(log) = &self.usage_log {
-            let watermark = log.final_watermark();
+        if let Some(watermarks) = &self.watermarks {
+            let watermark = watermarks.final_watermark();
             self.effects.push(Effect::RecordWatermark(watermark));
         }
     }
--- a/crates/core/src/net/driver/mod.rs
+++ b/crates/core/src/net/driver/mod.rs
@@ -13,7 +13,7 @@
 use super::shared::{ServingPhase, Shared};
 use crate::api::Nanos;
 use crate::config::Addresses;
-use crate::engine::counters::Counters;
+use crate::engine::counters::EngineCounters;
 use crate::engine::{ConnectionId, Effect, Input};
 use crate::protocol::leaf::LeafRequest;
 use reply_delivery::ReplyDelivery;
@@ -170,7 +170,7 @@
         }
     }
 
-    fn begin_exit(&mut self, counters: &Counters, exit_deadline: Nanos) {
+    fn begin_exit(&mut self, counters: &EngineCounters, exit_deadline: Nanos) {
         let counters = serde_json::to_string(counters).unwrap_or_default();
         tracing::info!(counters, "served all that was taken");
         self.exit_deadline = Some(self.shared.clock.instant(exit_deadline));
