--- a/crates/core/src/engine/client_table.rs
+++ b/crates/core/src/engine/client_table.rs
@@ -96,9 +96,9 @@
         Some(client.close_requested)
     }
 
-    /// Picks the clients to close so that `newest` has room, and marks them: many may connect
-    /// before the first one that was picked is gone. Those that never sent a usable query go
-    /// first, then those that have been idle for longest.
+    /// Picks the clients to close when `newest` connects, and marks them, so that none is picked
+    /// twice before its connection has ended. Those without an admitted query are picked first,
+    /// then those that have been idle for longest.
     pub(super) fn pick_evictions(&mut self, now: Nanos, newest: ClientId) -> Vec<ClientId> {
         if self.clients.len() <= self.capacity / 2 {
             return Vec::new();
@@ -107,17 +107,14 @@
         let candidates = self.clients.iter_mut().filter(|(id, client)| {
             **id != newest && client.is_closable() && (is_full || client.is_long_idle(now))
         });
-        let mut candidates: Vec<(ClientId, &mut Client)> =
-            candidates.map(|(id, client)| (*id, client)).collect();
-        candidates
-            .sort_unstable_by_key(|(id, client)| (client.has_sent_query, client.idle_since, *id));
-        let evicted = candidates.into_iter().take(MAX_EVICTIONS_PER_CONNECT);
+        let mut evicted: Vec<(&ClientId, &mut Client)> = candidates.collect();
         evicted
-            .map(|(id, client)| {
-                client.close_requested = true;
-                id
-            })
-            .collect()
+            .sort_unstable_by_key(|(id, client)| (client.has_sent_query, client.idle_since, **id));
+        evicted.truncate(MAX_EVICTIONS_PER_CONNECT);
+        for (_, client) in &mut evicted {
+            client.close_requested = true;
+        }
+        evicted.into_iter().map(|(id, _)| *id).collect()
     }
 }
 
--- a/crates/core/src/engine/clients.rs
+++ b/crates/core/src/engine/clients.rs
@@ -17,9 +17,9 @@
             self.effects.push(Effect::DrainClient { client });
             return;
         }
-        let evicted = self.clients.pick_evictions(now, client).into_iter();
-        self.effects
-            .extend(evicted.map(|client| Effect::CloseClient { client }));
+        for client in self.clients.pick_evictions(now, client) {
+            self.effects.push(Effect::CloseClient { client });
+        }
     }
 
     pub(super) fn on_client_disconnected(&mut self, now: Nanos, client: ClientId) {
@@ -47,7 +47,7 @@
                 self.on_query(now, query);
             }
             Ok(ClientRequest::Ready) => {
-                let ready = self.endpoints.were_ever_ready() && !self.shutdown.is_requested();
+                let ready = self.endpoints.has_been_ready() && !self.shutdown.is_requested();
                 self.send_reply(now, client, QueryReply::Ready(ready));
             }
             Ok(ClientRequest::Stats) => {
--- a/crates/core/src/engine/endpoint_table.rs
+++ b/crates/core/src/engine/endpoint_table.rs
@@ -1,6 +1,7 @@
 //! The endpoint list: the replicas that discovery lists.
 
 use super::ids::ConnectionId;
+use super::MILLISECOND;
 use crate::api::{EndpointUpdateKind, ReplicaEntry, ReplicaId, ReplicaState};
 use crate::protocol::discovery::{Endpoint, EndpointUpdate, Status};
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +40,7 @@
     /// The zones that the settings name, by number.
     zones: Vec<String>,
     version: u64,
-    were_ever_ready: bool,
+    has_been_ready: bool,
 }
 
 impl EndpointTable {
@@ -104,8 +105,8 @@
     }
 
     /// Whether any replica was ready after some update so far.
-    pub(super) fn were_ever_ready(&self) -> bool {
-        self.were_ever_ready
+    pub(super) fn has_been_ready(&self) -> bool {
+        self.has_been_ready
     }
 
     /// Applies an update.
@@ -131,7 +132,7 @@
             stopped.extend(replica.into_iter().flat_map(|replica| &replica.connections));
         }
         let mut replicas = self.replicas.values();
-        self.were_ever_ready |= replicas.any(|replica| replica.state == ReplicaState::Ready);
+        self.has_been_ready |= replicas.any(|replica| replica.state == ReplicaState::Ready);
         AppliedUpdate {
             kind,
             entries,
@@ -199,7 +200,7 @@
             replica: id,
             cell: endpoint.group,
             zone,
-            started: endpoint.since_ms.saturating_mul(super::MILLISECOND),
+            started: endpoint.since_ms.saturating_mul(MILLISECOND),
             state,
         })
     }
--- a/crates/core/src/engine/replies.rs
+++ b/crates/core/src/engine/replies.rs
@@ -10,24 +10,29 @@
 const COVERAGE_TOLERANCE: f64 = 1e-4;
 
 impl Engine {
+    /// Answers a query from the results so far.
     pub(super) fn answer_query(&mut self, now: Nanos, id: RequestId, complete: bool) {
-        self.finish_query(now, id, |engine, ended| {
-            engine.compose_answer(ended, complete)
-        });
+        let Some(ended) = self.end_query(now, id) else {
+            return;
+        };
+        let reply = self.compose_answer(&ended, complete);
+        self.reply_to_query(now, id, ended, reply);
     }
 
     pub(super) fn reject_query(&mut self, now: Nanos, id: RequestId, retry_after: Option<Nanos>) {
-        self.finish_query(now, id, |engine, _| {
-            engine.counters.queries_ended.rejected += 1;
-            QueryReply::Rejected { retry_after }
-        });
+        let Some(ended) = self.end_query(now, id) else {
+            return;
+        };
+        self.counters.queries_ended.rejected += 1;
+        self.reply_to_query(now, id, ended, QueryReply::Rejected { retry_after });
     }
 
     pub(super) fn fail_query(&mut self, now: Nanos, id: RequestId) {
-        self.finish_query(now, id, |engine, _| {
-            engine.counters.queries_ended.failed += 1;
-            QueryReply::Failed
-        });
+        let Some(ended) = self.end_query(now, id) else {
+            return;
+        };
+        self.counters.queries_ended.failed += 1;
+        self.reply_to_query(now, id, ended, QueryReply::Failed);
     }
 
     /// Fails a query that the policy has not ended in time, which is a fault: the policy must end
@@ -47,16 +52,8 @@
         }
     }
 
-    fn finish_query(
-        &mut self,
-        now: Nanos,
-        id: RequestId,
-        compose_reply: impl FnOnce(&mut Self, &EndedQuery) -> QueryReply,
-    ) {
-        let Some(ended) = self.end_query(now, id) else {
-            return;
-        };
-        let reply = compose_reply(self, &ended);
+    /// Records a query that has ended, then sends its reply.
+    fn reply_to_query(&mut self, now: Nanos, id: RequestId, ended: EndedQuery, reply: QueryReply) {
         let outcome = QueryOutcome::of_reply(&reply, ended.covered_weight(), ended.total_weight());
         self.record_query(&ended, outcome);
         if tracing::enabled!(tracing::Level::DEBUG) {
--- a/crates/core/src/engine/shutdown.rs
+++ b/crates/core/src/engine/shutdown.rs
@@ -138,9 +138,9 @@
         self.log_shutdown_state("drain period ended");
         self.shutdown.is_drain_period_over = true;
         self.effects.push(Effect::StopListening);
-        let idle_clients = self.clients.without_query();
-        self.effects
-            .extend(idle_clients.map(|client| Effect::DrainClient { client }));
+        for client in self.clients.without_query() {
+            self.effects.push(Effect::DrainClient { client });
+        }
     }
 
     /// No query is open any more, since none had a later deadline. From now on no reply waits for
