--- a/crates/core/tests/pending_replies.rs
+++ b/crates/core/tests/pending_replies.rs
@@ -1,4 +1,4 @@
-//! Replies that wait for their usage record, with a usage log that advances when the test says so.
+//! Replies that wait for their usage record, with a usage log whose progress the test sets.
 
 use aggregator_core::engine::usage::{QueryOutcome, QueryUsage, UsageWatermark};
 use aggregator_core::engine::ClientId;
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
 
-/// A usage log whose writer advances only when the test says so.
+/// A usage log whose progress the test sets.
 struct ManualRecorder {
     has_capacity: bool,
     written: watch::Sender<u64>,
--- a/crates/core/tests/reducer/clients.rs
+++ b/crates/core/tests/reducer/clients.rs
@@ -29,8 +29,8 @@
     );
 }
 
-/// They connect by hundreds and send nothing: the connections of well-behaved clients, though idle
-/// for longer, are kept.
+/// Hundreds of clients connect and send nothing. The connections of clients that have sent queries
+/// are kept, although they have been idle for longer.
 #[test]
 fn clients_that_never_sent_a_query_are_closed_first() {
     let mut harness = EngineHarness::new(1);
@@ -42,7 +42,7 @@
     assert!(closed.len() > 1500 && !closed.contains(&well_behaved));
 }
 
-/// Some clients send one query and keep their connection for good.
+/// Some clients send one query and never close their connection.
 #[test]
 fn clients_idle_for_two_seconds_are_closed_from_half_of_the_capacity_on() {
     let mut harness = EngineHarness::new(1);
--- a/crates/core/tests/reducer/endpoints.rs
+++ b/crates/core/tests/reducer/endpoints.rs
@@ -4,8 +4,8 @@
 use crate::support::engine_harness::{address, EngineHarness, MS, SETTINGS, START};
 use aggregator_core::engine::Input;
 
-/// Discovery is one service for all aggregators: if those whose watch was rejected tried again in
-/// step, they would keep it so busy that none gets a list.
+/// Discovery is one service for all aggregators. If all whose watch was rejected retried at the same
+/// time, they would overload it, and none would get a list.
 #[test]
 fn a_polled_list_is_watched_on_the_policys_request_and_not_in_step() {
     let settings =
@@ -40,7 +40,7 @@
     );
 }
 
-/// Where discovery pushes its list, restarting a watch burdens nobody: the list must not be late.
+/// Where discovery pushes its list, a new watch costs little, and the list must not be late.
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_again_soon() {
     let mut harness = EngineHarness::new(1);
--- a/crates/core/tests/reducer/queries.rs
+++ b/crates/core/tests/reducer/queries.rs
@@ -150,7 +150,7 @@
     assert_eq!(sent_parts(&harness).len(), 2, "the first has ended");
 }
 
-/// Replicas, clients and queries of ever new names, all day long.
+/// Replicas, clients and queries with new names again and again.
 #[test]
 fn memory_does_not_grow_with_the_names_that_came_and_went() {
     let mut harness = EngineHarness::new(1);
--- a/crates/core/tests/reducer/shutdown.rs
+++ b/crates/core/tests/reducer/shutdown.rs
@@ -32,8 +32,8 @@
     assert!(harness.has_exited);
 }
 
-/// A client that asks again at once would else have a request on its way when its connection is
-/// closed.
+/// Otherwise a client that sends its next request at once might have it on its way when the
+/// connection is closed.
 #[test]
 fn each_reply_of_a_shutdown_asks_its_client_to_close() {
     let mut harness = EngineHarness::new(1);
--- a/crates/core/tests/reducer/shutdown_deadlines.rs
+++ b/crates/core/tests/reducer/shutdown_deadlines.rs
@@ -1,21 +1,21 @@
-//! Graceful shutdowns with client deadlines on both sides of their phases, and clients whose
-//! connections take their time to close.
+//! Graceful shutdowns with client deadlines shorter and longer than their phases, and with clients
+//! whose connections close late.
 
 use crate::support::engine_harness::{EngineHarness, MS, SETTINGS, START};
 use aggregator_core::engine::Input;
 use aggregator_core::protocol::leaf::PartStatus;
 use aggregator_core::protocol::query::QueryReply;
 
-/// The longest deadline that delays a kill, and what comes on top of it, in milliseconds.
+/// The longest deadline that delays a kill, and the time after it, in milliseconds.
 const MAX_COUNTED_DEADLINE_MS: u64 = 3000;
 const KILL_GRACE_MS: u64 = 700;
 
-/// How long a process may be held up between reading its clock and writing.
+/// How long a process may be suspended between reading its clock and writing.
 const HELD_UP_MS: u64 = 150;
 /// How long new connections keep coming after SIGTERM, in milliseconds.
 const NEW_CONNECTIONS_MS: u64 = 400;
 
-/// The latency objective of the class that is asked, in the harness's settings.
+/// The latency objective of the class of the queries, in the harness's settings.
 const LATENCY_OBJECTIVE_MS: u64 = 2000;
 
 const DEADLINES_MS: [u64; 10] = [20, 100, 300, 500, 700, 760, 1500, 3000, 6000, 60_000];
@@ -55,7 +55,7 @@
         harness.closes_are_pending = true;
         let client = harness.connect_client();
         harness.apply(Input::ShutdownRequested);
-        // The engine has asked for the close; the connection reads one more request before that.
+        // The engine has requested the close; the connection reads one more request before it.
         while harness.closed_clients.is_empty() {
             harness.advance(1);
         }
@@ -75,7 +75,7 @@
     for deadline_ms in DEADLINES_MS {
         for arrived_ms in (0..earliest_kill_ms(deadline_ms)).step_by(50) {
             let mut harness = harness_with_deadline(deadline_ms);
-            // Its connection is still open, whatever the engine has asked for.
+            // Its connection is still open, although the engine may have closed it.
             harness.closes_are_pending = true;
             let client = harness.connect_client();
             harness.apply(Input::ShutdownRequested);
@@ -124,7 +124,7 @@
         let client = harness.connect_client();
         harness.send_query_from(client, 1, &[1.0], deadline_ms);
         harness.open_all_connections();
-        // A client keeps most of its time, as far as an answer is still wanted after it.
+        // Most of the client's timeout must be left for its query.
         let kept_ms = deadline_ms.saturating_sub(HELD_UP_MS) * 9 / 10;
         harness.advance(kept_ms.min(LATENCY_OBJECTIVE_MS * 3 / 4));
         harness.respond_to_all();
@@ -163,7 +163,7 @@
 fn a_query_that_was_open_before_the_shutdown_ends_in_time_with_what_is_in() {
     for (second_result, expects_partial) in [(false, true), (true, false)] {
         let deadline_ms = 60_000;
-        // The objective lies after the kill, too.
+        // The latency objective ends after the kill, too.
         let settings =
             settings_with_deadline(deadline_ms).replace("aim_ns=2000000000", "aim_ns=20000000000");
         let mut harness = EngineHarness::with_settings(&settings, 1);
--- a/crates/core/tests/reducer/unsent_attempts.rs
+++ b/crates/core/tests/reducer/unsent_attempts.rs
@@ -95,8 +95,8 @@
     assert_eq!(frames, [], "a replica that the snapshot omits is gone");
 }
 
-/// Duplicates are dropped for a while after a part may first have been executed: a retry that is
-/// delayed by its connection would run again.
+/// Leaf servers drop duplicates for a while after a part may first have been executed. A retry that
+/// its connection delays for longer would be executed again.
 #[test]
 fn retries_are_not_sent_after_their_idempotency_window() {
     let keyed = "classes.1.semantics=idempotency_key\nclasses.1.dedup_window_ns=100000000";
--- a/crates/core/tests/stalled_usage_log.rs
+++ b/crates/core/tests/stalled_usage_log.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown while the usage log takes nothing: no reply may wait for it past the moment
+//! A graceful shutdown while the usage log writes nothing: no reply may wait for it past the moment
 //! at which the process may be killed.
 
 mod support;
--- a/crates/core/tests/support/engine_harness.rs
+++ b/crates/core/tests/support/engine_harness.rs
@@ -1,14 +1,14 @@
-//! An engine with hand-made inputs in place of sockets. The harness carries the effects out as
-//! sockets would, and checks at each step what must always hold.
+//! An engine with hand-made inputs in place of sockets.
 
+mod effects;
 mod inputs;
 
 pub use inputs::{address, query, MS, SETTINGS};
 
 use aggregator_core::config;
 use aggregator_core::engine::usage::{QueryUsage, UsageWatermark};
-use aggregator_core::engine::{ClientId, ConnectionId, Effect, Engine, EngineOptions, Input};
-use aggregator_core::protocol::leaf::{CallPart, LeafRequest, LeafResponse, PartStatus};
+use aggregator_core::engine::{ClientId, ConnectionId, Engine, EngineOptions, Input};
+use aggregator_core::protocol::leaf::{LeafRequest, LeafResponse, PartStatus};
 use aggregator_core::protocol::query::{ClientRequest, QueryReply};
 use bytes::Bytes;
 use inputs::{endpoint_update, ListLine};
@@ -42,7 +42,7 @@
     pub is_open: bool,
 }
 
-/// An engine, and the world around it.
+/// An engine, with the state of the sockets, clients and leaf servers around it.
 pub struct EngineHarness {
     pub engine: Engine,
     pub now: u64,
@@ -58,7 +58,7 @@
     pub closed_clients: Vec<ClientId>,
     pub is_listening: bool,
     pub has_exited: bool,
-    /// No socket takes the last byte of a frame.
+    /// No socket reports that it has taken the last byte of a frame.
     pub writes_are_stuck: bool,
     /// Connections to clients stay open although the engine has closed them.
     pub closes_are_pending: bool,
@@ -133,114 +133,9 @@
     pub fn apply(&mut self, input: Input) {
         let mut effects = self.engine.apply(self.now, input);
         effects.extend(self.engine.apply(self.now, Input::BatchEnded));
-        effects
-            .into_iter()
-            .for_each(|effect| self.carry_out(effect));
-    }
-
-    fn carry_out(&mut self, effect: Effect) {
-        match effect {
-            Effect::RecordUsage(record) => self.records.push(record),
-            Effect::RecordWatermark(watermark) => self.watermarks.push(watermark),
-            Effect::SendReply {
-                client,
-                reply,
-                close,
-            } => self.carry_out_reply(client, reply, close),
-            Effect::CloseClient { client } | Effect::DrainClient { client } => {
-                self.closed_clients.push(client);
-                self.disconnect_closed(client);
-            }
-            Effect::OpenConnection {
-                connection,
-                address,
-            } => self.carry_out_open(connection, address.to_string()),
-            Effect::WriteFrame { connection, frame } => self.carry_out_write(connection, frame),
-            Effect::CloseConnection { connection } => {
-                self.connections.remove(&connection);
-                self.in_flight.remove(&connection);
-            }
-            Effect::StartWatch { watch, .. } => {
-                self.watch_starts.push(self.now);
-                self.last_watch = watch;
-            }
-            Effect::SendGossip { .. } | Effect::StartDraining | Effect::ReleaseReplies => {}
-            Effect::StopListening => self.is_listening = false,
-            Effect::Exit { .. } => {
-                self.has_exited = true;
-                self.apply(Input::InputsEnded);
-            }
-        }
-    }
-
-    fn carry_out_reply(&mut self, client: ClientId, reply: QueryReply, close: bool) {
-        let at = self.now;
-        let replies = self.replies.entry(client).or_default();
-        replies.push(SentReply { at, reply });
-        if close {
-            self.disconnect_closed(client);
-        }
-    }
-
-    /// Ends a connection that the engine has closed, unless it takes its time.
-    fn disconnect_closed(&mut self, client: ClientId) {
-        if !self.closes_are_pending {
-            self.apply(Input::ClientDisconnected { client });
-        }
-    }
-
-    fn carry_out_open(&mut self, connection: ConnectionId, address: String) {
-        assert_eq!(
-            self.status_by_address[&address], "up",
-            "no new connection where nothing may go"
-        );
-        let socket = Socket {
-            address,
-            is_open: false,
-        };
-        self.connections.insert(connection, socket);
-    }
-
-    fn carry_out_write(&mut self, connection: ConnectionId, frame: LeafRequest) {
-        let socket = &self.connections[&connection];
-        assert!(
-            socket.is_open,
-            "nothing is written before the connection is open"
-        );
-        assert!(self.writing.insert(connection), "one frame at a time");
-        match &frame {
-            LeafRequest::Call(parts) => self.check_call(connection, parts),
-            LeafRequest::Cancel(id) => {
-                let in_flight = self.in_flight.entry(connection).or_default();
-                in_flight.retain(|other| **other != **id);
-            }
-            LeafRequest::HealthCheck | LeafRequest::LoadReport => {
-                self.in_flight.entry(connection).or_default();
-            }
-        }
-        self.frames.push(SentFrame { connection, frame });
-        if !self.writes_are_stuck {
-            self.writing.remove(&connection);
-            self.apply(Input::FrameWritten { connection });
-        }
-    }
-
-    fn check_call(&mut self, connection: ConnectionId, parts: &[CallPart]) {
-        let address = &self.connections[&connection].address;
-        assert_eq!(
-            self.status_by_address[address], "up",
-            "nothing new goes to a replica that drains or is gone"
-        );
-        let in_flight = self.in_flight.entry(connection).or_default();
-        for part in parts {
-            let id = part.id.to_string();
-            assert!(!in_flight.contains(&id), "{id} is in flight");
-            in_flight.push(id);
+        for effect in effects {
+            self.carry_out(effect);
         }
-        assert!(
-            in_flight.len() <= STREAMS_PER_CONNECTION,
-            "no more than streams_per_conn"
-        );
     }
 
     /// Lets time pass, and ends a batch whenever one is due.
@@ -333,7 +228,7 @@
         self.apply(Input::FrameReceived { connection, frame });
     }
 
-    /// Responds to all that is in flight, and to what is sent then.
+    /// Responds to all parts in flight, until none is.
     pub fn respond_to_all(&mut self) {
         let busy = |in_flight: &BTreeMap<ConnectionId, Vec<String>>| {
             let mut connections = in_flight.iter();
@@ -345,7 +240,7 @@
         }
     }
 
-    /// Sends what can't be read, with or without the id of the oldest part in flight.
+    /// Sends a frame that can't be decoded, with or without the id of the oldest part in flight.
     pub fn send_malformed(&mut self, connection: ConnectionId, with_id: bool) {
         let in_flight = self.in_flight.get(&connection);
         let oldest = in_flight.and_then(|in_flight| in_flight.first().cloned());
@@ -363,7 +258,7 @@
         self.apply(Input::ConnectionClosed { connection });
     }
 
-    /// Notes the listed status of an address, for the checks on what is written there.
+    /// Sets the listed status of an address, which decides what may be written there.
     pub fn set_status_of_address(&mut self, address: &str, status: &str) {
         self.status_by_address
             .insert(address.to_string(), status.to_string());
@@ -383,9 +278,9 @@
     }
 
     /// Disconnects one of the clients so far, unless it has disconnected before.
-    pub fn disconnect_some_client(&mut self, dice: u64) {
+    pub fn disconnect_some_client(&mut self, random: u64) {
         if self.last_client > 0 {
-            let client = 1 + dice % self.last_client;
+            let client = 1 + random % self.last_client;
             if self.disconnected.insert(client) {
                 self.apply(Input::ClientDisconnected { client });
             }
--- /dev/null
+++ b/crates/core/tests/support/engine_harness/effects.rs
@@ -0,0 +1,114 @@
+//! The effects of the engine, carried out as sockets would, with checks of what must always hold.
+
+use super::{EngineHarness, SentFrame, SentReply, Socket, STREAMS_PER_CONNECTION};
+use aggregator_core::engine::{ClientId, ConnectionId, Effect, Input};
+use aggregator_core::protocol::leaf::{CallPart, LeafRequest};
+use aggregator_core::protocol::query::QueryReply;
+
+impl EngineHarness {
+    /// Carries out one effect.
+    pub(super) fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::RecordUsage(record) => self.records.push(record),
+            Effect::RecordWatermark(watermark) => self.watermarks.push(watermark),
+            Effect::SendReply {
+                client,
+                reply,
+                close,
+            } => self.carry_out_reply(client, reply, close),
+            Effect::CloseClient { client } | Effect::DrainClient { client } => {
+                self.closed_clients.push(client);
+                self.disconnect_closed(client);
+            }
+            Effect::OpenConnection {
+                connection,
+                address,
+            } => self.carry_out_open(connection, address.to_string()),
+            Effect::WriteFrame { connection, frame } => self.carry_out_write(connection, frame),
+            Effect::CloseConnection { connection } => {
+                self.connections.remove(&connection);
+                self.in_flight.remove(&connection);
+            }
+            Effect::StartWatch { watch, .. } => {
+                self.watch_starts.push(self.now);
+                self.last_watch = watch;
+            }
+            Effect::SendGossip { .. } | Effect::StartDraining | Effect::ReleaseReplies => {}
+            Effect::StopListening => self.is_listening = false,
+            Effect::Exit { .. } => {
+                self.has_exited = true;
+                self.apply(Input::InputsEnded);
+            }
+        }
+    }
+
+    fn carry_out_reply(&mut self, client: ClientId, reply: QueryReply, close: bool) {
+        let at = self.now;
+        let replies = self.replies.entry(client).or_default();
+        replies.push(SentReply { at, reply });
+        if close {
+            self.disconnect_closed(client);
+        }
+    }
+
+    /// Ends a client's connection that the engine has closed, unless closes are pending.
+    fn disconnect_closed(&mut self, client: ClientId) {
+        if !self.closes_are_pending {
+            self.apply(Input::ClientDisconnected { client });
+        }
+    }
+
+    fn carry_out_open(&mut self, connection: ConnectionId, address: String) {
+        assert_eq!(
+            self.status_by_address[&address], "up",
+            "no new connection where nothing may go"
+        );
+        let socket = Socket {
+            address,
+            is_open: false,
+        };
+        self.connections.insert(connection, socket);
+    }
+
+    fn carry_out_write(&mut self, connection: ConnectionId, frame: LeafRequest) {
+        let socket = &self.connections[&connection];
+        assert!(
+            socket.is_open,
+            "nothing is written before the connection is open"
+        );
+        assert!(self.writing.insert(connection), "one frame at a time");
+        match &frame {
+            LeafRequest::Call(parts) => self.check_call(connection, parts),
+            LeafRequest::Cancel(id) => {
+                let in_flight = self.in_flight.entry(connection).or_default();
+                in_flight.retain(|other| **other != **id);
+            }
+            LeafRequest::HealthCheck | LeafRequest::LoadReport => {
+                self.in_flight.entry(connection).or_default();
+            }
+        }
+        self.frames.push(SentFrame { connection, frame });
+        if !self.writes_are_stuck {
+            self.writing.remove(&connection);
+            self.apply(Input::FrameWritten { connection });
+        }
+    }
+
+    fn check_call(&mut self, connection: ConnectionId, parts: &[CallPart]) {
+        let address = &self.connections[&connection].address;
+        assert_eq!(
+            self.status_by_address[address], "up",
+            "nothing new goes to a replica that drains or is gone"
+        );
+        let in_flight = self.in_flight.entry(connection).or_default();
+        for part in parts {
+            let id = part.id.to_string();
+            assert!(!in_flight.contains(&id), "{id} is in flight");
+            in_flight.push(id);
+        }
+        assert!(
+            in_flight.len() <= STREAMS_PER_CONNECTION,
+            "no more than streams_per_conn"
+        );
+    }
+}
--- a/crates/core/tests/support/engine_harness/inputs.rs
+++ b/crates/core/tests/support/engine_harness/inputs.rs
@@ -1,4 +1,4 @@
-//! What the inputs of an engine are made from: settings, endpoint lists and queries.
+//! The settings, endpoint lists and queries from which the inputs of an engine are built.
 
 use aggregator_core::protocol::discovery::EndpointUpdate;
 use aggregator_core::protocol::query::{QueryPart, QueryRequest};
@@ -6,7 +6,7 @@
 
 /// A millisecond, in nanoseconds.
 pub const MS: u64 = 1_000_000;
-/// As a real site has them: class 0 takes partial answers, class 1 needs every part.
+/// Settings as in production: class 0 accepts partial answers, class 1 needs every part.
 pub const SETTINGS: &str = "classes.count=2\nclasses.0.name=report\nclasses.0.aim_ns=2000000000\n\
 classes.0.give_up_ns=5000000000\nclasses.0.semantics=read_like\nclasses.1.name=lookup\n\
 classes.1.aim_ns=2000000000\nclasses.1.give_up_ns=6000000000\nclasses.1.semantics=read_like\n\
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -1,4 +1,4 @@
-//! The engine's usage log: one record for each query that ends, and watermarks that stay true.
+//! The engine's usage log: one record for each query that ends, and watermarks that stay valid.
 
 mod support;
 
@@ -99,8 +99,8 @@
     );
 }
 
-/// What a watermark declares complete stays so: whatever arrives later counts as later, and an open
-/// query holds the watermark back.
+/// A query that arrives before a watermark and is read after it counts as arrived at the watermark,
+/// and an open query delays the watermark.
 #[test]
 fn what_a_watermark_declares_complete_stays_complete() {
     let mut harness = recording(1);
