--- a/crates/opensearch-gateway/src/merge/mod.rs
+++ b/crates/opensearch-gateway/src/merge/mod.rs
@@ -9,10 +9,10 @@
 mod shard_answer;
 
 pub use ordering::compare_sort_values;
-pub use shard_answer::{Hit, Relation, ShardAnswer, ShardFailure, ShardHits, Total};
+pub use shard_answer::{Relation, ShardAnswer, ShardFailure, ShardHit, ShardHits, Total};
 
 use crate::query_dsl::{Aggregation, SearchRequest};
-use ordering::compare_hits;
+use ordering::{compare_hits, RankedHit};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
@@ -33,28 +33,22 @@
     /// The best score of all shards; none if the search is not sorted by score.
     pub max_score: Option<f64>,
     /// The requested page of hits.
-    pub hits: Vec<Hit>,
+    pub hits: Vec<ShardHit>,
     /// Reduced aggregations by their names.
     pub aggregations: Map<String, Value>,
 }
 
-/// A hit and the shard that it came from.
-struct ShardHit {
-    shard: u32,
-    hit: Hit,
-}
-
 /// Merges the shards' results for `request`.
 pub fn merge(request: &SearchRequest, results: Vec<ShardResult>) -> MergedResult {
     let mut total = None;
-    let mut hits: Vec<ShardHit> = Vec::new();
+    let mut hits: Vec<RankedHit> = Vec::new();
     let mut partial_aggregations: BTreeMap<String, Vec<Value>> = BTreeMap::new();
     for ShardResult { shard, answer } in results {
         if let Some(shard_total) = answer.hits.total {
             total = Some(add_totals(total, shard_total));
         }
         let shard_hits = answer.hits.hits.into_iter();
-        hits.extend(shard_hits.map(|hit| ShardHit { shard, hit }));
+        hits.extend(shard_hits.map(|hit| RankedHit { shard, hit }));
         for (name, partial) in answer.aggregations {
             partial_aggregations.entry(name).or_default().push(partial);
         }
@@ -81,22 +75,22 @@
     }
 }
 
-fn max_score(request: &SearchRequest, hits: &[ShardHit]) -> Option<f64> {
+fn max_score(request: &SearchRequest, hits: &[RankedHit]) -> Option<f64> {
     if !request.is_sorted_by_score() {
         return None;
     }
     hits.iter()
-        .filter_map(|shard_hit| shard_hit.hit.score)
+        .filter_map(|ranked| ranked.hit.score)
         .max_by(f64::total_cmp)
 }
 
 /// Sorts the hits and cuts out the requested page.
-fn page_of(request: &SearchRequest, mut hits: Vec<ShardHit>) -> Vec<Hit> {
+fn page_of(request: &SearchRequest, mut hits: Vec<RankedHit>) -> Vec<ShardHit> {
     hits.sort_by(|left, right| compare_hits(request, left, right));
     hits.into_iter()
         .skip(request.from() as usize)
         .take(request.size() as usize)
-        .map(|shard_hit| shard_hit.hit)
+        .map(|ranked| ranked.hit)
         .collect()
 }
 
--- a/crates/opensearch-gateway/src/merge/ordering.rs
+++ b/crates/opensearch-gateway/src/merge/ordering.rs
@@ -1,12 +1,23 @@
 //! The order of hits.
 
-use super::{Hit, ShardHit};
+use super::shard_answer::ShardHit;
 use crate::query_dsl::{SearchRequest, SortOrder};
 use serde_json::{Number, Value};
 use std::cmp::Ordering;
 
+/// A hit among those of all shards.
+pub(super) struct RankedHit {
+    /// The number of the shard that it is from.
+    pub(super) shard: u32,
+    pub(super) hit: ShardHit,
+}
+
 /// Compares two hits of a page.
-pub(super) fn compare_hits(request: &SearchRequest, left: &ShardHit, right: &ShardHit) -> Ordering {
+pub(super) fn compare_hits(
+    request: &SearchRequest,
+    left: &RankedHit,
+    right: &RankedHit,
+) -> Ordering {
     let by_request = if request.is_sorted_by_score() {
         compare_scores(&left.hit, &right.hit)
     } else {
@@ -18,13 +29,13 @@
 }
 
 /// The higher score first; a hit without a score comes last.
-fn compare_scores(left: &Hit, right: &Hit) -> Ordering {
+fn compare_scores(left: &ShardHit, right: &ShardHit) -> Ordering {
     let left_score = left.score.unwrap_or(f64::MIN);
     let right_score = right.score.unwrap_or(f64::MIN);
     right_score.total_cmp(&left_score)
 }
 
-fn compare_sort_keys(request: &SearchRequest, left: &Hit, right: &Hit) -> Ordering {
+fn compare_sort_keys(request: &SearchRequest, left: &ShardHit, right: &ShardHit) -> Ordering {
     let values = left.sort.iter().zip(&right.sort);
     request
         .sort
--- a/crates/opensearch-gateway/src/merge/shard_answer.rs
+++ b/crates/opensearch-gateway/src/merge/shard_answer.rs
@@ -1,7 +1,8 @@
 //! What one shard answers.
 //!
 //! The names of the deserialized types appear in the `json_parse_exception` texts that clients see
-//! for malformed answers, so they are part of the published behaviour.
+//! for malformed answers, so they are part of the published behaviour. A type with another name
+//! here has a private copy under the published one.
 
 use crate::query_dsl::SearchRequest;
 use serde::{Deserialize, Serialize};
@@ -32,26 +33,51 @@
     #[serde(default)]
     pub total: Option<Total>,
     /// The shard's best hits.
-    pub hits: Vec<Hit>,
+    pub hits: Vec<ShardHit>,
 }
 
 /// One hit. Its document is passed on as the shard sent it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Hit {
+#[serde(from = "Hit")]
+pub struct ShardHit {
     /// The document's id.
     #[serde(rename = "_id")]
     pub id: String,
     /// The document's score.
-    #[serde(rename = "_score", default)]
+    #[serde(rename = "_score")]
     pub score: Option<f64>,
     /// The document, or the requested parts of it.
-    #[serde(rename = "_source", default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "_source", skip_serializing_if = "Option::is_none")]
     pub source: Option<Box<RawValue>>,
     /// One value for each sort key.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    #[serde(skip_serializing_if = "Vec::is_empty")]
     pub sort: Vec<Value>,
 }
 
+/// A [`ShardHit`] under its published name.
+#[derive(Deserialize)]
+struct Hit {
+    #[serde(rename = "_id")]
+    id: String,
+    #[serde(rename = "_score", default)]
+    score: Option<f64>,
+    #[serde(rename = "_source", default)]
+    source: Option<Box<RawValue>>,
+    #[serde(default)]
+    sort: Vec<Value>,
+}
+
+impl From<Hit> for ShardHit {
+    fn from(hit: Hit) -> ShardHit {
+        ShardHit {
+            id: hit.id,
+            score: hit.score,
+            source: hit.source,
+            sort: hit.sort,
+        }
+    }
+}
+
 /// A count of matching documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Total {
--- a/crates/opensearch-gateway/src/query_dsl/mod.rs
+++ b/crates/opensearch-gateway/src/query_dsl/mod.rs
@@ -8,6 +8,7 @@
 mod clause;
 mod deserialize;
 mod error;
+mod leaf_clause;
 pub mod limits;
 mod request;
 mod shard_request;
@@ -18,13 +19,13 @@
 pub use aggregation::{
     Aggregation, DateHistogramAggregation, FieldAggregation, HistogramAggregation, TermsAggregation,
 };
-pub use clause::{
-    BoolQuery, ClauseList, ConstantScoreQuery, ExistsQuery, FunctionScoreQuery, IdsQuery,
-    MatchAllQuery, MatchOperator, MatchQuery, MultiMatchQuery, PrefixQuery, Query, RangeQuery,
-    Scalar, TermQuery,
-};
+pub use clause::{BoolQuery, ClauseList, ConstantScoreQuery, FunctionScoreQuery, QueryClause};
 pub use deserialize::FieldEntry;
 pub use error::{SearchRequestError, SearchRequestErrorCause};
+pub use leaf_clause::{
+    ExistsQuery, IdsQuery, MatchAllQuery, MatchOperator, MatchQuery, MultiMatchQuery, PrefixQuery,
+    RangeQuery, Scalar, TermQuery,
+};
 pub use request::{SearchRequest, SourceFilter, SourceIncludesExcludes, TrackTotalHits};
 pub use sort::{SortKey, SortOrder};
 pub use time_value::parse_time_value_ms;
--- a/crates/opensearch-gateway/src/query_dsl/request.rs
+++ b/crates/opensearch-gateway/src/query_dsl/request.rs
@@ -1,7 +1,7 @@
 //! The body of a search request.
 
 use super::aggregation::Aggregation;
-use super::clause::Query;
+use super::clause::QueryClause;
 use super::deserialize::{one_or_more, Object};
 use super::error::SearchRequestError;
 use super::sort::SortKey;
@@ -63,7 +63,7 @@
 pub struct SearchRequest {
     /// The query; none matches every document.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub query: Option<Query>,
+    pub query: Option<QueryClause>,
     /// Number of hits to skip.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub from: Option<u64>,
--- a/crates/opensearch-gateway/src/query_dsl/validation.rs
+++ b/crates/opensearch-gateway/src/query_dsl/validation.rs
@@ -1,7 +1,7 @@
 //! Checks on a parsed search request.
 
 use super::aggregation::Aggregation;
-use super::clause::Query;
+use super::clause::QueryClause;
 use super::error::{SearchRequestError, SearchRequestErrorCause as Cause};
 use super::limits::{
     MAX_AGGREGATIONS, MAX_BUCKETS, MAX_CLAUSES, MAX_CLAUSE_DEPTH, MAX_RESULT_WINDOW, MAX_SORT_KEYS,
@@ -156,7 +156,7 @@
 
 impl ClauseCounter {
     /// Checks `query`, which is nested `depth` deep, and the clauses in it.
-    fn check(&mut self, query: &Query, depth: usize) -> Result<(), SearchRequestError> {
+    fn check(&mut self, query: &QueryClause, depth: usize) -> Result<(), SearchRequestError> {
         self.clauses += 1;
         if depth > MAX_CLAUSE_DEPTH {
             return Err(SearchRequestError::new("query", Cause::ClausesTooDeep));
@@ -170,7 +170,7 @@
             return Err(SearchRequestError::new("query", cause));
         }
         match query {
-            Query::Bool(bool_query) => [
+            QueryClause::Bool(bool_query) => [
                 &bool_query.must,
                 &bool_query.filter,
                 &bool_query.should,
@@ -179,19 +179,23 @@
             .into_iter()
             .flat_map(|clauses| &clauses.0)
             .try_for_each(|clause| self.check(clause, depth + 1)),
-            Query::ConstantScore(constant_score) => self.check(&constant_score.filter, depth + 1),
-            Query::FunctionScore(function_score) => self.check(&function_score.query, depth + 1),
+            QueryClause::ConstantScore(constant_score) => {
+                self.check(&constant_score.filter, depth + 1)
+            }
+            QueryClause::FunctionScore(function_score) => {
+                self.check(&function_score.query, depth + 1)
+            }
             _ => Ok(()),
         }
     }
 }
 
 /// The number of values in the clause itself.
-fn value_count(query: &Query) -> usize {
+fn value_count(query: &QueryClause) -> usize {
     match query {
-        Query::Terms(terms) => terms.value.len(),
-        Query::Ids(ids) => ids.values.len(),
-        Query::MultiMatch(multi_match) => multi_match.fields.len(),
+        QueryClause::Terms(terms) => terms.value.len(),
+        QueryClause::Ids(ids) => ids.values.len(),
+        QueryClause::MultiMatch(multi_match) => multi_match.fields.len(),
         _ => 0,
     }
 }
--- a/crates/opensearch-gateway/src/response.rs
+++ b/crates/opensearch-gateway/src/response.rs
@@ -1,6 +1,6 @@
 //! The JSON of successful responses.
 
-use crate::merge::{Hit, MergedResult, Relation, ShardFailure, Total};
+use crate::merge::{MergedResult, Relation, ShardFailure, ShardHit, Total};
 use crate::query_dsl::{SearchRequest, TrackTotalHits};
 use serde::Serialize;
 use serde_json::{json, Map, Value};
@@ -77,7 +77,7 @@
     #[serde(rename = "_index")]
     index: &'a str,
     #[serde(flatten)]
-    hit: &'a Hit,
+    hit: &'a ShardHit,
 }
 
 /// The total as the client requested it: none, exact, or capped to a lower bound.
