--- a/crates/opensearch-gateway/src/error.rs
+++ b/crates/opensearch-gateway/src/error.rs
@@ -3,7 +3,6 @@
 use crate::compression::DecompressError;
 use crate::query_dsl::SearchRequestError;
 use crate::response::ShardSummary;
-use crate::server::MAX_SEARCHES_PER_REQUEST;
 use hyper::{Method, StatusCode};
 use serde_json::{json, Value};
 use std::time::Duration;
@@ -86,8 +85,11 @@
     #[error("a search has two lines, each ended by a newline")]
     UnpairedLines,
     /// A multi-search holds too many searches.
-    #[error("{searches} searches at once, and {MAX_SEARCHES_PER_REQUEST} at most")]
-    TooManySearches { searches: usize },
+    #[error("{searches} searches at once, and {max_searches} at most")]
+    TooManySearches {
+        searches: usize,
+        max_searches: usize,
+    },
     /// The header line of a search in a multi-search is malformed.
     #[error("the line before it: {0}")]
     InvalidSearchHeader(#[source] serde_json::Error),
--- a/crates/opensearch-gateway/src/query_dsl/clause.rs
+++ b/crates/opensearch-gateway/src/query_dsl/clause.rs
@@ -108,6 +108,15 @@
     pub boost: Option<f64>,
 }
 
+impl BoolQuery {
+    /// All clauses that it combines.
+    pub(super) fn clauses(&self) -> impl Iterator<Item = &QueryClause> {
+        [&self.must, &self.filter, &self.should, &self.must_not]
+            .into_iter()
+            .flat_map(|clauses| &clauses.0)
+    }
+}
+
 /// A filter whose matches all have the same score.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/opensearch-gateway/src/query_dsl/request.rs
+++ b/crates/opensearch-gateway/src/query_dsl/request.rs
@@ -2,18 +2,14 @@
 
 use super::aggregation::Aggregation;
 use super::clause::QueryClause;
-use super::deserialize::{one_or_more, Object};
-use super::error::SearchRequestError;
+use super::deserialize::one_or_more;
 use super::sort::SortKey;
-use super::validation;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// Page size of a search that states none.
 const DEFAULT_PAGE_SIZE: u64 = 10;
-/// Path under which errors of the body as a whole are reported.
-const ROOT_PATH: &str = ".";
 
 /// Which parts of the documents are returned.
 // Clients see this error text; it keeps the name that it was published with.
@@ -97,29 +93,6 @@
 }
 
 impl SearchRequest {
-    /// Parses and validates a request body. An empty body matches everything.
-    ///
-    /// # Errors
-    /// The body is malformed, contradicts itself or exceeds a limit.
-    pub fn parse(body: &[u8]) -> Result<SearchRequest, SearchRequestError> {
-        if body.trim_ascii().is_empty() {
-            return Ok(SearchRequest::default());
-        }
-        // Before the body is parsed, as parsing recurses as deep as the body is nested.
-        validation::check_json_depth(body)?;
-        let mut deserializer = serde_json::Deserializer::from_slice(body);
-        let Object(request): Object<SearchRequest> =
-            serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
-                let path = error.path().to_string();
-                SearchRequestError::new(path, error.into_inner().into())
-            })?;
-        deserializer
-            .end()
-            .map_err(|error| SearchRequestError::new(ROOT_PATH, error.into()))?;
-        request.validate()?;
-        Ok(request)
-    }
-
     /// Number of hits to skip, with the default applied.
     pub fn from(&self) -> u64 {
         self.from.unwrap_or(0)
@@ -134,12 +107,4 @@
     pub fn is_sorted_by_score(&self) -> bool {
         self.sort.is_empty()
     }
-
-    /// Checks the limits and that the parameters do not contradict each other.
-    ///
-    /// # Errors
-    /// The first violation.
-    pub fn validate(&self) -> Result<(), SearchRequestError> {
-        validation::validate(self)
-    }
 }
--- a/crates/opensearch-gateway/src/query_dsl/validation.rs
+++ b/crates/opensearch-gateway/src/query_dsl/validation.rs
@@ -1,4 +1,4 @@
-//! Checks on a parsed search request.
+//! Checks on a parsed search request: limits, and parameters that contradict each other.
 
 use super::aggregation::Aggregation;
 use super::clause::QueryClause;
@@ -9,52 +9,25 @@
 use super::request::SearchRequest;
 use super::time_value::parse_time_value_ms;
 
-/// Brackets that one level of clauses may open: a clause's object and that of its parameters.
-const BRACKETS_PER_CLAUSE: usize = 2;
-/// Brackets around and below the clauses: the body, arrays of clauses and of values.
-const BRACKETS_BESIDE_CLAUSES: usize = 8;
+/// The depth of a request's own query.
+const TOP_LEVEL_DEPTH: usize = 1;
 
-/// Checks how deep a body is nested without parsing it.
-pub(super) fn check_json_depth(body: &[u8]) -> Result<(), SearchRequestError> {
-    if json_depth(body) > BRACKETS_PER_CLAUSE * MAX_CLAUSE_DEPTH + BRACKETS_BESIDE_CLAUSES {
-        return Err(SearchRequestError::new("query", Cause::ClausesTooDeep));
-    }
-    Ok(())
-}
-
-/// The maximum nesting of brackets outside of strings.
-fn json_depth(body: &[u8]) -> usize {
-    let mut depth = 0usize;
-    let mut max_depth = 0;
-    let mut in_string = false;
-    let mut escaped = false;
-    for byte in body {
-        match byte {
-            _ if escaped => escaped = false,
-            b'\\' if in_string => escaped = true,
-            b'"' => in_string = !in_string,
-            b'{' | b'[' if !in_string => {
-                depth += 1;
-                max_depth = max_depth.max(depth);
-            }
-            b'}' | b']' if !in_string => depth = depth.saturating_sub(1),
-            _ => {}
+impl SearchRequest {
+    /// Checks the limits and that the parameters do not contradict each other.
+    ///
+    /// # Errors
+    /// The first violation. Clients see it, so the order of the checks must not change.
+    pub fn validate(&self) -> Result<(), SearchRequestError> {
+        check_result_window(self)?;
+        check_search_after(self)?;
+        check_sort(self)?;
+        check_timeout(self)?;
+        check_aggregations(self)?;
+        match &self.query {
+            Some(query) => ClauseCounter::default().check(query, TOP_LEVEL_DEPTH),
+            None => Ok(()),
         }
     }
-    max_depth
-}
-
-/// Checks a whole request. The order of the checks decides which violation a client is shown.
-pub(super) fn validate(request: &SearchRequest) -> Result<(), SearchRequestError> {
-    check_result_window(request)?;
-    check_search_after(request)?;
-    check_sort(request)?;
-    check_timeout(request)?;
-    check_aggregations(request)?;
-    match &request.query {
-        Some(query) => ClauseCounter::default().check(query, 1),
-        None => Ok(()),
-    }
 }
 
 fn check_result_window(request: &SearchRequest) -> Result<(), SearchRequestError> {
@@ -104,14 +77,15 @@
 }
 
 fn check_timeout(request: &SearchRequest) -> Result<(), SearchRequestError> {
-    match &request.timeout {
-        Some(timeout) if parse_time_value_ms(timeout).is_none() => {
-            let timeout = timeout.clone();
-            let cause = Cause::InvalidTimeout { timeout };
-            Err(SearchRequestError::new("timeout", cause))
-        }
-        _ => Ok(()),
+    let Some(timeout) = &request.timeout else {
+        return Ok(());
+    };
+    if parse_time_value_ms(timeout).is_none() {
+        let timeout = timeout.clone();
+        let cause = Cause::InvalidTimeout { timeout };
+        return Err(SearchRequestError::new("timeout", cause));
     }
+    Ok(())
 }
 
 fn check_aggregations(request: &SearchRequest) -> Result<(), SearchRequestError> {
@@ -129,25 +103,38 @@
 
 fn check_aggregation(aggregation: &Aggregation) -> Result<(), Cause> {
     match aggregation {
-        Aggregation::Terms(terms) if terms.size == 0 || terms.size > MAX_BUCKETS => {
-            Err(Cause::BucketCountOutOfRange { size: terms.size })
-        }
-        Aggregation::Histogram(histogram)
-            if !(histogram.interval > 0.0 && histogram.interval.is_finite()) =>
-        {
-            let interval = histogram.interval;
-            Err(Cause::InvalidInterval { interval })
-        }
-        Aggregation::DateHistogram(histogram)
-            if parse_time_value_ms(&histogram.fixed_interval).is_none_or(|ms| ms == 0) =>
-        {
-            let fixed_interval = histogram.fixed_interval.clone();
-            Err(Cause::InvalidFixedInterval { fixed_interval })
-        }
+        Aggregation::Terms(terms) => check_bucket_count(terms.size),
+        Aggregation::Histogram(histogram) => check_interval(histogram.interval),
+        Aggregation::DateHistogram(histogram) => check_fixed_interval(&histogram.fixed_interval),
         _ => Ok(()),
     }
 }
 
+fn check_bucket_count(size: u64) -> Result<(), Cause> {
+    if (1..=MAX_BUCKETS).contains(&size) {
+        Ok(())
+    } else {
+        Err(Cause::BucketCountOutOfRange { size })
+    }
+}
+
+fn check_interval(interval: f64) -> Result<(), Cause> {
+    if interval > 0.0 && interval.is_finite() {
+        Ok(())
+    } else {
+        Err(Cause::InvalidInterval { interval })
+    }
+}
+
+fn check_fixed_interval(fixed_interval: &str) -> Result<(), Cause> {
+    match parse_time_value_ms(fixed_interval) {
+        Some(1..) => Ok(()),
+        _ => Err(Cause::InvalidFixedInterval {
+            fixed_interval: fixed_interval.to_string(),
+        }),
+    }
+}
+
 /// Counts the clauses of a query.
 #[derive(Default)]
 struct ClauseCounter {
@@ -155,8 +142,8 @@
 }
 
 impl ClauseCounter {
-    /// Checks `query`, which is nested `depth` deep, and the clauses in it.
-    fn check(&mut self, query: &QueryClause, depth: usize) -> Result<(), SearchRequestError> {
+    /// Checks a clause, which is nested `depth` deep, and the clauses in it.
+    fn check(&mut self, clause: &QueryClause, depth: usize) -> Result<(), SearchRequestError> {
         self.clauses += 1;
         if depth > MAX_CLAUSE_DEPTH {
             return Err(SearchRequestError::new("query", Cause::ClausesTooDeep));
@@ -164,21 +151,15 @@
         if self.clauses > MAX_CLAUSES {
             return Err(SearchRequestError::new("query", Cause::TooManyClauses));
         }
-        let values = value_count(query);
+        let values = value_count(clause);
         if values > MAX_CLAUSES {
             let cause = Cause::TooManyValues { values };
             return Err(SearchRequestError::new("query", cause));
         }
-        match query {
-            QueryClause::Bool(bool_query) => [
-                &bool_query.must,
-                &bool_query.filter,
-                &bool_query.should,
-                &bool_query.must_not,
-            ]
-            .into_iter()
-            .flat_map(|clauses| &clauses.0)
-            .try_for_each(|clause| self.check(clause, depth + 1)),
+        match clause {
+            QueryClause::Bool(bool_query) => bool_query
+                .clauses()
+                .try_for_each(|inner| self.check(inner, depth + 1)),
             QueryClause::ConstantScore(constant_score) => {
                 self.check(&constant_score.filter, depth + 1)
             }
@@ -191,8 +172,8 @@
 }
 
 /// The number of values in the clause itself.
-fn value_count(query: &QueryClause) -> usize {
-    match query {
+fn value_count(clause: &QueryClause) -> usize {
+    match clause {
         QueryClause::Terms(terms) => terms.value.len(),
         QueryClause::Ids(ids) => ids.values.len(),
         QueryClause::MultiMatch(multi_match) => multi_match.fields.len(),
--- a/crates/opensearch-gateway/src/server/mod.rs
+++ b/crates/opensearch-gateway/src/server/mod.rs
@@ -13,4 +13,3 @@
 mod tenant;
 
 pub use connection::start;
-pub(crate) use multi_search::MAX_SEARCHES_PER_REQUEST;
--- a/crates/opensearch-gateway/src/server/multi_search.rs
+++ b/crates/opensearch-gateway/src/server/multi_search.rs
@@ -16,7 +16,7 @@
 use tokio::task::{JoinError, JoinSet};
 
 /// Maximum number of searches in one request.
-pub(crate) const MAX_SEARCHES_PER_REQUEST: usize = 256;
+const MAX_SEARCHES_PER_REQUEST: usize = 256;
 /// Maximum number of searches of one request that run at the same time.
 const MAX_CONCURRENT_SEARCHES: usize = 8;
 /// The only supported `search_type`.
@@ -80,7 +80,10 @@
     }
     let searches = lines.len() / 2;
     if searches > MAX_SEARCHES_PER_REQUEST {
-        return Err(GatewayError::TooManySearches { searches });
+        return Err(GatewayError::TooManySearches {
+            searches,
+            max_searches: MAX_SEARCHES_PER_REQUEST,
+        });
     }
     let pairs = lines.chunks_exact(2);
     Ok(pairs
