--- a/crates/opensearch-gateway/src/server/context.rs
+++ b/crates/opensearch-gateway/src/server/context.rs
@@ -1,4 +1,4 @@
-//! What the handlers of requests share.
+//! The gateway's state, and what the handlers know of one request.
 
 use crate::error::GatewayError;
 use crate::settings::{GatewaySettings, IndexSettings};
@@ -17,8 +17,8 @@
 pub(super) struct Gateway {
     pub(super) settings: GatewaySettings,
     pub(super) aggregator: InternalClient,
-    /// Prefix of the names of this process's queries: leaf servers must never see a name twice,
-    /// neither from another aggregator nor after a restart.
+    /// Prefix of the names of this process's queries. It makes them unique over all aggregators and
+    /// restarts, as leaf servers require.
     pub(super) instance_id: String,
     last_query_number: Cell<u64>,
 }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A name for one more query.
+    /// A unique name for a query.
     pub(super) fn next_query_name(&self) -> String {
         let number = self.last_query_number.get() + 1;
         self.last_query_number.set(number);
@@ -49,20 +49,21 @@
 
     /// The index of this name. All indices may be addressed only if there is just one.
     pub(super) fn find_index(&self, name: &str) -> Result<Index<'_>, GatewayError> {
-        let indices = &self.settings.indices;
-        let found = if matches!(name, ALL_INDICES | ALL_INDICES_PATTERN) {
-            if indices.len() != 1 {
-                return Err(GatewayError::AmbiguousIndex);
-            }
-            indices.iter().next()
-        } else {
-            indices.get_key_value(name)
+        if matches!(name, ALL_INDICES | ALL_INDICES_PATTERN) {
+            return self.only_index();
+        }
+        let Some((name, settings)) = self.settings.indices.get_key_value(name) else {
+            let index = name.to_string();
+            return Err(GatewayError::UnknownIndex { index });
         };
-        match found {
-            Some((name, settings)) => Ok(Index { name, settings }),
-            None => Err(GatewayError::UnknownIndex {
-                index: name.to_string(),
-            }),
+        Ok(Index { name, settings })
+    }
+
+    fn only_index(&self) -> Result<Index<'_>, GatewayError> {
+        let mut indices = self.settings.indices.iter();
+        match (indices.next(), indices.next()) {
+            (Some((name, settings)), None) => Ok(Index { name, settings }),
+            _ => Err(GatewayError::AmbiguousIndex),
         }
     }
 }
@@ -75,16 +76,16 @@
     pub(super) certificate_name: Option<String>,
 }
 
-/// Who sent a request.
-pub(super) struct Client {
+/// The headers of a request, and the client that sent it.
+pub(super) struct RequestHead {
     pub(super) headers: HeaderMap,
-    /// The client's own address, behind trusted proxies.
-    pub(super) address: IpAddr,
-    /// The common name in its certificate.
-    pub(super) certificate_name: Option<String>,
+    /// The client's own address, not that of a trusted proxy.
+    pub(super) client_address: IpAddr,
+    /// The common name in the client's certificate.
+    pub(super) client_certificate_name: Option<String>,
 }
 
-impl Client {
+impl RequestHead {
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         header_text(&self.headers, name)
     }
@@ -95,11 +96,11 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// What the handlers know of the request beside its target and body.
+/// What the handlers know of a request besides its target and body.
 #[derive(Clone)]
 pub(super) struct RequestContext {
     pub(super) gateway: Rc<Gateway>,
     /// When the request's head arrived, in Unix nanoseconds.
     pub(super) received_at_ns: u64,
-    pub(super) client: Rc<Client>,
+    pub(super) head: Rc<RequestHead>,
 }
--- a/crates/opensearch-gateway/src/server/execution.rs
+++ b/crates/opensearch-gateway/src/server/execution.rs
@@ -1,34 +1,24 @@
-//! Execution of a search on its shards, through the aggregator.
+//! Execution of a search on its shards, as one query of the aggregator.
 
-use super::context::{Client, Index, RequestContext};
+use super::context::{Index, RequestContext, RequestHead};
 use super::parameters::UrlParameters;
+use super::shard_selection::{AnswerRequirements, SearchOutcome, ShardSelection};
 use super::tenant::resolve_tenant;
 use crate::error::GatewayError;
-use crate::merge::{ShardAnswer, ShardFailure, ShardResult};
 use crate::query_dsl::{parse_time_value_ms, SearchRequest};
-use crate::response::{to_json_bytes, FailedShard, ShardSummary};
-use crate::settings::ShardWeight;
-use aggregator_core::protocol::query::{NameTables, QueryHit, QueryPart, QueryReply, QueryRequest};
+use crate::response::to_json_bytes;
+use aggregator_core::protocol::query::{NameTables, QueryHit, QueryReply, QueryRequest};
 use bytes::Bytes;
 use std::time::Duration;
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// Tolerance on a sum of weights that is compared with the minimum coverage.
-const COVERAGE_TOLERANCE: f64 = 1e-6;
-/// Set to `1` by a client that repeats a request.
+/// Set to `1` by a client that retries a request.
 const X_RETRIED: &str = "x-retried";
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Maximum length of an idempotency key; longer ones are ignored.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// The outcome of a search that can be answered, in part at least.
-pub(super) struct SearchOutcome<'a> {
-    pub(super) index: Index<'a>,
-    pub(super) shards: ShardSummary,
-    pub(super) results: Vec<ShardResult>,
-}
-
-/// Sends the search to the shards of the index and collects their answers.
+/// Sends the search as one query with a part for each shard, and collects the shards' answers.
 pub(super) async fn execute<'a>(
     context: &'a RequestContext,
     index_name: &str,
@@ -46,8 +36,8 @@
         class: class as u16,
         tenant: tenant as u32,
         timeout: query_timeout_ns(request, parameters, class, &names),
-        is_retry: context.client.header(X_RETRIED) == Some("1"),
-        idempotency_key: idempotency_key(&context.client),
+        is_retry: context.head.header(X_RETRIED) == Some("1"),
+        idempotency_key: idempotency_key(&context.head),
         parts: selection.query_parts(),
         text: Bytes::from(to_json_bytes(&request.to_shard_request())),
     };
@@ -58,9 +48,13 @@
     let hits = answer_hits(reply, index, &selection)?;
     check_answer_size(&hits, gateway.settings.max_answer_bytes)?;
     let answers = selection.collect_answers(&hits, request);
-    let minimum_coverage = names.minimum_coverages.get(class).copied().unwrap_or(1.0);
-    let requires_all_shards = parameters.allow_partial_search_results == Some(false);
-    answers.into_outcome(index, minimum_coverage, requires_all_shards)
+    answers.into_outcome(
+        index,
+        AnswerRequirements {
+            minimum_coverage: names.minimum_coverages.get(class).copied().unwrap_or(1.0),
+            all_shards: parameters.allow_partial_search_results == Some(false),
+        },
+    )
 }
 
 /// The number of the index's class among the platform's classes.
@@ -75,7 +69,8 @@
         })
 }
 
-/// The client's timeout, the body's before that of the URL, up to the deadline of the class.
+/// How long the client waits, at most until the deadline of the class. A timeout in the body takes
+/// precedence over one in the URL.
 fn query_timeout_ns(
     request: &SearchRequest,
     parameters: &UrlParameters,
@@ -92,9 +87,9 @@
     }
 }
 
-fn idempotency_key(client: &Client) -> Option<String> {
-    client
-        .header(IDEMPOTENCY_KEY)
+/// The client's idempotency key, if it has a usable length.
+fn idempotency_key(head: &RequestHead) -> Option<String> {
+    head.header(IDEMPOTENCY_KEY)
         .filter(|key| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len()))
         .map(str::to_string)
 }
@@ -129,113 +124,3 @@
     }
     Ok(())
 }
-
-/// The shards that a search goes to.
-struct ShardSelection {
-    shards: Vec<ShardWeight>,
-    /// The sum of the shards' weights, less than 1 if the client selected some of them.
-    total_weight: f64,
-}
-
-impl ShardSelection {
-    /// Selects all shards of the index, or the `preferred` ones.
-    fn new(index: Index, preferred: Option<&[u32]>) -> Result<ShardSelection, GatewayError> {
-        let is_selected = |shard: &&ShardWeight| {
-            preferred.is_none_or(|preferred| preferred.contains(&shard.shard))
-        };
-        let index_shards = index.settings.shards.iter();
-        let shards: Vec<ShardWeight> = index_shards.filter(is_selected).copied().collect();
-        let all_found = preferred.is_none_or(|preferred| preferred.len() == shards.len());
-        if shards.is_empty() || !all_found {
-            let index = index.name.to_string();
-            return Err(GatewayError::UnknownShards { index });
-        }
-        let total_weight = shards.iter().map(|shard| shard.weight).sum();
-        Ok(ShardSelection {
-            shards,
-            total_weight,
-        })
-    }
-
-    fn query_parts(&self) -> Vec<QueryPart> {
-        let part = |shard: &ShardWeight| QueryPart {
-            shard: shard.shard,
-            weight: shard.weight / self.total_weight,
-            work: None,
-        };
-        self.shards.iter().map(part).collect()
-    }
-
-    /// A summary before any answer.
-    fn summary(&self) -> ShardSummary {
-        ShardSummary {
-            total: self.shards.len(),
-            ..ShardSummary::default()
-        }
-    }
-
-    /// Parses the answer of each shard.
-    fn collect_answers(&self, hits: &[QueryHit], request: &SearchRequest) -> CollectedAnswers {
-        let mut answers = CollectedAnswers {
-            shards: self.summary(),
-            results: Vec::new(),
-            coverage: 0.0,
-        };
-        for &ShardWeight { shard, weight } in &self.shards {
-            let hit = hits.iter().find(|hit| hit.shard == shard);
-            let answer = hit
-                .ok_or(ShardFailure::NoAnswer)
-                .and_then(|hit| ShardAnswer::parse(&hit.doc, request));
-            match answer {
-                Ok(answer) => {
-                    answers.coverage += weight / self.total_weight;
-                    answers.results.push(ShardResult { shard, answer });
-                }
-                Err(failure) => {
-                    let failed = FailedShard { shard, failure };
-                    answers.shards.failures.push(failed);
-                }
-            }
-        }
-        answers.shards.successful = answers.results.len();
-        answers
-    }
-}
-
-/// The answers of all shards of a search.
-struct CollectedAnswers {
-    shards: ShardSummary,
-    results: Vec<ShardResult>,
-    /// The weight of the shards with a usable answer.
-    coverage: f64,
-}
-
-impl CollectedAnswers {
-    /// Checks that the answers suffice. The aggregator checked the coverage by the shards that
-    /// answered at all; those that answered with an error do not count here.
-    fn into_outcome(
-        self,
-        index: Index<'_>,
-        minimum_coverage: f64,
-        requires_all_shards: bool,
-    ) -> Result<SearchOutcome<'_>, GatewayError> {
-        let CollectedAnswers {
-            shards,
-            results,
-            coverage,
-        } = self;
-        if coverage + COVERAGE_TOLERANCE < minimum_coverage {
-            let index = index.name.to_string();
-            return Err(GatewayError::BelowMinimumCoverage { index, shards });
-        }
-        if requires_all_shards && shards.successful < shards.total {
-            let index = index.name.to_string();
-            return Err(GatewayError::PartialResults { index, shards });
-        }
-        Ok(SearchOutcome {
-            index,
-            shards,
-            results,
-        })
-    }
-}
--- a/crates/opensearch-gateway/src/server/http.rs
+++ b/crates/opensearch-gateway/src/server/http.rs
@@ -1,7 +1,7 @@
-//! From an HTTP request to its response.
+//! Handles one HTTP request: reads its body, has it routed, and renders the response.
 
 use super::body::read_body;
-use super::context::{header_text, Client, Gateway, Peer, RequestContext};
+use super::context::{header_text, Gateway, Peer, RequestContext, RequestHead};
 use super::router;
 use crate::compression::{self, MIN_COMPRESSED_BYTES};
 use crate::error::GatewayError;
@@ -22,7 +22,7 @@
 const X_FORWARDED_FOR: &str = "x-forwarded-for";
 const JSON_CONTENT_TYPE: &str = "application/json; charset=UTF-8";
 
-/// How the client can take the response.
+/// The form in which the client expects the response.
 #[derive(Clone, Copy)]
 struct ResponseOptions {
     /// The request is a `HEAD`: the response has no body.
@@ -30,6 +30,16 @@
     accepts_gzip: bool,
 }
 
+impl ResponseOptions {
+    fn of_request(parts: &Parts) -> ResponseOptions {
+        let accepted_encodings = header_text(&parts.headers, ACCEPT_ENCODING.as_str());
+        ResponseOptions {
+            omit_body: parts.method == Method::HEAD,
+            accepts_gzip: accepted_encodings.is_some_and(|encodings| encodings.contains("gzip")),
+        }
+    }
+}
+
 /// Handles one request. Errors become responses.
 pub(super) async fn handle_request(
     gateway: Rc<Gateway>,
@@ -38,15 +48,12 @@
 ) -> Response<Full<Bytes>> {
     let aggregator = gateway.aggregator.clone();
     let received_at_ns = aggregator.now();
-    let _open = aggregator.open_request();
+    // Counted as open until the response is returned.
+    let _open_request = aggregator.open_request();
     let (parts, body) = request.into_parts();
     let name = header_text(&parts.headers, X_OPAQUE_ID);
     tracing::debug!(address = %peer.address, name, "request read");
-    let options = ResponseOptions {
-        omit_body: parts.method == Method::HEAD,
-        accepts_gzip: header_text(&parts.headers, ACCEPT_ENCODING.as_str())
-            .is_some_and(|encodings| encodings.contains("gzip")),
-    };
+    let options = ResponseOptions::of_request(&parts);
     let mut response = match run_request(gateway, peer, &parts, body, received_at_ns).await {
         Ok(body) => success_response(body, options),
         Err(error) => error_response(&error, options),
@@ -61,7 +68,7 @@
     response
 }
 
-/// Returns the body of the successful response.
+/// Reads the body and calls the handler. Returns the body of the successful response.
 async fn run_request(
     gateway: Rc<Gateway>,
     peer: Peer,
@@ -77,15 +84,15 @@
         .filter_map(|line| line.to_str().ok())
         .collect();
     let proxies = &gateway.settings.trusted_proxies;
-    let client = Rc::new(Client {
+    let head = Rc::new(RequestHead {
         headers: parts.headers.clone(),
-        address: networks::client_address(peer.address, &forwarded_for, proxies),
-        certificate_name: peer.certificate_name,
+        client_address: networks::client_address(peer.address, &forwarded_for, proxies),
+        client_certificate_name: peer.certificate_name,
     });
     let context = RequestContext {
         gateway,
         received_at_ns,
-        client,
+        head,
     };
     router::dispatch(&context, &parts.method, &parts.uri, &body).await
 }
--- a/crates/opensearch-gateway/src/server/search.rs
+++ b/crates/opensearch-gateway/src/server/search.rs
@@ -1,8 +1,9 @@
-//! `_search` and `_count`.
+//! The handlers of `_search` and `_count`.
 
 use super::context::RequestContext;
-use super::execution::{execute, SearchOutcome};
+use super::execution::execute;
 use super::parameters::UrlParameters;
+use super::shard_selection::SearchOutcome;
 use crate::error::GatewayError;
 use crate::merge::merge;
 use crate::query_dsl::{SearchRequest, TrackTotalHits};
--- a/crates/opensearch-gateway/src/server/tenant.rs
+++ b/crates/opensearch-gateway/src/server/tenant.rs
@@ -24,13 +24,13 @@
 /// The tenant's name by the configured source, else the default tenant.
 fn tenant_name(context: &RequestContext) -> Option<&str> {
     let settings = &context.gateway.settings;
-    let client = &context.client;
-    let by_header = || client.header(&settings.tenant_header);
-    let by_network = || settings.tenant_networks.find(client.address);
+    let head = &context.head;
+    let by_header = || head.header(&settings.tenant_header);
+    let by_network = || settings.tenant_networks.find(head.client_address);
     let tenant = match settings.tenant_source {
         TenantSource::Header => by_header(),
         TenantSource::Network => by_network(),
-        TenantSource::Certificate => client.certificate_name.as_deref(),
+        TenantSource::Certificate => head.client_certificate_name.as_deref(),
         TenantSource::HeaderOrNetwork => by_header().or_else(by_network),
     };
     tenant.or(settings.default_tenant.as_deref())
