--- a/crates/opensearch-gateway/src/settings/index.rs
+++ b/crates/opensearch-gateway/src/settings/index.rs
@@ -71,7 +71,7 @@
     let class = section.required_text("class")?.to_string();
     let shards = section.required_text("shards")?;
     let shards = parse_shards(shards).map_err(|error| section.error("shards", error))?;
-    let weights = parse_weights(section.values.text("weights"), shards.len())
+    let weights = read_weights(section.values.text("weights"), shards.len())
         .map_err(|error| section.error("weights", error))?;
     let shards = shards.into_iter().zip(weights);
     Ok(IndexSettings {
@@ -115,22 +115,26 @@
     })
 }
 
-/// Parses the weights of an index with `shards` shards; equal weights if there is no text.
-fn parse_weights(text: Option<&str>, shards: usize) -> Result<Vec<f64>, WeightsError> {
-    let Some(text) = text else {
-        return check_weights(vec![1.0 / shards as f64; shards], shards);
+/// The weights of an index with `shards` shards; equal weights if there is no text.
+fn read_weights(text: Option<&str>, shards: usize) -> Result<Vec<f64>, WeightsError> {
+    let weights = match text {
+        Some(text) => parse_weights(text)?,
+        None => vec![1.0 / shards as f64; shards],
     };
-    let weights = text
-        .split(',')
+    check_weights(&weights, shards)?;
+    Ok(weights)
+}
+
+fn parse_weights(text: &str) -> Result<Vec<f64>, WeightsError> {
+    text.split(',')
         .map(|weight| weight.trim().parse())
         .collect::<Result<Vec<f64>, _>>()
         .map_err(|_| WeightsError::NotANumber {
             text: text.to_string(),
-        })?;
-    check_weights(weights, shards)
+        })
 }
 
-fn check_weights(weights: Vec<f64>, shards: usize) -> Result<Vec<f64>, WeightsError> {
+fn check_weights(weights: &[f64], shards: usize) -> Result<(), WeightsError> {
     if weights.len() != shards {
         let weights = weights.len();
         return Err(WeightsError::CountMismatch { weights, shards });
@@ -140,5 +144,5 @@
     if !are_shares || (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
         return Err(WeightsError::NotShares { sum });
     }
-    Ok(weights)
+    Ok(())
 }
--- a/crates/opensearch-gateway/src/settings/mod.rs
+++ b/crates/opensearch-gateway/src/settings/mod.rs
@@ -3,43 +3,23 @@
 mod index;
 mod schema;
 mod section;
+mod tenant;
 
 pub use index::{IndexSettings, ShardWeight};
 pub use schema::{GATEWAY_SECTION, INDEX_SECTION, NETWORK_SECTION};
+pub use tenant::TenantSource;
 
 use crate::networks::{parse_networks, NetworkSet, TenantNetworks};
 use crate::tls::TlsFiles;
 use ini_config::{Problems, Schema, Settings};
-use ipnet::IpNet;
-use schema::{
-    DEFAULT_CLUSTER_NAME, DEFAULT_TENANT_HEADER, TENANT_BY_CERTIFICATE,
-    TENANT_BY_HEADER_OR_NETWORK, TENANT_BY_NETWORK,
-};
+use schema::{DEFAULT_CLUSTER_NAME, DEFAULT_TENANT_HEADER};
 use section::SectionReader;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
+use tenant::{read_tenant_networks, read_tenant_source};
 
-/// What determines the tenant of a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TenantSource {
-    /// A header.
-    Header,
-    /// The network of the client's address.
-    Network,
-    /// The header if there is one, else the network.
-    HeaderOrNetwork,
-    /// The common name of the client's certificate.
-    Certificate,
-}
-
-impl TenantSource {
-    fn uses_networks(self) -> bool {
-        matches!(self, TenantSource::Network | TenantSource::HeaderOrNetwork)
-    }
-}
-
-/// The settings of a gateway that is on.
+/// The settings of a gateway that is enabled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
     /// The address to listen on.
@@ -50,13 +30,13 @@
     pub max_body_bytes: usize,
     /// Maximum length of all shards' answers to one search together.
     pub max_answer_bytes: usize,
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay open without a request.
     pub idle_timeout: Duration,
     /// The cluster name that clients are given.
     pub cluster_name: String,
     /// The header that names the tenant, in lower case.
     pub tenant_header: String,
-    /// The tenant of requests that none can be determined for.
+    /// The tenant of requests for which none can be determined.
     pub default_tenant: Option<String>,
     /// What determines the tenant.
     pub tenant_source: TenantSource,
@@ -71,7 +51,7 @@
 }
 
 impl GatewaySettings {
-    /// Reads the settings; none if the gateway is off.
+    /// Reads the settings; `None` if the gateway is disabled.
     ///
     /// # Errors
     /// A value is missing, can't be used, or contradicts another one.
@@ -87,17 +67,13 @@
         }
         let tenant_source = read_tenant_source(&section);
         let tls = read_tls_files(&section)?;
-        let has_client_ca = tls.as_ref().is_some_and(|tls| tls.client_ca.is_some());
-        if tenant_source == TenantSource::Certificate && !has_client_ca {
-            let reason = "goes by certificates, and there is no 'client-ca'";
-            return Err(section.error("tenant-by", reason));
-        }
+        check_client_ca(&section, tenant_source, tls.as_ref())?;
         let trusted_proxies = read_trusted_proxies(&section)?;
         let tenant_networks = read_tenant_networks(settings, schema, &section, tenant_source)?;
         let max_connections = section.required("connections", values.count("connections"))?;
         let max_body_bytes = section.required("body", values.bytes("body"))?;
         let max_answer_bytes = section.required("answer", values.bytes("answer"))?;
-        // Set to nothing, both texts have their defaults as well.
+        // A key that is set to an empty text counts as unset, also where the schema has a default.
         let cluster_name = values.text("cluster").unwrap_or(DEFAULT_CLUSTER_NAME);
         let tenant_header = values.text("tenant-header");
         Ok(Some(GatewaySettings {
@@ -120,15 +96,6 @@
     }
 }
 
-fn read_tenant_source(section: &SectionReader) -> TenantSource {
-    match section.values.text("tenant-by") {
-        Some(TENANT_BY_NETWORK) => TenantSource::Network,
-        Some(TENANT_BY_HEADER_OR_NETWORK) => TenantSource::HeaderOrNetwork,
-        Some(TENANT_BY_CERTIFICATE) => TenantSource::Certificate,
-        _ => TenantSource::Header,
-    }
-}
-
 fn read_tls_files(section: &SectionReader) -> Result<Option<TlsFiles>, Problems> {
     let certificate = section.path("certificate");
     let key = section.path("key");
@@ -146,53 +113,22 @@
     }
 }
 
+/// Tenants can be determined by certificates only if clients' certificates are verified.
+fn check_client_ca(
+    section: &SectionReader,
+    tenant_source: TenantSource,
+    tls: Option<&TlsFiles>,
+) -> Result<(), Problems> {
+    let has_client_ca = tls.is_some_and(|tls| tls.client_ca.is_some());
+    if tenant_source == TenantSource::Certificate && !has_client_ca {
+        let reason = "goes by certificates, and there is no 'client-ca'";
+        return Err(section.error("tenant-by", reason));
+    }
+    Ok(())
+}
+
 fn read_trusted_proxies(section: &SectionReader) -> Result<NetworkSet, Problems> {
     let proxies = section.values.text("proxies").unwrap_or_default();
     let proxies = parse_networks(proxies).map_err(|error| section.error("proxies", error))?;
     Ok(proxies.into_iter().collect())
 }
-
-/// A network of a tenant, and the section that it was read from.
-struct TenantNetworkRule<'a> {
-    network: IpNet,
-    tenant: &'a str,
-    section: SectionReader<'a>,
-}
-
-fn read_tenant_networks(
-    settings: &Settings,
-    schema: &Schema,
-    gateway_section: &SectionReader,
-    tenant_source: TenantSource,
-) -> Result<TenantNetworks, Problems> {
-    let mut rules = Vec::new();
-    for name in settings.names(NETWORK_SECTION.name) {
-        let section = SectionReader::new(settings, schema, &NETWORK_SECTION, name);
-        if !tenant_source.uses_networks() {
-            let reason = "is never used, as [opensearch] tenant-by does not go by networks";
-            return Err(section.error("tenant", reason));
-        }
-        let tenant = section.required_text("tenant")?;
-        let prefixes = section.required_text("prefixes")?;
-        let networks =
-            parse_networks(prefixes).map_err(|error| section.error("prefixes", error))?;
-        rules.extend(networks.into_iter().map(|network| TenantNetworkRule {
-            network,
-            tenant,
-            section,
-        }));
-    }
-    // From the widest to the narrowest, so that the order in the file does not matter.
-    rules.sort_by_key(|rule| rule.network.prefix_len());
-    let mut tenant_networks = TenantNetworks::default();
-    for rule in rules {
-        tenant_networks
-            .insert(rule.network, rule.tenant)
-            .map_err(|error| rule.section.error("prefixes", error))?;
-    }
-    if tenant_networks.is_empty() && tenant_source.uses_networks() {
-        let reason = "goes by networks, and there is no [network NAME]";
-        return Err(gateway_section.error("tenant-by", reason));
-    }
-    Ok(tenant_networks)
-}
--- /dev/null
+++ b/crates/opensearch-gateway/src/settings/tenant.rs
@@ -0,0 +1,84 @@
+//! How requests are attributed to tenants: `tenant-by`, and the sections `[network NAME]`.
+
+use super::schema::{
+    NETWORK_SECTION, TENANT_BY_CERTIFICATE, TENANT_BY_HEADER_OR_NETWORK, TENANT_BY_NETWORK,
+};
+use super::section::SectionReader;
+use crate::networks::{parse_networks, TenantNetworks};
+use ini_config::{Problems, Schema, Settings};
+use ipnet::IpNet;
+
+/// What determines the tenant of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TenantSource {
+    /// A header.
+    Header,
+    /// The network of the client's address.
+    Network,
+    /// The header if there is one, else the network.
+    HeaderOrNetwork,
+    /// The common name of the client's certificate.
+    Certificate,
+}
+
+impl TenantSource {
+    fn uses_networks(self) -> bool {
+        matches!(self, TenantSource::Network | TenantSource::HeaderOrNetwork)
+    }
+}
+
+/// Reads `tenant-by`.
+pub(super) fn read_tenant_source(section: &SectionReader) -> TenantSource {
+    match section.values.text("tenant-by") {
+        Some(TENANT_BY_NETWORK) => TenantSource::Network,
+        Some(TENANT_BY_HEADER_OR_NETWORK) => TenantSource::HeaderOrNetwork,
+        Some(TENANT_BY_CERTIFICATE) => TenantSource::Certificate,
+        _ => TenantSource::Header,
+    }
+}
+
+/// A network of a tenant, and the section that it was read from.
+struct TenantNetworkRule<'a> {
+    network: IpNet,
+    tenant: &'a str,
+    section: SectionReader<'a>,
+}
+
+/// Reads all sections `[network NAME]`, which are an error where the tenant source ignores them.
+pub(super) fn read_tenant_networks(
+    settings: &Settings,
+    schema: &Schema,
+    gateway_section: &SectionReader,
+    tenant_source: TenantSource,
+) -> Result<TenantNetworks, Problems> {
+    let mut rules = Vec::new();
+    for name in settings.names(NETWORK_SECTION.name) {
+        let section = SectionReader::new(settings, schema, &NETWORK_SECTION, name);
+        if !tenant_source.uses_networks() {
+            let reason = "is never used, as [opensearch] tenant-by does not go by networks";
+            return Err(section.error("tenant", reason));
+        }
+        let tenant = section.required_text("tenant")?;
+        let prefixes = section.required_text("prefixes")?;
+        let networks =
+            parse_networks(prefixes).map_err(|error| section.error("prefixes", error))?;
+        rules.extend(networks.into_iter().map(|network| TenantNetworkRule {
+            network,
+            tenant,
+            section,
+        }));
+    }
+    // From the widest to the narrowest: the order in the file does not matter.
+    rules.sort_by_key(|rule| rule.network.prefix_len());
+    let mut tenant_networks = TenantNetworks::default();
+    for rule in rules {
+        tenant_networks
+            .insert(rule.network, rule.tenant)
+            .map_err(|error| rule.section.error("prefixes", error))?;
+    }
+    if tenant_networks.is_empty() && tenant_source.uses_networks() {
+        let reason = "goes by networks, and there is no [network NAME]";
+        return Err(gateway_section.error("tenant-by", reason));
+    }
+    Ok(tenant_networks)
+}
