--- a/crates/opensearch-gateway/src/compression.rs
+++ b/crates/opensearch-gateway/src/compression.rs
@@ -25,8 +25,8 @@
     },
 }
 
-/// Decompresses a body. Never holds more than `max_bytes` and one byte, whatever the body would
-/// decompress to.
+/// Decompresses a body. It stops after one byte more than `max_bytes`, so that a small body can't
+/// use up the memory.
 ///
 /// # Errors
 /// The body is not gzip, or decompresses to more than `max_bytes`.
@@ -42,7 +42,7 @@
     Ok(decompressed)
 }
 
-/// Compresses a body; none if that fails, which writing to memory never does.
+/// Compresses a body. `None` if that fails, which does not happen when writing to memory.
 pub fn compress(body: &[u8]) -> Option<Vec<u8>> {
     let buffer = Vec::with_capacity(body.len() / EXPECTED_COMPRESSION_RATIO);
     let mut encoder = GzEncoder::new(buffer, Compression::fast());
--- a/crates/opensearch-gateway/src/error.rs
+++ b/crates/opensearch-gateway/src/error.rs
@@ -12,7 +12,7 @@
 const SECURITY: &str = "security_exception";
 const CIRCUIT_BREAKING: &str = "circuit_breaking_exception";
 
-/// Why a request was not answered with a result. `Display` is the `reason` that the client sees.
+/// Why a request failed. Its `Display` text is the `reason` that the client sees.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum GatewayError {
     /// The body is not a supported search.
@@ -69,7 +69,7 @@
     /// The shards' answers are too large to be merged.
     #[error("the shards' answers hold {bytes} bytes, and {max_bytes} may be held")]
     AnswersTooLarge { bytes: usize, max_bytes: usize },
-    /// The query failed as a whole.
+    /// The aggregator failed the query.
     #[error("all shards failed or were too late")]
     AllShardsFailed { index: String, shards: ShardSummary },
     /// The usable answers cover less than the minimum of the query's class.
@@ -78,7 +78,7 @@
     /// The client does not accept partial results.
     #[error("Partial shards failure")]
     PartialResults { index: String, shards: ShardSummary },
-    /// A count was requested with more than a query.
+    /// The body of a count has more than a query.
     #[error("a count takes a query only")]
     NotACount,
     /// The lines of a multi-search do not form pairs.
--- a/crates/opensearch-gateway/src/lib.rs
+++ b/crates/opensearch-gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! An OpenSearch-style HTTP frontend on the aggregator's core.
 //!
 //! [`server`] accepts HTTP requests, optionally over [`tls`], and runs each search as one query of
-//! the aggregator, subject to the same policy as every native query. The other modules are free of
-//! I/O:
+//! the aggregator, subject to the same policy as every native query; its page says from which call
+//! on both are the same. The other modules have no I/O:
 //!
 //! - [`query_dsl`] parses a request's body into a typed search and rewrites it for the shards,
 //! - [`merge`] merges the shards' answers,
--- a/crates/opensearch-gateway/src/merge/aggregations.rs
+++ b/crates/opensearch-gateway/src/merge/aggregations.rs
@@ -72,25 +72,39 @@
     partial.get(key).and_then(Value::as_u64).unwrap_or(0)
 }
 
+/// A well-formed bucket in the partial result of a shard.
+struct PartialBucket<'a> {
+    key: &'a Value,
+    doc_count: u64,
+}
+
+impl PartialBucket<'_> {
+    fn parse(bucket: &Value) -> Option<PartialBucket<'_>> {
+        Some(PartialBucket {
+            key: bucket.get("key")?,
+            doc_count: bucket.get("doc_count")?.as_u64()?,
+        })
+    }
+}
+
 /// The well-formed buckets of one partial result.
-fn buckets(partial: &Value) -> impl Iterator<Item = (&Value, u64)> {
-    let buckets = partial
-        .get("buckets")
-        .and_then(Value::as_array)
+fn buckets(partial: &Value) -> impl Iterator<Item = PartialBucket<'_>> {
+    let buckets = partial.get("buckets").and_then(Value::as_array);
+    buckets
         .into_iter()
-        .flatten();
-    buckets.filter_map(|bucket| Some((bucket.get("key")?, bucket.get("doc_count")?.as_u64()?)))
+        .flatten()
+        .filter_map(PartialBucket::parse)
 }
 
 /// Adds up the buckets of all partial results by key, in the order of the keys' JSON.
 fn sum_buckets(partials: &[Value]) -> Vec<Bucket> {
     let mut sums: BTreeMap<String, Bucket> = BTreeMap::new();
-    for (key, doc_count) in partials.iter().flat_map(buckets) {
-        let bucket = sums.entry(key.to_string()).or_insert_with(|| Bucket {
+    for PartialBucket { key, doc_count } in partials.iter().flat_map(buckets) {
+        let sum = sums.entry(key.to_string()).or_insert_with(|| Bucket {
             key: key.clone(),
             doc_count: 0,
         });
-        bucket.doc_count = bucket.doc_count.saturating_add(doc_count);
+        sum.doc_count = sum.doc_count.saturating_add(doc_count);
     }
     sums.into_values().collect()
 }
@@ -102,27 +116,17 @@
     json!({ "buckets": buckets })
 }
 
-/// The most frequent terms, with the error bound: a shard that left terms out may have had as many
-/// documents of any term that it did not return as of its least frequent returned one.
+/// The most frequent terms, with the bound on the error of their counts.
 fn reduce_terms(size: usize, partials: &[Value]) -> Value {
-    let mut error_bound = 0;
-    let mut other_doc_count = 0;
-    for partial in partials {
-        let left_out = count(partial, "sum_other_doc_count");
-        other_doc_count += left_out;
-        if left_out > 0 {
-            let least_frequent = buckets(partial).map(|(_, doc_count)| doc_count).min();
-            error_bound += least_frequent.unwrap_or(0);
-        }
-        error_bound += count(partial, "doc_count_error_upper_bound");
-    }
+    let error_bound: u64 = partials.iter().map(terms_error_bound).sum();
+    let left_out: u64 = partials.iter().map(left_out_doc_count).sum();
     let mut buckets = sum_buckets(partials);
     buckets.sort_by(|left, right| {
         let by_count = right.doc_count.cmp(&left.doc_count);
         by_count.then_with(|| compare_sort_values(&left.key, &right.key, SortOrder::Asc))
     });
     let beyond_page = buckets.iter().skip(size).map(|bucket| bucket.doc_count);
-    other_doc_count += beyond_page.sum::<u64>();
+    let other_doc_count = left_out + beyond_page.sum::<u64>();
     let buckets = buckets.into_iter().take(size);
     let top: Vec<Value> = buckets.map(Bucket::into_json).collect();
     json!({
@@ -131,3 +135,19 @@
         "buckets": top,
     })
 }
+
+/// The number of documents of the terms that a shard did not return.
+fn left_out_doc_count(partial: &Value) -> u64 {
+    count(partial, "sum_other_doc_count")
+}
+
+/// How many documents of one term a shard may have left out: at most as many as its least frequent
+/// returned term has, if it left out terms at all, and what the shard itself states.
+fn terms_error_bound(partial: &Value) -> u64 {
+    let stated = count(partial, "doc_count_error_upper_bound");
+    if left_out_doc_count(partial) == 0 {
+        return stated;
+    }
+    let least_frequent = buckets(partial).map(|bucket| bucket.doc_count).min();
+    least_frequent.unwrap_or(0) + stated
+}
--- a/crates/opensearch-gateway/src/merge/mod.rs
+++ b/crates/opensearch-gateway/src/merge/mod.rs
@@ -1,4 +1,4 @@
-//! Merges the answers of the shards into one response. Pure.
+//! Merges the answers of the shards into one response, without I/O.
 //!
 //! Hits are ordered by the search's sort keys (by score alone: the highest first), then by shard,
 //! then by id, so that equal inputs always give the same page (see [`compare_sort_values`]). Totals
@@ -21,14 +21,14 @@
 pub struct ShardResult {
     /// The shard's number.
     pub shard: u32,
-    /// What it answered.
+    /// Its answer.
     pub answer: ShardAnswer,
 }
 
 /// The merged page.
 #[derive(Debug, Default)]
 pub struct MergedResult {
-    /// The number of matching documents, if any shard counted.
+    /// The number of matching documents; none if no shard has counted them.
     pub total: Option<Total>,
     /// The best score of all shards; none if the search is not sorted by score.
     pub max_score: Option<f64>,
@@ -61,6 +61,7 @@
     }
 }
 
+/// The sum of two totals, which is a lower bound if one of them is.
 fn add_totals(sum: Option<Total>, total: Total) -> Total {
     let Some(sum) = sum else {
         return total;
@@ -84,7 +85,7 @@
         .max_by(f64::total_cmp)
 }
 
-/// Sorts the hits and cuts out the requested page.
+/// Sorts the hits and returns the requested page of them.
 fn page_of(request: &SearchRequest, mut hits: Vec<RankedHit>) -> Vec<ShardHit> {
     hits.sort_by(|left, right| compare_hits(request, left, right));
     hits.into_iter()
@@ -99,9 +100,8 @@
     partial_aggregations: &BTreeMap<String, Vec<Value>>,
 ) -> Map<String, Value> {
     let reduce = |(name, aggregation): (&String, &Aggregation)| {
-        let partials = partial_aggregations
-            .get(name)
-            .map_or(&[][..], Vec::as_slice);
+        let partials = partial_aggregations.get(name);
+        let partials = partials.map_or(&[][..], Vec::as_slice);
         (name.clone(), aggregations::reduce(aggregation, partials))
     };
     request.aggs.iter().map(reduce).collect()
--- a/crates/opensearch-gateway/src/merge/shard_answer.rs
+++ b/crates/opensearch-gateway/src/merge/shard_answer.rs
@@ -1,4 +1,4 @@
-//! What one shard answers.
+//! The answer of one shard.
 //!
 //! The names of the deserialized types appear in the `json_parse_exception` texts that clients see
 //! for malformed answers, so they are part of the published behaviour. A type with another name
@@ -21,7 +21,7 @@
     /// Partial aggregations by their names.
     #[serde(default)]
     pub aggregations: BTreeMap<String, Value>,
-    /// Whether the shard ran out of time.
+    /// Whether the shard stopped at its own time limit.
     #[serde(default)]
     pub timed_out: bool,
 }
@@ -103,7 +103,7 @@
     /// No answer arrived before the deadline.
     #[error("no answer in time")]
     NoAnswer,
-    /// The shard itself ran out of time.
+    /// The shard stopped at its own time limit.
     #[error("the shard ran out of time")]
     TimedOut,
     /// The shard answered with an error.
@@ -164,29 +164,40 @@
         if self.timed_out {
             return Err(ShardFailure::TimedOut);
         }
-        let hits = &self.hits.hits;
-        let sort_keys = request.sort.len();
-        let incomplete = hits
-            .iter()
-            .find(|hit| hit.sort.len() != sort_keys && !request.is_sorted_by_score());
-        if let Some(hit) = incomplete {
-            let id = hit.id.clone();
-            return Err(ShardFailure::MissingSortValues { id });
+        self.check_sort_values(request)?;
+        self.check_scores()?;
+        self.check_aggregations(request)
+    }
+
+    fn check_sort_values(&self, request: &SearchRequest) -> Result<(), ShardFailure> {
+        if request.is_sorted_by_score() {
+            return Ok(());
         }
-        if hits
-            .iter()
-            .any(|hit| hit.score.is_some_and(|score| !score.is_finite()))
-        {
+        for hit in &self.hits.hits {
+            if hit.sort.len() != request.sort.len() {
+                let id = hit.id.clone();
+                return Err(ShardFailure::MissingSortValues { id });
+            }
+        }
+        Ok(())
+    }
+
+    fn check_scores(&self) -> Result<(), ShardFailure> {
+        let mut scores = self.hits.hits.iter().filter_map(|hit| hit.score);
+        if scores.any(|score| !score.is_finite()) {
             return Err(ShardFailure::NonFiniteScore);
         }
-        let missing = request
-            .aggs
-            .keys()
-            .find(|name| !self.aggregations.contains_key(*name));
-        match missing {
-            Some(name) => Err(ShardFailure::MissingAggregation { name: name.clone() }),
-            None => Ok(()),
+        Ok(())
+    }
+
+    fn check_aggregations(&self, request: &SearchRequest) -> Result<(), ShardFailure> {
+        for name in request.aggs.keys() {
+            if !self.aggregations.contains_key(name) {
+                let name = name.clone();
+                return Err(ShardFailure::MissingAggregation { name });
+            }
         }
+        Ok(())
     }
 }
 
--- a/crates/opensearch-gateway/src/query_dsl/deserialize.rs
+++ b/crates/opensearch-gateway/src/query_dsl/deserialize.rs
@@ -12,7 +12,7 @@
 pub struct FieldEntry<T> {
     /// The field's name.
     pub field: String,
-    /// What is asked of the field.
+    /// The value or options that the clause, aggregation or sort key states for the field.
     pub value: T,
 }
 
--- a/crates/opensearch-gateway/src/query_dsl/error.rs
+++ b/crates/opensearch-gateway/src/query_dsl/error.rs
@@ -4,13 +4,13 @@
     MAX_AGGREGATIONS, MAX_BUCKETS, MAX_CLAUSES, MAX_CLAUSE_DEPTH, MAX_RESULT_WINDOW, MAX_SORT_KEYS,
 };
 
-/// A search request that was rejected, with the place of the fault.
+/// Why a search request was rejected, with the field at fault.
 #[derive(Debug, thiserror::Error)]
 #[error("[{path}] {cause}")]
 pub struct SearchRequestError {
-    /// Path of the field at fault, as in `query.bool.must`.
+    /// Path of the field, as in `query.bool.must`.
     pub path: String,
-    /// What is wrong there.
+    /// What is wrong with the field.
     #[source]
     pub cause: SearchRequestErrorCause,
 }
@@ -42,7 +42,7 @@
         /// The number of values.
         values: usize,
     },
-    /// The requested page ends too far down the result list.
+    /// The requested page ends beyond the largest result window.
     #[error("from + size is {window}, and {MAX_RESULT_WINDOW} at most")]
     ResultWindowTooLarge {
         /// `from + size`.
--- a/crates/opensearch-gateway/src/query_dsl/limits.rs
+++ b/crates/opensearch-gateway/src/query_dsl/limits.rs
@@ -1,4 +1,4 @@
-//! Upper bounds on what one search request may ask for.
+//! Upper bounds on one search request.
 
 /// Maximum depth to which query clauses may be nested.
 pub const MAX_CLAUSE_DEPTH: usize = 20;
--- a/crates/opensearch-gateway/src/response.rs
+++ b/crates/opensearch-gateway/src/response.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Map, Value};
 use std::time::Duration;
 
-/// Up to where hits are counted if the search does not say.
+/// The number up to which hits are counted if the search states none.
 const DEFAULT_TRACK_TOTAL_HITS: u64 = 10_000;
 
 /// A shard without a usable answer.
@@ -16,7 +16,7 @@
     pub(crate) failure: ShardFailure,
 }
 
-/// The outcome of a search by shards.
+/// How many shards of a search answered, and which failed.
 #[derive(Debug, Default)]
 pub(crate) struct ShardSummary {
     pub(crate) total: usize,
@@ -126,7 +126,7 @@
     to_json_bytes(&json!({"count": count, "_shards": shards.to_json(index)}))
 }
 
-/// Serializes a value that has no way to fail: its maps have string keys.
+/// Serializes a value. The maps of all responses have strings as keys, so it does not fail.
 pub(crate) fn to_json_bytes(value: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/opensearch-gateway/src/server/metadata.rs
+++ b/crates/opensearch-gateway/src/server/metadata.rs
@@ -1,7 +1,7 @@
 //! Responses about the cluster and its indices.
 //!
-//! Clients probe these to find out what they are connected to; names and versions in them are
-//! published and stay as they are.
+//! Clients request these to identify the server. Names and versions in them are published and must
+//! not change.
 
 use super::context::{Gateway, Index};
 use crate::settings::{GatewaySettings, IndexSettings};
--- a/crates/opensearch-gateway/src/server/multi_search.rs
+++ b/crates/opensearch-gateway/src/server/multi_search.rs
@@ -1,7 +1,7 @@
 //! `_msearch`: several searches in one request.
 //!
-//! The body holds two lines for each search, its header and its body. Searches are run a few at a
-//! time and answered in their order. A search that fails is answered with its error and does not
+//! The body has two lines for each search: its header and its body. A few searches run at a time, and
+//! the response has them in their order. A search that fails is answered with its error and does not
 //! affect the others.
 
 use super::context::{RequestContext, ALL_INDICES};
@@ -40,9 +40,9 @@
     body: Bytes,
 }
 
-/// What all searches of one request share.
+/// What the request states for all of its searches. The header of a search takes precedence.
 #[derive(Clone)]
-struct Defaults {
+struct SearchDefaults {
     context: RequestContext,
     /// The index in the URL.
     index: Option<String>,
@@ -58,7 +58,7 @@
 ) -> Result<Vec<u8>, GatewayError> {
     let started = Instant::now();
     let searches = split_searches(body)?;
-    let defaults = Defaults {
+    let defaults = SearchDefaults {
         context: context.clone(),
         index: index.map(str::to_string),
         parameters: parameters.clone(),
@@ -101,7 +101,7 @@
 }
 
 /// The responses' bodies in the order of the searches.
-async fn run_searches(searches: Vec<SearchLines>, defaults: &Defaults) -> Vec<Vec<u8>> {
+async fn run_searches(searches: Vec<SearchLines>, defaults: &SearchDefaults) -> Vec<Vec<u8>> {
     let mut responses = vec![Vec::new(); searches.len()];
     // Dropped if the client disconnects, which cancels the searches in flight.
     let mut running = JoinSet::new();
@@ -132,29 +132,40 @@
 
 async fn run_search(
     search_lines: &SearchLines,
-    defaults: Defaults,
+    defaults: SearchDefaults,
 ) -> Result<Vec<u8>, GatewayError> {
     let header = parse_header(&search_lines.header)?;
-    let header_index = header_index(&header)?;
-    let index = header_index.or(defaults.index.as_deref());
-    let has_other_type = header
-        .search_type
-        .as_deref()
-        .is_some_and(|search_type| search_type != QUERY_THEN_FETCH);
-    if header.routing.is_some() || has_other_type {
+    let index = header_index(&header)?
+        .or(defaults.index.as_deref())
+        .unwrap_or(ALL_INDICES);
+    if has_unsupported_option(&header) {
         return Err(GatewayError::UnsupportedSearchOption);
     }
-    let mut parameters = defaults.parameters;
+    let parameters = search_parameters(&header, defaults.parameters)?;
+    search(&defaults.context, index, &parameters, &search_lines.body).await
+}
+
+/// The parameters of a search: those of its header, else those of the URL.
+fn search_parameters(
+    header: &SearchHeader,
+    url_parameters: UrlParameters,
+) -> Result<UrlParameters, GatewayError> {
+    let mut parameters = url_parameters;
     if let Some(preference) = &header.preference {
-        // Has the same form as in a URL, and the same errors.
+        // Parsed as a URL's parameter: it has the same form and the same errors.
         let query = format!("preference={preference}");
         parameters.shards = UrlParameters::parse("/_msearch", Some(&query))?.shards;
     }
     parameters.allow_partial_search_results = header
         .allow_partial_search_results
         .or(parameters.allow_partial_search_results);
-    let index = index.unwrap_or(ALL_INDICES);
-    search(&defaults.context, index, &parameters, &search_lines.body).await
+    Ok(parameters)
+}
+
+fn has_unsupported_option(header: &SearchHeader) -> bool {
+    let search_type = header.search_type.as_deref();
+    let has_other_type = search_type.is_some_and(|search_type| search_type != QUERY_THEN_FETCH);
+    header.routing.is_some() || has_other_type
 }
 
 /// Parses a header line; an empty one has no options.
@@ -178,7 +189,7 @@
     name.map(Some).ok_or(GatewayError::NotOneIndex)
 }
 
-/// The body of one response among several: with its status in it.
+/// The response to one search: the body that it has alone, with the status as a member.
 fn response_with_status(result: Result<Vec<u8>, GatewayError>) -> Vec<u8> {
     match result {
         Ok(mut body) if body.last() == Some(&b'}') => {
--- a/crates/opensearch-gateway/src/server/parameters.rs
+++ b/crates/opensearch-gateway/src/server/parameters.rs
@@ -6,7 +6,7 @@
 /// Prefix of a `preference` that names shards.
 const SHARDS_PREFERENCE_PREFIX: &str = "_shards:";
 
-/// What the URL of a request states beside its path.
+/// The parameters in the URL of a request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UrlParameters {
     pub(super) from: Option<u64>,
@@ -41,7 +41,7 @@
                 self.allow_partial_search_results = Some(parameter.flag()?);
             }
             "preference" => self.shards = Some(parameter.shards()?),
-            // They concern the layout of the response's JSON only, not its content.
+            // Ignored: they change the layout of the response's JSON, not its content.
             "pretty" | "human" | "error_trace" => {}
             _ => {
                 return Err(GatewayError::UnknownParameter {
@@ -63,6 +63,7 @@
         .replace("%2c", ",")
 }
 
+/// One parameter, with its value decoded.
 struct Parameter<'a> {
     name: &'a str,
     value: String,
@@ -102,8 +103,10 @@
 
     /// The shards in `_shards:0,2`. Another preference may follow after `|`, which is ignored.
     fn shards(&self) -> Result<Vec<u32>, GatewayError> {
-        let preference = self.value.strip_prefix(SHARDS_PREFERENCE_PREFIX);
-        let preference = preference.ok_or_else(|| self.invalid())?;
+        let preference = self
+            .value
+            .strip_prefix(SHARDS_PREFERENCE_PREFIX)
+            .ok_or_else(|| self.invalid())?;
         let shards = preference.split('|').next().unwrap_or_default();
         shards
             .split(',')
--- a/crates/opensearch-gateway/src/server/tenant.rs
+++ b/crates/opensearch-gateway/src/server/tenant.rs
@@ -21,7 +21,7 @@
         })
 }
 
-/// The tenant's name by the configured source, else the default tenant.
+/// The tenant's name by the configured source; without one, the default tenant.
 fn tenant_name(context: &RequestContext) -> Option<&str> {
     let settings = &context.gateway.settings;
     let head = &context.head;
--- a/crates/opensearch-gateway/src/settings/index.rs
+++ b/crates/opensearch-gateway/src/settings/index.rs
@@ -5,12 +5,12 @@
 use ini_config::{Problems, Schema, Settings};
 use std::collections::BTreeMap;
 
-/// Tolerance on a sum of weights, which operators write with few digits.
+/// Tolerance on the sum of weights, as operators write them with few digits.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
-/// Maximum distance between the ends of a range of shards.
+/// Maximum difference between the last and the first shard of a range.
 const MAX_SHARD_RANGE: u32 = 100_000;
 
-/// A shard with its share of an index.
+/// A shard of an index, with its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardWeight {
     /// The shard's number.
--- a/crates/opensearch-gateway/src/tls.rs
+++ b/crates/opensearch-gateway/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS with certificates that are reloaded without closing connections.
+//! TLS with a certificate that can be reloaded without closing connections.
 
 use rustls::crypto::CryptoProvider;
 use rustls::pki_types::pem::{self, PemObject};
@@ -72,7 +72,7 @@
         /// The cause.
         source: rustls::Error,
     },
-    /// The verifier of clients' certificates can't be built.
+    /// The verifier of client certificates can't be built.
     #[error(transparent)]
     ClientVerifier(#[from] VerifierBuilderError),
     /// The protocol versions are not supported.
