--- a/crates/opensearch-gateway/tests/tls.rs
+++ b/crates/opensearch-gateway/tests/tls.rs
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_reload_affects_new_connections_only_and_unusable_files_change_nothing() {
+async fn a_reload_affects_new_connections_and_ignores_unusable_files() {
     let authority = Authority::new();
     let identity = authority.issue("one.example", "one");
     let files = ServerFiles::new(&authority, &identity);
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn a_client_is_named_by_its_certificate_and_an_unknown_authority_is_rejected() {
+async fn certificates_name_clients_and_unknown_authorities_are_rejected() {
     let authority = Authority::new();
     let unknown_authority = Authority::new();
     let identity = authority.issue("one.example", "one");
