--- a/crates/opensearch-gateway/src/server/mod.rs
+++ b/crates/opensearch-gateway/src/server/mod.rs
@@ -5,15 +5,15 @@
 //! 1. `listener.rs` accepts the connection, `connection.rs` serves it, `http.rs` handles one request
 //!    and `router.rs` finds its handler.
 //! 2. `search.rs` parses the body; `multi_search.rs` runs several searches.
-//! 3. `execution.rs` makes a [`QueryRequest`] of the search: the index determines the class, `tenant.rs`
-//!    the tenant, and `shard_selection.rs` the parts. [`InternalClient::send_query`] sends it to the
-//!    engine.
-//! 4. `execution.rs` receives the [`QueryReply`], `shard_selection.rs` checks that the shards' answers
-//!    suffice, and `search.rs` merges them and renders the response.
+//! 3. `execution.rs` makes a [`QueryRequest`] of the search: the index determines the class,
+//!    `tenant.rs` the tenant, and `shard_selection.rs` the parts. [`InternalClient::send_query`]
+//!    sends it to the engine.
+//! 4. `execution.rs` receives the [`QueryReply`], `shard_selection.rs` checks that the shards'
+//!    answers suffice, and `search.rs` merges them and renders the response.
 //!
 //! From [`InternalClient::send_query`] on (`core/src/net/internal_client.rs`), a search is the same
-//! as a native query: both reach the engine as [`Input::RequestReceived`] with a [`QueryRequest`], each
-//! from a client that has connected. Neither the engine nor the policy knows the frontend.
+//! as a native query: both reach the engine as [`Input::RequestReceived`] with a [`QueryRequest`],
+//! each from a client that has connected. Neither the engine nor the policy knows the frontend.
 //!
 //! Shutdown: while the aggregator drains, `http.rs` closes each connection with its response. Once
 //! it accepts no more connections, `listener.rs` accepts those in its backlog and ends, and
