--- a/crates/opensearch-gateway/src/server/context.rs
+++ b/crates/opensearch-gateway/src/server/context.rs
@@ -77,7 +77,7 @@
 }
 
 /// The headers of a request, and the client that sent it.
-pub(super) struct RequestHead {
+pub(super) struct GatewayRequestHead {
     pub(super) headers: HeaderMap,
     /// The client's own address, not that of a trusted proxy.
     pub(super) client_address: IpAddr,
@@ -85,7 +85,7 @@
     pub(super) client_certificate_name: Option<String>,
 }
 
-impl RequestHead {
+impl GatewayRequestHead {
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         header_text(&self.headers, name)
     }
@@ -102,5 +102,5 @@
     pub(super) gateway: Rc<Gateway>,
     /// When the request's head arrived, in Unix nanoseconds.
     pub(super) received_at_ns: u64,
-    pub(super) head: Rc<RequestHead>,
+    pub(super) head: Rc<GatewayRequestHead>,
 }
--- a/crates/opensearch-gateway/src/server/execution.rs
+++ b/crates/opensearch-gateway/src/server/execution.rs
@@ -1,6 +1,6 @@
 //! Execution of a search on its shards, as one query of the aggregator.
 
-use super::context::{Index, RequestContext, RequestHead};
+use super::context::{GatewayRequestHead, Index, RequestContext};
 use super::parameters::UrlParameters;
 use super::shard_selection::{AnswerRequirements, SearchOutcome, ShardSelection};
 use super::tenant::resolve_tenant;
@@ -88,7 +88,7 @@
 }
 
 /// The client's idempotency key, if it has a usable length.
-fn idempotency_key(head: &RequestHead) -> Option<String> {
+fn idempotency_key(head: &GatewayRequestHead) -> Option<String> {
     head.header(IDEMPOTENCY_KEY)
         .filter(|key| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len()))
         .map(str::to_string)
--- a/crates/opensearch-gateway/src/server/http.rs
+++ b/crates/opensearch-gateway/src/server/http.rs
@@ -1,7 +1,7 @@
 //! Handles one HTTP request: reads its body, has it routed, and renders the response.
 
 use super::body::read_body;
-use super::context::{header_text, Gateway, Peer, RequestContext, RequestHead};
+use super::context::{header_text, Gateway, GatewayRequestHead, Peer, RequestContext};
 use super::router;
 use crate::compression::{self, MIN_COMPRESSED_BYTES};
 use crate::error::GatewayError;
@@ -84,7 +84,7 @@
         .filter_map(|line| line.to_str().ok())
         .collect();
     let proxies = &gateway.settings.trusted_proxies;
-    let head = Rc::new(RequestHead {
+    let head = Rc::new(GatewayRequestHead {
         headers: parts.headers.clone(),
         client_address: networks::client_address(peer.address, &forwarded_for, proxies),
         client_certificate_name: peer.certificate_name,
