--- a/crates/aggregator/src/settings/log.rs
+++ b/crates/aggregator/src/settings/log.rs
@@ -9,14 +9,14 @@
 pub const SECTION: Section = Section::new(
     "log",
     &[
-        Key::live(
+        Key::reloadable(
             "level",
             Kind::Choice(&["error", "warn", "info", "debug", "trace"]),
             Some("info"),
             "The least level that is logged. \
              QUERY_AGGREGATOR_LOG in the environment goes before it.",
         ),
-        Key::live(
+        Key::reloadable(
             "targets",
             Kind::Text,
             Some(""),
--- a/crates/ini-config/src/schema.rs
+++ b/crates/ini-config/src/schema.rs
@@ -12,7 +12,7 @@
     /// The value where the file has none; without a default the key is then unset.
     pub default: Option<&'static str>,
     /// Whether a running program applies a change on SIGHUP.
-    pub live: bool,
+    pub reloadable: bool,
     /// One sentence for the operator.
     pub doc: &'static str,
 }
@@ -29,20 +29,20 @@
             name,
             kind,
             default,
-            live: false,
+            reloadable: false,
             doc,
         }
     }
 
     /// A key whose change takes effect on SIGHUP.
-    pub const fn live(
+    pub const fn reloadable(
         name: &'static str,
         kind: Kind,
         default: Option<&'static str>,
         doc: &'static str,
     ) -> Key {
         Key {
-            live: true,
+            reloadable: true,
             ..Key::new(name, kind, default, doc)
         }
     }
--- a/crates/ini-config/src/settings.rs
+++ b/crates/ini-config/src/settings.rs
@@ -33,7 +33,7 @@
     /// Where the value came from.
     pub origin: Origin,
     /// Whether a running program applies a change on SIGHUP.
-    pub live: bool,
+    pub reloadable: bool,
 }
 
 /// The values of a file, and the schema's defaults where it has none.
@@ -113,7 +113,7 @@
             key: key.name,
             value: text.unwrap_or(NOT_SET).to_string(),
             origin: source.map_or(Origin::Default, |value| Origin::Line(value.line)),
-            live: key.live,
+            reloadable: key.reloadable,
         }
     }
 
@@ -136,11 +136,11 @@
             section,
             key,
             value,
-            live,
+            reloadable,
             ..
         } in self.effective_values(schema)
         {
-            if !live {
+            if !reloadable {
                 values.insert(FullKey { section, key }, value);
             }
         }
--- a/crates/ini-config/tests/settings.rs
+++ b/crates/ini-config/tests/settings.rs
@@ -11,7 +11,7 @@
         "log",
         &[
             Key::new("directory", Kind::Text, None, ""),
-            Key::live("flush", Kind::Time, Some("250ms"), ""),
+            Key::reloadable("flush", Kind::Time, Some("250ms"), ""),
             Key::new("segment", Kind::Bytes, Some("8MiB"), ""),
             Key::new("queue", Kind::Count(1, 100), Some("10"), ""),
             Key::new("format", Kind::Choice(&["json", "text"]), Some("text"), ""),
@@ -19,7 +19,10 @@
             Key::new("every", Kind::TimeOr(&["daily", "monthly"]), None, ""),
         ],
     ),
-    Section::named("member", &[Key::live("address", Kind::Address, None, "")]),
+    Section::named(
+        "member",
+        &[Key::reloadable("address", Kind::Address, None, "")],
+    ),
 ]);
 
 fn problems(text: &str) -> Vec<String> {
--- a/crates/usage-ledger/src/settings/schema.rs
+++ b/crates/usage-ledger/src/settings/schema.rs
@@ -64,13 +64,13 @@
             None,
             "The SQLite file of the settlement.",
         ),
-        Key::live(
+        Key::reloadable(
             "again",
             Kind::Time,
             Some("200ms"),
             "Wait before a member that failed is asked again; it doubles up to 32 times.",
         ),
-        Key::live(
+        Key::reloadable(
             "silent",
             Kind::Time,
             Some("5s"),
@@ -95,20 +95,20 @@
             Some("UTC"),
             "Time zone of daily and monthly periods, by its IANA name.",
         ),
-        Key::live(
+        Key::reloadable(
             "horizon",
             Kind::Time,
             Some("30s"),
             "The longest after a first try that a retry may arrive: \
              at least the longest give-up time of a class.",
         ),
-        Key::live(
+        Key::reloadable(
             "skew",
             Kind::Time,
             Some("2s"),
             "The most that two mixers' clocks differ.",
         ),
-        Key::live(
+        Key::reloadable(
             "grace",
             Kind::Time,
             Some("1h"),
@@ -121,19 +121,19 @@
 pub const MEMBER: Section = Section::named(
     "member",
     &[
-        Key::live(
+        Key::reloadable(
             "address",
             Kind::Address,
             None,
             "Where this mixer's log is collected: its [usage] listen.",
         ),
-        Key::live(
+        Key::reloadable(
             "from",
             Kind::Text,
             None,
             "When it joined, as in 2026-12-01T00:00:00Z; always if unset.",
         ),
-        Key::live(
+        Key::reloadable(
             "until",
             Kind::Text,
             None,
@@ -146,13 +146,13 @@
 pub const PRICE: Section = Section::named(
     "price",
     &[
-        Key::live(
+        Key::reloadable(
             "whole",
             Kind::Count(0, MAX_COUNT),
             None,
             "Price of a whole answer of this class, in micro-units.",
         ),
-        Key::live(
+        Key::reloadable(
             "partial",
             Kind::Count(0, MAX_COUNT),
             None,
@@ -164,7 +164,7 @@
 /// `[tenant NAME]`: what a tenant may use.
 pub const TENANT: Section = Section::named(
     "tenant",
-    &[Key::live(
+    &[Key::reloadable(
         "allowance",
         Kind::Count(0, MAX_COUNT),
         None,
@@ -176,25 +176,25 @@
 pub const EXPORT: Section = Section::new(
     "export",
     &[
-        Key::live(
+        Key::reloadable(
             "folder",
             Kind::Text,
             None,
             "Folder that documents are put into, each by an atomic rename.",
         ),
-        Key::live(
+        Key::reloadable(
             "url",
             Kind::Text,
             None,
             "Where documents are posted, as in http://127.0.0.1:9000/documents.",
         ),
-        Key::live(
+        Key::reloadable(
             "timeout",
             Kind::Time,
             Some("5s"),
             "How long the receiver may take for one document.",
         ),
-        Key::live(
+        Key::reloadable(
             "again",
             Kind::Time,
             Some("500ms"),
