--- a/crates/aggregator/src/error.rs
+++ b/crates/aggregator/src/error.rs
@@ -1,4 +1,4 @@
-//! The classes of errors that the exit code of the program tells apart.
+//! The classes of errors, each with an exit code of its own.
 
 /// Who has to act on an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/aggregator/src/legacy_names.rs
+++ b/crates/aggregator/src/legacy_names.rs
@@ -23,8 +23,8 @@
     RenamedTarget { old, new }
 }
 
-/// The log targets of the old crates. The first that matches is applied, so a module stands before
-/// its crate.
+/// The log targets of the old crates. The first that matches is applied, so modules come before
+/// their crate.
 const RENAMED_TARGETS: [RenamedTarget; 7] = [
     renamed("cottonhill_mixer::routing", "aggregator_core::engine"),
     renamed("cottonhill_mixer::transport", "aggregator_core::net"),
--- a/crates/aggregator/src/process/signals.rs
+++ b/crates/aggregator/src/process/signals.rs
@@ -1,5 +1,8 @@
 //! Handlers of the signals that operators send: SIGTERM and SIGINT start a graceful shutdown,
 //! SIGHUP a reload.
+//!
+//! Each becomes an [`OperatorSignal`], which the event loop of `aggregator_core::net` passes to the
+//! engine.
 
 use super::reload::Reloader;
 use aggregator_core::net::OperatorSignal;
--- a/crates/opensearch-gateway/src/networks/mod.rs
+++ b/crates/opensearch-gateway/src/networks/mod.rs
@@ -1,4 +1,4 @@
-//! IP networks: trusted proxies, and tenants by the network that a request comes from. Pure.
+//! IP networks: trusted proxies, and tenants by the network that a request comes from. No I/O.
 //!
 //! Networks are matched by their longest prefix. Where a client connects through proxies, its
 //! address is the last one in `X-Forwarded-For` that is not a trusted proxy's; the header is
--- a/crates/opensearch-gateway/src/networks/tenant_networks.rs
+++ b/crates/opensearch-gateway/src/networks/tenant_networks.rs
@@ -25,7 +25,7 @@
     },
 }
 
-/// Tenants by network. The longest prefix wins.
+/// Tenants by network. An address belongs to the network with the longest prefix.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantNetworks {
     tenants: NetworkMap<String>,
--- a/crates/opensearch-gateway/src/server/execution.rs
+++ b/crates/opensearch-gateway/src/server/execution.rs
@@ -94,7 +94,7 @@
         .map(str::to_string)
 }
 
-/// The answers of the leaf servers in a reply, or the error that the reply stands for.
+/// The results of the parts, or the error for a query that was not answered.
 fn answer_hits(
     reply: QueryReply,
     index: Index,
--- a/crates/opensearch-gateway/src/server/mod.rs
+++ b/crates/opensearch-gateway/src/server/mod.rs
@@ -13,7 +13,8 @@
 //!
 //! From [`InternalClient::send_query`] on (`core/src/net/internal_client.rs`), a search is the same
 //! as a native query: both reach the engine as [`Input::RequestReceived`] with a [`QueryRequest`],
-//! each from a client that has connected. Neither the engine nor the policy knows the frontend.
+//! each from a client that has connected. A query does not state its frontend: the engine and the
+//! policy treat both alike.
 //!
 //! Shutdown: while the aggregator drains, `http.rs` closes each connection with its response. Once
 //! it accepts no more connections, `listener.rs` accepts those in its backlog and ends, and
