--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -167,9 +167,6 @@
         let Some(replica) = self.context.replicas.get_mut(id) else {
             return ConnectionUse::RecentlyUsed;
         };
-        if !self.renewal.is_enabled() {
-            return ConnectionUse::RecentlyUsed;
-        }
         if !replica.outstanding.has_call_of(now) {
             replica.connection = self.renewal.connection_for_call(now, replica);
             if replica.connection == ConnectionUse::Renewed {
--- a/crates/policy/src/policy/connection_renewal.rs
+++ b/crates/policy/src/policy/connection_renewal.rs
@@ -49,6 +49,9 @@
     /// The connection for an attempt that starts a call to the replica now. Where it is
     /// [`ConnectionUse::Renewed`], the idle connections have to be closed first.
     pub fn connection_for_call(&self, now: Nanos, replica: &ReplicaRecord) -> ConnectionUse {
+        if self.long_idle_time == 0 {
+            return ConnectionUse::RecentlyUsed;
+        }
         let is_idle = replica.outstanding.is_empty() && replica.last_response > 0;
         if !is_idle || now - replica.last_response <= self.long_idle_time {
             ConnectionUse::RecentlyUsed
@@ -59,11 +62,6 @@
         }
     }
 
-    /// Whether idle times are known, so that connections can be told apart.
-    pub fn is_enabled(&self) -> bool {
-        self.long_idle_time > 0
-    }
-
     /// Counts the connections lost before this response, and that of an attempt that was answered.
     pub fn on_attempt_end(
         &mut self,
--- a/crates/policy/src/policy/tuning.rs
+++ b/crates/policy/src/policy/tuning.rs
@@ -20,7 +20,7 @@
 pub const OVERLOAD_MIN_PARTS: usize = 8;
 /// Window of the overload signal, and least time between two steps down (design: a second).
 pub const OVERLOAD_WINDOW: Nanos = SECOND;
-/// Time without overload after which the cutoff sinks.
+/// Time without overload after which the cutoff falls.
 pub const CUTOFF_QUIET_TIME: Nanos = 3 * SECOND;
 /// Share of a step's time after which its parts count as late (design: three quarters).
 pub const LATE_SHARE: f64 = 0.8;
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -95,7 +95,7 @@
 }
 
 fn settings(random: &mut Rng) -> PolicySettings {
-    let cold = random.u32(..3) > 0;
+    let has_slow_start = random.u32(..3) > 0;
     PolicySettings {
         classes: (0..random.usize(1..4)).map(|_| class(random)).collect(),
         placement_cells: random.u32(1..5),
@@ -111,9 +111,9 @@
         hedging_allowed: random.u32(..4) > 0,
         health_checks_allowed: random.bool(),
         max_retry_after: if random.bool() { 1_500 * MS } else { 0 },
-        initial_capacity: cold.then_some(0.2),
+        initial_capacity: has_slow_start.then_some(0.2),
         warm_up_time: 18 * SECOND,
-        overload_multiple: cold.then_some(2.5),
+        overload_multiple: has_slow_start.then_some(2.5),
         overload_window: 3 * SECOND,
         retry_budget: (random.u32(..3) == 0).then_some(RetryBudget {
             minimum: 3.0,
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -11,13 +11,13 @@
 };
 
 fn slow_start_settings() -> PolicySettings {
-    let mut cold = settings(vec![class(2000, 1.0)]);
-    cold.aggregators = 1;
-    cold.initial_capacity = Some(0.2);
-    cold.warm_up_time = 10_000 * MS;
-    cold.overload_multiple = Some(4.0);
-    cold.overload_window = 1000 * MS;
-    cold
+    let mut slow_start = settings(vec![class(2000, 1.0)]);
+    slow_start.aggregators = 1;
+    slow_start.initial_capacity = Some(0.2);
+    slow_start.warm_up_time = 10_000 * MS;
+    slow_start.overload_multiple = Some(4.0);
+    slow_start.overload_window = 1000 * MS;
+    slow_start
 }
 
 #[test]
@@ -95,13 +95,13 @@
 /// then there is a burst.
 fn excess_over_the_allowance(aggregators: u32, seed: u64) -> f64 {
     const WARM: u64 = 4;
-    let (cold, rate) = (slow_start_settings(), 20.0);
+    let (warming, rate) = (slow_start_settings(), 20.0);
     let each = rate * WARM as f64 / f64::from(aggregators);
     let mut at: Vec<u64> = Vec::new();
     for n in 0..aggregators {
         let settings = PolicySettings {
             aggregators,
-            ..cold.clone()
+            ..warming.clone()
         };
         let policy = Policy::new(settings, seed * 1000 + u64::from(n));
         let mut harness = PolicyHarness {
@@ -144,7 +144,7 @@
     let over = at.iter().map(|end| {
         let sent = at
             .iter()
-            .filter(|t| **t <= *end && *end - **t < cold.overload_window)
+            .filter(|t| **t <= *end && *end - **t < warming.overload_window)
             .count() as f64;
         let age = (*end - START) as f64 / MS as f64 - 160_000.0;
         let warmth = 0.2 + 0.8 * age / 10_000.0;
@@ -198,13 +198,13 @@
     let burst: Vec<_> = (0..40)
         .flat_map(|i| sent_attempts(&harness.query(10_000 + i, 0, &[1.0]).1))
         .collect();
-    let cold = burst
+    let to_warming = burst
         .iter()
         .filter(|(_, replica)| *replica == ReplicaId(2))
         .count();
     assert!(
-        (1..=6).contains(&cold),
-        "{cold} parts for a replica with an allowance of about four"
+        (1..=6).contains(&to_warming),
+        "{to_warming} parts for a replica with an allowance of about four"
     );
 }
 
@@ -226,13 +226,13 @@
     let burst: Vec<_> = (0..40)
         .flat_map(|i| sent_attempts(&harness.query(2000 + i, 0, &[1.0]).1))
         .collect();
-    let cold = burst
+    let to_warming = burst
         .iter()
         .filter(|(_, replica)| *replica == ReplicaId(2))
         .count();
     assert!(
-        (10..=21).contains(&cold),
-        "{cold} parts for a replica with an allowance of about twenty"
+        (10..=21).contains(&to_warming),
+        "{to_warming} parts for a replica with an allowance of about twenty"
     );
 }
 
