--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -62,9 +62,9 @@
     share: u32,
     parts: u32,
     attempts: u32,
-    crossed: u32,
+    cross_zone_attempts: u32,
     is_retry: bool,
-    keyed: bool,
+    has_idempotency_key: bool,
     key: u64,
 }
 
@@ -82,9 +82,9 @@
             json!(self.share),
             json!(self.parts),
             json!(self.attempts),
-            json!(self.crossed),
+            json!(self.cross_zone_attempts),
             json!(self.is_retry),
-            json!(self.keyed),
+            json!(self.has_idempotency_key),
             json!(format!("{:016x}", self.key)),
         ]
     }
@@ -110,7 +110,7 @@
         Outcome::Cancelled => ("left", 0),
     };
     RecordRow {
-        arrived_ms: record.at,
+        arrived_ms: record.arrived_at_ms,
         mixer: name(record.member),
         incarnation: record.incarnation,
         sequence: record.sequence,
@@ -120,9 +120,9 @@
         share,
         parts: record.parts,
         attempts: record.attempts,
-        crossed: record.crossed,
-        is_retry: record.repeat,
-        keyed: record.keyed,
+        cross_zone_attempts: record.cross_zone_attempts,
+        is_retry: record.is_retry,
+        has_idempotency_key: record.has_idempotency_key,
         key: record.key,
     }
 }
@@ -165,9 +165,9 @@
         share: record.share,
         parts: record.parts,
         attempts: record.attempts,
-        crossed: record.crossed,
+        cross_zone_attempts: record.crossed,
         is_retry: record.repeat,
-        keyed: record.keyed,
+        has_idempotency_key: record.keyed,
         key: record.key,
     }
 }
--- a/crates/usage-ledger/src/join.rs
+++ b/crates/usage-ledger/src/join.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RecordId {
     /// Arrival in Unix milliseconds.
-    pub at: i64,
+    pub arrived_at_ms: i64,
     /// The aggregator, by number.
     pub member: u32,
     /// Its run.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageRecord {
     /// Arrival in Unix milliseconds, by its aggregator's clock.
-    pub at: i64,
+    pub arrived_at_ms: i64,
     /// The aggregator, by number.
     pub member: u32,
     /// Its run.
@@ -86,16 +86,16 @@
     /// Attempts at replicas.
     pub attempts: u32,
     /// Attempts at replicas of another zone.
-    pub crossed: u32,
-    /// The client said that it is a retry.
-    pub repeat: bool,
+    pub cross_zone_attempts: u32,
+    /// The client marked it as a retry.
+    pub is_retry: bool,
     /// The client's idempotency key or, where it sent none, the hash of the query.
     pub key: u64,
-    /// The key is the client's.
-    pub keyed: bool,
+    /// Whether `key` is the idempotency key of the client.
+    pub has_idempotency_key: bool,
     /// The longest that clients of the class wait over all their requests, in milliseconds.
     pub client_timeout_ms: i64,
-    /// Its aggregator died right after: the answer may never have left.
+    /// Whether its aggregator crashed soon afterwards, so that the reply may not have been sent.
     pub reply_uncertain: bool,
 }
 
@@ -103,7 +103,7 @@
     /// The record's identity.
     pub fn id(&self) -> RecordId {
         RecordId {
-            at: self.at,
+            arrived_at_ms: self.arrived_at_ms,
             member: self.member,
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -161,7 +161,7 @@
     tenant: u32,
     class: u32,
     key: u64,
-    keyed: bool,
+    has_idempotency_key: bool,
 }
 
 impl GroupKey {
@@ -170,7 +170,7 @@
             tenant: record.tenant,
             class: record.class,
             key: record.key,
-            keyed: record.keyed,
+            has_idempotency_key: record.has_idempotency_key,
         }
     }
 }
@@ -179,7 +179,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     /// Unix milliseconds.
-    at: i64,
+    expires_at_ms: i64,
     /// The request's first record.
     first: RecordId,
 }
@@ -223,8 +223,8 @@
 
     /// Takes the next record. Logical requests that are complete by now are handed to `done`.
     pub fn push(&mut self, record: UsageRecord, done: &mut impl FnMut(LogicalRequest)) {
-        self.advance(record.at, done);
-        if record.repeat || record.keyed {
+        self.advance(record.arrived_at_ms, done);
+        if record.is_retry || record.has_idempotency_key {
             self.retries.push_back(record);
         } else {
             self.open_request(record, false);
@@ -238,7 +238,7 @@
 
     /// Milliseconds after a first request within which a retry may join it.
     fn window(&self, record: &UsageRecord) -> i64 {
-        if record.keyed {
+        if record.has_idempotency_key {
             self.horizon
         } else {
             record.client_timeout_ms.min(self.horizon)
@@ -248,8 +248,8 @@
     fn open_request(&mut self, first: UsageRecord, ambiguous: bool) {
         let group = GroupKey::of(&first);
         let deadline = Deadline {
-            at: first
-                .at
+            expires_at_ms: first
+                .arrived_at_ms
                 .saturating_add(self.window(&first))
                 .saturating_add(2 * self.skew),
             first: first.id(),
@@ -263,21 +263,24 @@
     /// record can precede any more.
     fn advance(&mut self, now: i64, done: &mut impl FnMut(LogicalRequest)) {
         while let Some(retry) = self.retries.front().copied() {
-            if retry.at.saturating_add(self.skew) >= now {
+            if retry.arrived_at_ms.saturating_add(self.skew) >= now {
                 break;
             }
             self.retries.pop_front();
-            self.close_before(retry.at, done);
+            self.close_before(retry.arrived_at_ms, done);
             self.join_retry(retry);
         }
-        let oldest_waiting = self.retries.front().map_or(now, |retry| retry.at);
+        let oldest_waiting = self
+            .retries
+            .front()
+            .map_or(now, |retry| retry.arrived_at_ms);
         self.close_before(oldest_waiting, done);
     }
 
     /// Hands on the logical requests that nothing at or after `now` can join.
     fn close_before(&mut self, now: i64, done: &mut impl FnMut(LogicalRequest)) {
         while let Some(entry) = self.deadlines.first_entry() {
-            if entry.key().at >= now {
+            if entry.key().expires_at_ms >= now {
                 break;
             }
             let (deadline, group) = entry.remove_entry();
@@ -299,10 +302,10 @@
         let window = self.window(&retry);
         let requests = self.open.entry(GroupKey::of(&retry)).or_default();
         let in_window = |request: &LogicalRequest| {
-            request.first().at >= retry.at.saturating_sub(window + skew)
-                && request.last().at <= retry.at.saturating_add(skew)
+            request.first().arrived_at_ms >= retry.arrived_at_ms.saturating_sub(window + skew)
+                && request.last().arrived_at_ms <= retry.arrived_at_ms.saturating_add(skew)
         };
-        if retry.keyed {
+        if retry.has_idempotency_key {
             // The key identifies the logical request: all its records belong to it, in whatever
             // order they ended.
             return match requests.iter_mut().find(|request| in_window(request)) {
@@ -319,7 +322,11 @@
         // before those that only seem to be after it.
         let rank = |index: &usize| {
             let last = requests[*index].last();
-            (last.outcome.is_answered(), last.at > retry.at, last.id())
+            (
+                last.outcome.is_answered(),
+                last.arrived_at_ms > retry.arrived_at_ms,
+                last.id(),
+            )
         };
         let best = candidates.iter().copied().min_by_key(rank);
         let known_ambiguous = self.ambiguous_before.contains(&retry.id());
--- a/crates/usage-ledger/src/rate.rs
+++ b/crates/usage-ledger/src/rate.rs
@@ -116,7 +116,7 @@
         for record in &request.records {
             self.parts += i64::from(record.parts);
             self.attempts += i64::from(record.attempts);
-            self.cross_zone_attempts += i64::from(record.crossed);
+            self.cross_zone_attempts += i64::from(record.cross_zone_attempts);
         }
         self.ambiguous += i64::from(!request.ambiguous.is_empty());
     }
--- a/crates/usage-ledger/src/reconcile.rs
+++ b/crates/usage-ledger/src/reconcile.rs
@@ -197,7 +197,7 @@
     }
 
     fn add_ledger_request(&mut self, key: RequestKey, request: LogicalRequest) {
-        let total = self.total(request.first().at, &key);
+        let total = self.total(request.first().arrived_at_ms, &key);
         total.ledger += 1;
         total.ledger_answered += u64::from(is_answered(outcome_name(request.outcome)));
         self.unmatched.entry(key).or_default().push_back(request);
@@ -216,7 +216,7 @@
                 self.add_difference(
                     DifferenceKind::OnlyInLedger,
                     &key,
-                    request.first().at,
+                    request.first().arrived_at_ms,
                     Some(outcome_name(request.outcome)),
                     None,
                 );
--- a/crates/usage-ledger/src/settle.rs
+++ b/crates/usage-ledger/src/settle.rs
@@ -174,9 +174,9 @@
             carry_over,
             ambiguous,
         } = &mut self.settled;
-        if first.at >= self.period.end {
+        if first.arrived_at_ms >= self.period.end {
             let retries = request.ambiguous.iter();
-            let retries = retries.filter(|id| id.at <= self.retry_until);
+            let retries = retries.filter(|id| id.arrived_at_ms <= self.retry_until);
             carry_over.ambiguous_retries.extend(retries);
             return;
         }
@@ -186,7 +186,7 @@
         };
         lines.entry(key).or_default().add(request);
         let records = request.records.iter();
-        let near_end = records.filter(|record| record.at >= self.carry_from);
+        let near_end = records.filter(|record| record.arrived_at_ms >= self.carry_from);
         carry_over.carried.extend(near_end.map(UsageRecord::id));
         if !request.ambiguous.is_empty() {
             ambiguous.push(first.id());
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -67,7 +67,7 @@
     let mut select = db.prepare(&select)?;
     let ids = select.query_map([period], |row| {
         Ok(RecordId {
-            at: row.get(0)?,
+            arrived_at_ms: row.get(0)?,
             member: row.get(1)?,
             incarnation: row.get(2)?,
             sequence: row.get(3)?,
@@ -88,7 +88,7 @@
     for id in ids {
         insert.execute(params![
             period,
-            id.at,
+            id.arrived_at_ms,
             id.member,
             id.incarnation as i64,
             id.sequence as i64
--- a/crates/usage-ledger/src/store/ingest.rs
+++ b/crates/usage-ledger/src/store/ingest.rs
@@ -266,7 +266,7 @@
             record.parts,
             record.attempts,
             record.crossed,
-            records::flags(record.repeat, record.keyed),
+            records::flags(record),
             record.key as i64,
             class.client_timeout_ms
         ])?;
--- a/crates/usage-ledger/src/store/records.rs
+++ b/crates/usage-ledger/src/store/records.rs
@@ -6,14 +6,14 @@
 use super::uncertainty::{self, RunKey};
 use super::{Result, Store};
 use crate::join::{Outcome, UsageRecord};
-use crate::wire::Outcome as WireOutcome;
+use crate::wire::{Outcome as WireOutcome, Record};
 use rusqlite::{params, Connection, Row};
 use std::ops::Range;
 
-/// Set in a record's flags where the client said that it is a retry.
+/// Bit of the column `flags`: the client marked the request as a retry.
 const FLAG_RETRY: i64 = 1;
-/// Set in a record's flags where the key is the client's own.
-const FLAG_KEYED: i64 = 1 << 1;
+/// Bit of the column `flags`: the key is the idempotency key of the client.
+const FLAG_IDEMPOTENCY_KEY: i64 = 1 << 1;
 
 impl Store {
     /// The records that arrived in `from..until`, in Unix milliseconds, in the order of their ids.
@@ -27,10 +27,16 @@
     }
 }
 
-/// A record's flags as they are stored.
-pub(super) fn flags(retry: bool, keyed: bool) -> i64 {
-    let flag = |set: bool, flag: i64| if set { flag } else { 0 };
-    flag(retry, FLAG_RETRY) | flag(keyed, FLAG_KEYED)
+/// The column `flags` of a record.
+pub(super) fn flags(record: &Record) -> i64 {
+    let mut flags = 0;
+    if record.repeat {
+        flags |= FLAG_RETRY;
+    }
+    if record.keyed {
+        flags |= FLAG_IDEMPOTENCY_KEY;
+    }
+    flags
 }
 
 /// Calls `visit` with the records that arrived in this range, in the order of their ids, one after
@@ -64,7 +70,7 @@
     // SQLite's integers are signed; the bits are those of the key.
     let key: i64 = row.get(12)?;
     Ok(UsageRecord {
-        at: row.get(0)?,
+        arrived_at_ms: row.get(0)?,
         member: row.get(1)?,
         incarnation: row.get(2)?,
         sequence: row.get(3)?,
@@ -73,10 +79,10 @@
         outcome: outcome(row.get(6)?, row.get(7)?),
         parts: row.get(8)?,
         attempts: row.get(9)?,
-        crossed: row.get(10)?,
-        repeat: flags & FLAG_RETRY != 0,
+        cross_zone_attempts: row.get(10)?,
+        is_retry: flags & FLAG_RETRY != 0,
         key: key as u64,
-        keyed: flags & FLAG_KEYED != 0,
+        has_idempotency_key: flags & FLAG_IDEMPOTENCY_KEY != 0,
         client_timeout_ms: row.get(13)?,
         reply_uncertain: false,
     })
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -20,9 +20,9 @@
     skew: SKEW,
 };
 
-fn first_record(at: i64, sequence: u64) -> UsageRecord {
+fn first_record(arrived_at_ms: i64, sequence: u64) -> UsageRecord {
     UsageRecord {
-        at,
+        arrived_at_ms,
         member: 1,
         incarnation: 1,
         sequence,
@@ -31,10 +31,10 @@
         outcome: Outcome::Rejected,
         parts: 2,
         attempts: 3,
-        crossed: 1,
-        repeat: false,
+        cross_zone_attempts: 1,
+        is_retry: false,
         key: 2,
-        keyed: false,
+        has_idempotency_key: false,
         client_timeout_ms: WINDOW,
         reply_uncertain: false,
     }
@@ -59,25 +59,40 @@
 /// The rule as the module states it, over everything at once: no streaming, nothing closed early.
 fn naive(mut records: Vec<UsageRecord>) -> Vec<Vec<RecordId>> {
     records.sort_by_key(UsageRecord::id);
-    let is_first = |record: &&UsageRecord| !record.repeat && !record.keyed;
+    let is_first = |record: &&UsageRecord| !record.is_retry && !record.has_idempotency_key;
     let firsts = records.iter().filter(is_first);
     let mut requests: Vec<Vec<UsageRecord>> = firsts.map(|record| vec![*record]).collect();
     for retry in records.iter().filter(|record| !is_first(record)) {
-        let group = |record: &UsageRecord| (record.tenant, record.class, record.key, record.keyed);
-        let window = if retry.keyed { HORIZON } else { WINDOW };
+        let group = |record: &UsageRecord| {
+            (
+                record.tenant,
+                record.class,
+                record.key,
+                record.has_idempotency_key,
+            )
+        };
+        let window = if retry.has_idempotency_key {
+            HORIZON
+        } else {
+            WINDOW
+        };
         let fits = |request: &&mut Vec<UsageRecord>| {
             let (first, last) = (request[0], request[request.len() - 1]);
-            let open = retry.keyed || last.reply_uncertain || !is_answered(&last);
+            let open = retry.has_idempotency_key || last.reply_uncertain || !is_answered(&last);
             group(&first) == group(retry)
-                && first.at + window + SKEW >= retry.at
-                && last.at <= retry.at + SKEW
+                && first.arrived_at_ms + window + SKEW >= retry.arrived_at_ms
+                && last.arrived_at_ms <= retry.arrived_at_ms + SKEW
                 && open
         };
         let rank = |request: &&mut Vec<UsageRecord>| {
             let (first, last) = (request[0], request[request.len() - 1]);
-            let answered = !retry.keyed && is_answered(&last);
-            let id = if retry.keyed { first.id() } else { last.id() };
-            (answered, last.at > retry.at, id)
+            let answered = !retry.has_idempotency_key && is_answered(&last);
+            let id = if retry.has_idempotency_key {
+                first.id()
+            } else {
+                last.id()
+            };
+            (answered, last.arrived_at_ms > retry.arrived_at_ms, id)
         };
         match requests.iter_mut().filter(fits).min_by_key(rank) {
             Some(request) => request.push(*retry),
@@ -112,14 +127,14 @@
         outcome,
         0u8..8,
     );
-    let record = |(at, member, tenant, key, repeat, outcome, dice)| {
+    let record = |(at, member, tenant, key, is_retry, outcome, dice)| {
         let keyed = dice == 0;
         UsageRecord {
             member,
             tenant,
             key: key * 2 + u64::from(keyed),
-            keyed,
-            repeat,
+            has_idempotency_key: keyed,
+            is_retry,
             outcome,
             reply_uncertain: dice == 1,
             ..first_record(at, 0)
@@ -138,7 +153,7 @@
     let arrivals = BOUNDS.arrivals(period);
     let records = records.iter().copied();
     let mut seen: Vec<UsageRecord> = records
-        .filter(|record| arrivals.contains(&record.at))
+        .filter(|record| arrivals.contains(&record.arrived_at_ms))
         .collect();
     seen.sort_by_key(UsageRecord::id);
     let mut settler = PeriodSettler::new(period, BOUNDS, before.clone());
@@ -182,7 +197,7 @@
         for request in join(records.clone()) {
             let first = request.first();
             let key = LineKey { tenant: first.tenant, class: first.class };
-            let lines = expected.entry(first.at.div_euclid(PERIOD)).or_default();
+            let lines = expected.entry(first.arrived_at_ms.div_euclid(PERIOD)).or_default();
             lines.entry(key).or_default().add(&request);
         }
         let mut carried = CarryOver::default();
@@ -221,7 +236,7 @@
 #[test]
 fn retries_are_joined_one_to_one_and_in_order() {
     let retry = |at, sequence| UsageRecord {
-        repeat: true,
+        is_retry: true,
         ..first_record(at, sequence)
     };
     let complete = |record: UsageRecord| UsageRecord {
@@ -267,7 +282,10 @@
     );
     // A clock that is behind: the retry seems to come before its first request.
     let requests = join(vec![first_record(100, 1), complete(retry(100 - SKEW, 2))]);
-    assert_eq!((requests.len(), requests[0].first().at), (1, 100));
+    assert_eq!(
+        (requests.len(), requests[0].first().arrived_at_ms),
+        (1, 100)
+    );
     assert_eq!(
         join(vec![first_record(100, 1), complete(retry(99 - SKEW, 2))]).len(),
         2
@@ -277,7 +295,7 @@
 #[test]
 fn an_idempotency_key_joins_records_whatever_their_outcome() {
     let keyed = |at, sequence, outcome| UsageRecord {
-        keyed: true,
+        has_idempotency_key: true,
         key: 7,
         outcome,
         ..first_record(at, sequence)
