--- a/crates/aggregator/src/cli/check.rs
+++ b/crates/aggregator/src/cli/check.rs
@@ -9,7 +9,7 @@
 use ini_config::{Origin, Settings};
 use opensearch_gateway::settings::GatewaySettings;
 use std::path::Path;
-use usage_ledger::settings::{Ledger, UsageLog};
+use usage_ledger::settings::{LedgerSettings, UsageLogSettings};
 
 const COLUMNS: [&str; 4] = ["SETTING", "VALUE", "FROM", "CHANGES"];
 
@@ -36,8 +36,8 @@
 
 /// Checks what the schema does not: that the values of a section fit together.
 fn validate(settings: &Settings) -> Result<(), SettingsError> {
-    UsageLog::read(settings, &SCHEMA)?;
-    Ledger::read(settings, &SCHEMA)?;
+    UsageLogSettings::read(settings, &SCHEMA)?;
+    LedgerSettings::read(settings, &SCHEMA)?;
     GatewaySettings::read(settings, &SCHEMA)?;
     Ok(())
 }
--- a/crates/aggregator/src/cli/ledger/context.rs
+++ b/crates/aggregator/src/cli/ledger/context.rs
@@ -6,7 +6,7 @@
 use ini_config::Settings;
 use std::path::PathBuf;
 use usage_ledger::period::Period;
-use usage_ledger::settings::Ledger as LedgerSettings;
+use usage_ledger::settings::LedgerSettings;
 use usage_ledger::settle::Bounds;
 use usage_ledger::store::Store;
 
--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
-use usage_ledger::join::{Outcome, UsageRecord};
+use usage_ledger::join::{RecordedOutcome, UsageRecord};
 use usage_ledger::log::{Follower, Position};
 use usage_ledger::period::stamp;
 use usage_ledger::wire::{entry::What, Damage, Header, Record};
@@ -103,11 +103,11 @@
 fn stored_row<'a>(names: &'a HashMap<u32, String>, record: &UsageRecord) -> RecordRow<'a> {
     let name = |id: u32| names.get(&id).map(String::as_str);
     let (outcome, share) = match record.outcome {
-        Outcome::Complete => ("whole", 0),
-        Outcome::Partial(share) => ("partial", share),
-        Outcome::Rejected => ("refused", 0),
-        Outcome::Failed => ("failed", 0),
-        Outcome::Cancelled => ("left", 0),
+        RecordedOutcome::Complete => ("whole", 0),
+        RecordedOutcome::Partial(share) => ("partial", share),
+        RecordedOutcome::Rejected => ("refused", 0),
+        RecordedOutcome::Failed => ("failed", 0),
+        RecordedOutcome::Cancelled => ("left", 0),
     };
     RecordRow {
         arrived_ms: record.arrived_at_ms,
--- a/crates/aggregator/src/cli/ledger/error.rs
+++ b/crates/aggregator/src/cli/ledger/error.rs
@@ -57,11 +57,11 @@
         /// The store's file.
         path: PathBuf,
         /// Why it can't be opened.
-        source: store::Error,
+        source: store::StoreError,
     },
     /// The store can't be read or written.
     #[error(transparent)]
-    Store(#[from] store::Error),
+    Store(#[from] store::StoreError),
     /// No statement matches.
     #[error("there is no such statement: see 'query-aggregator ledger periods'")]
     NoSuchStatement,
--- a/crates/aggregator/src/cli/ledger/periods.rs
+++ b/crates/aggregator/src/cli/ledger/periods.rs
@@ -3,7 +3,7 @@
 use super::{LedgerContext, LedgerError};
 use crate::cli::output::{OutputFormat, Report};
 use serde_json::{json, Value};
-use usage_ledger::rate::Counts;
+use usage_ledger::rate::UsageCounts;
 use usage_ledger::store::{Statement, StoredStatement};
 
 const COLUMNS: [&str; 9] = [
@@ -53,7 +53,7 @@
 }
 
 /// Sums one count over the lines of the period itself, or over those that adjust earlier periods.
-fn sum(statement: &Statement, adjustments: bool, count: fn(&Counts) -> i64) -> i64 {
+fn sum(statement: &Statement, adjustments: bool, count: fn(&UsageCounts) -> i64) -> i64 {
     let lines = statement.lines.iter();
     lines
         .filter(|line| line.adjusts == adjustments)
--- a/crates/aggregator/src/cli/ledger/serve.rs
+++ b/crates/aggregator/src/cli/ledger/serve.rs
@@ -10,8 +10,8 @@
 use std::io;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc;
-use usage_ledger::settings::Ledger as LedgerSettings;
-use usage_ledger::settlement::{self, OperatorSignal};
+use usage_ledger::settings::LedgerSettings;
+use usage_ledger::settlement::{self, SettlementSignal};
 
 const WORKER_THREADS: usize = 2;
 
@@ -43,14 +43,14 @@
     Ok(())
 }
 
-fn spawn_shutdown_handlers(sender: &mpsc::Sender<OperatorSignal>) -> io::Result<()> {
+fn spawn_shutdown_handlers(sender: &mpsc::Sender<SettlementSignal>) -> io::Result<()> {
     for kind in [SignalKind::terminate(), SignalKind::interrupt()] {
         let mut signals = signal(kind)?;
         let sender = sender.clone();
         tokio::spawn(async move {
             if signals.recv().await.is_some() {
                 // The receiver is gone once the settlement has ended.
-                let _ = sender.send(OperatorSignal::Shutdown).await;
+                let _ = sender.send(SettlementSignal::Shutdown).await;
             }
         });
     }
@@ -58,7 +58,7 @@
 }
 
 fn spawn_reload_handler(
-    sender: &mpsc::Sender<OperatorSignal>,
+    sender: &mpsc::Sender<SettlementSignal>,
     reloader: Reloader,
 ) -> io::Result<()> {
     let mut hangups = signal(SignalKind::hangup())?;
@@ -68,7 +68,7 @@
             match reloader.reload() {
                 Ok(settings) => {
                     let _ = sender
-                        .send(OperatorSignal::Reload(Box::new(settings)))
+                        .send(SettlementSignal::Reload(Box::new(settings)))
                         .await;
                 }
                 Err(error) => tracing::error!("the settings stay as they were: {error}"),
--- a/crates/aggregator/src/cli/ledger/statement.rs
+++ b/crates/aggregator/src/cli/ledger/statement.rs
@@ -3,7 +3,7 @@
 use super::{LedgerContext, LedgerError};
 use crate::cli::output::{self, FormatArguments, OutputError, OutputFormat, Report};
 use serde_json::{json, Value};
-use usage_ledger::rate::Counts;
+use usage_ledger::rate::UsageCounts;
 use usage_ledger::store::{CorrectionLine, MemberState, Statement, StatementLine, TenantTotal};
 
 /// The arguments of `ledger statement`.
@@ -68,7 +68,7 @@
 
     fn report(&self) -> Report {
         let mut columns = vec!["statement", "tenant", "class", "period", "kind"];
-        columns.extend(Counts::NAMES);
+        columns.extend(UsageCounts::NAMES);
         columns.push("amount");
         let mut report = Report::new(&columns);
         for line in &self.statement.lines {
@@ -106,7 +106,7 @@
             json!(self.statement.period),
             json!("correction"),
         ];
-        row.extend(Counts::default().values().map(|zero| json!(zero)));
+        row.extend(UsageCounts::default().values().map(|zero| json!(zero)));
         row.push(json!(correction.amount));
         row
     }
--- a/crates/aggregator/src/process/mod.rs
+++ b/crates/aggregator/src/process/mod.rs
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
-use usage_ledger::settings::UsageLog;
+use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::writer;
 
 /// What the files state at the start of the process.
@@ -33,7 +33,7 @@
     config: Config,
     settings: Settings,
     /// None if the usage log is off.
-    usage_log: Option<UsageLog>,
+    usage_log: Option<UsageLogSettings>,
 }
 
 /// Runs the aggregator until it is shut down by a signal.
@@ -51,7 +51,7 @@
     let path = files.config.as_deref();
     let config = configuration::read(path.ok_or(ConfigurationError::NotNamed)?)?;
     let settings = settings::read(files.settings.as_deref())?;
-    let usage_log = UsageLog::read(&settings, &SCHEMA).map_err(SettingsError::from)?;
+    let usage_log = UsageLogSettings::read(&settings, &SCHEMA).map_err(SettingsError::from)?;
     Ok(Startup {
         config,
         settings,
@@ -133,7 +133,7 @@
 
 /// Starts the usage log's writer, which has a thread of its own.
 fn start_recorder(
-    usage_log: &UsageLog,
+    usage_log: &UsageLogSettings,
     config: &Config,
     clock: &Clock,
 ) -> Result<Box<dyn UsageRecorder>, ServeError> {
--- a/crates/testkit/src/bin/bench-ledger/error.rs
+++ b/crates/testkit/src/bin/bench-ledger/error.rs
@@ -10,7 +10,7 @@
     Installation(#[from] InstallationError),
     /// The ledger's store fails.
     #[error(transparent)]
-    Store(#[from] usage_ledger::store::Error),
+    Store(#[from] usage_ledger::store::StoreError),
     /// A histogram can't be made.
     #[error(transparent)]
     Histogram(#[from] hdrhistogram::CreationError),
--- a/crates/usage-ledger/src/join.rs
+++ b/crates/usage-ledger/src/join.rs
@@ -20,7 +20,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Outcome {
+pub enum RecordedOutcome {
     /// Answered completely.
     Complete,
     /// Answered with this share of the weight, in millionths.
@@ -33,18 +33,25 @@
     Cancelled,
 }
 
-impl Outcome {
+impl RecordedOutcome {
     fn is_answered(self) -> bool {
-        matches!(self, Outcome::Complete | Outcome::Partial(_))
+        matches!(
+            self,
+            RecordedOutcome::Complete | RecordedOutcome::Partial(_)
+        )
     }
 
     /// The outcome of a logical request whose records ended like this and, later, like `other`: the
     /// better one.
-    fn better(self, other: Outcome) -> Outcome {
+    fn better(self, other: RecordedOutcome) -> RecordedOutcome {
         match (self, other) {
-            (Outcome::Complete, _) | (_, Outcome::Complete) => Outcome::Complete,
-            (Outcome::Partial(left), Outcome::Partial(right)) => Outcome::Partial(left.max(right)),
-            (Outcome::Partial(_), _) => self,
+            (RecordedOutcome::Complete, _) | (_, RecordedOutcome::Complete) => {
+                RecordedOutcome::Complete
+            }
+            (RecordedOutcome::Partial(left), RecordedOutcome::Partial(right)) => {
+                RecordedOutcome::Partial(left.max(right))
+            }
+            (RecordedOutcome::Partial(_), _) => self,
             // None was answered: what the client was told last.
             (_, later) => later,
         }
@@ -80,7 +87,7 @@
     /// The class, by number.
     pub class: u32,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: RecordedOutcome,
     /// Shards that were asked.
     pub parts: u32,
     /// Attempts at replicas.
@@ -122,7 +129,7 @@
     /// Its records, in the order in which they were joined; there is at least one.
     pub records: Vec<UsageRecord>,
     /// The best outcome of its records.
-    pub outcome: Outcome,
+    pub outcome: RecordedOutcome,
     /// Of its records, the retries that could have joined another record, or answered ones only: a
     /// different reading would count otherwise.
     pub ambiguous: Vec<RecordId>,
--- a/crates/usage-ledger/src/rate.rs
+++ b/crates/usage-ledger/src/rate.rs
@@ -6,7 +6,7 @@
 //!
 //! Pure: no I/O and no clock.
 
-use crate::join::{LogicalRequest, Outcome};
+use crate::join::{LogicalRequest, RecordedOutcome};
 use crate::settings::Price;
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub};
@@ -16,7 +16,7 @@
 /// Every count adds up, so the difference of two counts is one, too. The serialized names are part
 /// of the format of statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct UsageCounts {
     /// Logical requests, whatever became of them.
     pub uses: i64,
     /// Answered completely.
@@ -47,10 +47,10 @@
     pub ambiguous: i64,
 }
 
-/// How many numbers [`Counts`] has.
+/// How many numbers [`UsageCounts`] has.
 const COUNT_FIELDS: usize = 12;
 
-impl Counts {
+impl UsageCounts {
     /// The names of the numbers, as in the columns of a statement.
     pub const NAMES: [&'static str; COUNT_FIELDS] = [
         "uses",
@@ -67,7 +67,7 @@
         "ambiguous",
     ];
 
-    /// The numbers, in the order of [`Counts::NAMES`].
+    /// The numbers, in the order of [`UsageCounts::NAMES`].
     fn slots(&mut self) -> [&mut i64; COUNT_FIELDS] {
         [
             &mut self.uses,
@@ -85,14 +85,14 @@
         ]
     }
 
-    /// The values, in the order of [`Counts::NAMES`].
+    /// The values, in the order of [`UsageCounts::NAMES`].
     pub fn values(mut self) -> [i64; COUNT_FIELDS] {
         self.slots().map(|slot| *slot)
     }
 
-    /// The counts of these values, in the order of [`Counts::NAMES`].
-    pub fn from_values(values: [i64; COUNT_FIELDS]) -> Counts {
-        let mut counts = Counts::default();
+    /// The counts of these values, in the order of [`UsageCounts::NAMES`].
+    pub fn from_values(values: [i64; COUNT_FIELDS]) -> UsageCounts {
+        let mut counts = UsageCounts::default();
         for (slot, value) in counts.slots().into_iter().zip(values) {
             *slot = value;
         }
@@ -103,14 +103,14 @@
     pub fn add(&mut self, request: &LogicalRequest) {
         self.uses += 1;
         match request.outcome {
-            Outcome::Complete => self.complete += 1,
-            Outcome::Partial(share) => {
+            RecordedOutcome::Complete => self.complete += 1,
+            RecordedOutcome::Partial(share) => {
                 self.partial += 1;
                 self.share += i64::from(share);
             }
-            Outcome::Rejected => self.rejected += 1,
-            Outcome::Failed => self.failed += 1,
-            Outcome::Cancelled => self.cancelled += 1,
+            RecordedOutcome::Rejected => self.rejected += 1,
+            RecordedOutcome::Failed => self.failed += 1,
+            RecordedOutcome::Cancelled => self.cancelled += 1,
         }
         self.tries += request.records.len() as i64;
         for record in &request.records {
@@ -128,22 +128,22 @@
 
     /// Whether nothing was counted.
     pub fn is_zero(&self) -> bool {
-        *self == Counts::default()
+        *self == UsageCounts::default()
     }
 }
 
-impl AddAssign for Counts {
-    fn add_assign(&mut self, other: Counts) {
+impl AddAssign for UsageCounts {
+    fn add_assign(&mut self, other: UsageCounts) {
         for (slot, value) in self.slots().into_iter().zip(other.values()) {
             *slot += value;
         }
     }
 }
 
-impl Sub for Counts {
-    type Output = Counts;
+impl Sub for UsageCounts {
+    type Output = UsageCounts;
 
-    fn sub(mut self, other: Counts) -> Counts {
+    fn sub(mut self, other: UsageCounts) -> UsageCounts {
         for (slot, value) in self.slots().into_iter().zip(other.values()) {
             *slot -= value;
         }
@@ -155,7 +155,7 @@
 const MILLIONTHS: i128 = 1_000_000;
 
 /// The amount of a line in micro-units.
-pub fn amount(counts: &Counts, price: Price) -> i64 {
+pub fn amount(counts: &UsageCounts, price: Price) -> i64 {
     let complete = i128::from(counts.complete) * i128::from(price.whole);
     let shares = i128::from(counts.share) * i128::from(price.partial);
     let partial = shares.saturating_add(MILLIONTHS / 2).div_euclid(MILLIONTHS);
--- a/crates/usage-ledger/src/reconcile.rs
+++ b/crates/usage-ledger/src/reconcile.rs
@@ -1,9 +1,9 @@
 //! Reconciles the ledger with the clients' own records of their requests.
 
-use crate::join::{Joiner, LogicalRequest, Outcome};
+use crate::join::{Joiner, LogicalRequest, RecordedOutcome};
 use crate::period::{stamp, Calendar};
 use crate::settle::Bounds;
-use crate::store::{Error, Store};
+use crate::store::{Store, StoreError};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -114,13 +114,13 @@
 }
 
 /// The outcome as the clients' files and the export formats name it.
-fn outcome_name(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: RecordedOutcome) -> &'static str {
     match outcome {
-        Outcome::Complete => "whole",
-        Outcome::Partial(_) => "partial",
-        Outcome::Rejected => "refused",
-        Outcome::Failed => "failed",
-        Outcome::Cancelled => "left",
+        RecordedOutcome::Complete => "whole",
+        RecordedOutcome::Partial(_) => "partial",
+        RecordedOutcome::Rejected => "refused",
+        RecordedOutcome::Failed => "failed",
+        RecordedOutcome::Cancelled => "left",
     }
 }
 
@@ -156,7 +156,7 @@
     bounds: Bounds,
     arrivals: Range<i64>,
     clients: &[ClientUse],
-) -> Result<Reconciled, Error> {
+) -> Result<Reconciled, StoreError> {
     let mut reconciliation = Reconciliation {
         calendar,
         reconciled: Reconciled::default(),
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -53,7 +53,7 @@
 
 /// All settings of the settlement.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct LedgerSettings {
     /// The SQLite file.
     pub store: Option<PathBuf>,
     /// The first pause before a member that failed is asked again.
@@ -78,16 +78,16 @@
     pub export: ExportTarget,
 }
 
-impl Ledger {
+impl LedgerSettings {
     /// Reads the settings.
     ///
     /// # Errors
     /// Values that contradict each other, or that only their use shows to be wrong.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<Ledger, Problems> {
+    pub fn read(settings: &Settings, schema: &Schema) -> Result<LedgerSettings, Problems> {
         let reader = Reader { settings, schema };
         let settlement = settings.of(schema, SETTLEMENT.name, "");
         let time = |key: &str| settlement.time(key).unwrap_or(DEFAULT_COLLECTION_TIME);
-        Ok(Ledger {
+        Ok(LedgerSettings {
             store: settlement.text("store").map(PathBuf::from),
             again: time("again"),
             silent: time("silent"),
--- a/crates/usage-ledger/src/settings/mod.rs
+++ b/crates/usage-ledger/src/settings/mod.rs
@@ -4,6 +4,6 @@
 mod schema;
 mod usage_log;
 
-pub use ledger::{ExportTarget, Ledger, Member, Price};
+pub use ledger::{ExportTarget, LedgerSettings, Member, Price};
 pub use schema::{EXPORT, MEMBER, PERIODS, PRICE, SETTLEMENT, TENANT, USAGE};
-pub use usage_log::UsageLog;
+pub use usage_log::UsageLogSettings;
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -20,7 +20,7 @@
 
 /// The usage log of one aggregator.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UsageLog {
+pub struct UsageLogSettings {
     /// Where the log is.
     pub directory: PathBuf,
     /// Size at which a segment is closed.
@@ -37,12 +37,15 @@
     pub listen: Option<SocketAddr>,
 }
 
-impl UsageLog {
+impl UsageLogSettings {
     /// Reads the settings; `None` if no log is kept.
     ///
     /// # Errors
     /// Values that contradict each other.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<UsageLog>, Problems> {
+    pub fn read(
+        settings: &Settings,
+        schema: &Schema,
+    ) -> Result<Option<UsageLogSettings>, Problems> {
         let values = settings.of(schema, USAGE.name, "");
         let listen = values.address("listen");
         let problem = |key: &str, reason: &str| settings.problem(USAGE.name, "", key, reason);
@@ -70,7 +73,7 @@
         if mark < MIN_MARK_INTERVAL {
             return Err(problem("mark", "has to be 10ms at least"));
         }
-        Ok(Some(UsageLog {
+        Ok(Some(UsageLogSettings {
             directory,
             segment_bytes,
             keep_bytes,
--- a/crates/usage-ledger/src/settle.rs
+++ b/crates/usage-ledger/src/settle.rs
@@ -4,7 +4,7 @@
 
 use crate::join::{Joiner, LogicalRequest, RecordId, UsageRecord};
 use crate::period::Period;
-use crate::rate::Counts;
+use crate::rate::UsageCounts;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
@@ -90,7 +90,7 @@
 }
 
 /// The lines of a period.
-pub type Lines = BTreeMap<LineKey, Counts>;
+pub type Lines = BTreeMap<LineKey, UsageCounts>;
 
 /// What settling one period tells the settling of the next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -2,9 +2,9 @@
 
 use crate::log::Position;
 use crate::period::Period;
-use crate::settings::{Ledger, Member};
+use crate::settings::{LedgerSettings, Member};
 use crate::settle::{decide_closing, Bounds, ClosingDecision, MemberProgress};
-use crate::store::{Error, Statement, Store, Terms};
+use crate::store::{Statement, Store, StoreError, Terms};
 use crate::wire::Batch;
 use std::collections::HashMap;
 
@@ -18,13 +18,13 @@
 /// The store with the settings in force.
 pub(super) struct PeriodCloser {
     store: Store,
-    pub(super) settings: Ledger,
+    pub(super) settings: LedgerSettings,
     /// What was last logged as waiting, so that it is logged once.
     waiting: Option<WaitingPeriod>,
 }
 
 impl PeriodCloser {
-    pub(super) fn new(store: Store, settings: Ledger) -> PeriodCloser {
+    pub(super) fn new(store: Store, settings: LedgerSettings) -> PeriodCloser {
         PeriodCloser {
             store,
             settings,
@@ -33,9 +33,9 @@
     }
 
     /// Puts other settings in force; the calendar and the store stay what they were at the start.
-    pub(super) fn reload(&mut self, next: Ledger) {
+    pub(super) fn reload(&mut self, next: LedgerSettings) {
         let calendar = self.settings.calendar.clone();
-        self.settings = Ledger { calendar, ..next };
+        self.settings = LedgerSettings { calendar, ..next };
     }
 
     fn bounds(&self) -> Bounds {
@@ -46,7 +46,7 @@
     }
 
     /// Takes a batch into the store. Returns up to where the member's log is in the store.
-    pub(super) fn ingest(&mut self, member: &str, batch: &Batch) -> Result<Position, Error> {
+    pub(super) fn ingest(&mut self, member: &str, batch: &Batch) -> Result<Position, StoreError> {
         let bounds = self.bounds();
         let calendar = &self.settings.calendar;
         let ingested = self.store.ingest(member, batch, calendar, bounds)?;
@@ -65,7 +65,7 @@
     }
 
     /// Closes the next period if it may close at `now`, in Unix milliseconds.
-    pub(super) fn close_next(&mut self, now: i64) -> Result<(), Error> {
+    pub(super) fn close_next(&mut self, now: i64) -> Result<(), StoreError> {
         let Some(period) = self.store.next_period(&self.settings.calendar)? else {
             return Ok(());
         };
@@ -96,7 +96,7 @@
     }
 
     /// How far the records of the members that took part in a period are known.
-    fn progress(&self, period: Period) -> Result<Vec<MemberProgress>, Error> {
+    fn progress(&self, period: Period) -> Result<Vec<MemberProgress>, StoreError> {
         let standings = self.store.standings()?.into_iter();
         let complete: HashMap<String, i64> = standings
             .map(|standing| (standing.member, standing.complete))
--- a/crates/usage-ledger/src/settlement/collector.rs
+++ b/crates/usage-ledger/src/settlement/collector.rs
@@ -2,8 +2,8 @@
 
 use super::lock;
 use crate::log::Position;
-use crate::settings::{Ledger, Member};
-use crate::store::{Error, Store};
+use crate::settings::{LedgerSettings, Member};
+use crate::store::{Store, StoreError};
 use crate::wire::usage_log_client::UsageLogClient;
 use crate::wire::{AcknowledgeRequest, Batch, FollowRequest};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 }
 
 impl CollectionTimes {
-    pub(super) fn of(settings: &Ledger) -> CollectionTimes {
+    pub(super) fn of(settings: &LedgerSettings) -> CollectionTimes {
         CollectionTimes {
             retry_delay: settings.again,
             idle_timeout: settings.silent,
@@ -58,7 +58,7 @@
     #[error("{0}")]
     Rpc(#[from] Status),
     #[error("{0}")]
-    Position(#[from] Error),
+    Position(#[from] StoreError),
     #[error("{0}")]
     Task(#[from] tokio::task::JoinError),
     #[error("silent for too long")]
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -4,7 +4,7 @@
 use crate::document::OutgoingDocument;
 use crate::export;
 use crate::settings::ExportTarget;
-use crate::store::{Error, Store};
+use crate::store::{Store, StoreError};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -58,7 +58,7 @@
     }
 }
 
-fn run(store_path: &Path, shared: &Shared) -> Result<(), Error> {
+fn run(store_path: &Path, shared: &Shared) -> Result<(), StoreError> {
     let store = Store::open(store_path)?;
     // When documents that have failed are sent again, by id.
     let mut retry_at: HashMap<String, Instant> = HashMap::new();
@@ -89,7 +89,7 @@
     target: &ExportTarget,
     document: &OutgoingDocument,
     retry_at: &mut HashMap<String, Instant>,
-) -> Result<(), Error> {
+) -> Result<(), StoreError> {
     let delivery = export::send(target, document);
     store.record_delivery(&document.id, &delivery, now())?;
     let Some(error) = delivery.error else {
--- a/crates/usage-ledger/src/settlement/mod.rs
+++ b/crates/usage-ledger/src/settlement/mod.rs
@@ -11,8 +11,8 @@
 use self::closer::PeriodCloser;
 use self::collector::{CollectedBatch, CollectionTimes, Collectors};
 use self::exporter::Exporter;
-use crate::settings::Ledger;
-use crate::store::{Error, Store};
+use crate::settings::LedgerSettings;
+use crate::store::{Store, StoreError};
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -24,9 +24,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What an operator tells a running settlement.
-pub enum OperatorSignal {
+pub enum SettlementSignal {
     /// These settings are in force from now on.
-    Reload(Box<Ledger>),
+    Reload(Box<LedgerSettings>),
     /// End in order.
     Shutdown,
 }
@@ -48,9 +48,9 @@
 /// The store can't be used.
 pub async fn serve(
     path: PathBuf,
-    settings: Ledger,
-    mut signals: mpsc::Receiver<OperatorSignal>,
-) -> Result<(), Error> {
+    settings: LedgerSettings,
+    mut signals: mpsc::Receiver<SettlementSignal>,
+) -> Result<(), StoreError> {
     let store = Store::open(&path)?;
     let exporter = Exporter::start(path.clone(), settings.export.clone());
     let (sender, mut batches) = mpsc::channel(MAX_QUEUED_BATCHES);
@@ -61,12 +61,12 @@
         tokio::select! {
             biased;
             signal = signals.recv() => match signal {
-                Some(OperatorSignal::Reload(next)) => {
+                Some(SettlementSignal::Reload(next)) => {
                     exporter.reload(next.export.clone());
                     collectors.reload(CollectionTimes::of(&next));
                     closer.reload(*next);
                 }
-                Some(OperatorSignal::Shutdown) | None => break,
+                Some(SettlementSignal::Shutdown) | None => break,
             },
             Some(CollectedBatch { member, batch, stored }) = batches.recv() => {
                 let position = tokio::task::block_in_place(|| closer.ingest(&member, &batch))?;
--- a/crates/usage-ledger/src/statement.rs
+++ b/crates/usage-ledger/src/statement.rs
@@ -3,7 +3,7 @@
 //! Statements are stored and exported as JSON; the names and the order of the fields are part of
 //! that format.
 
-use crate::rate::{over_allowance, Counts};
+use crate::rate::{over_allowance, UsageCounts};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
     pub adjusts: bool,
     /// What it counts.
     #[serde(flatten)]
-    pub counts: Counts,
+    pub counts: UsageCounts,
     /// Micro-units.
     pub amount: i64,
     /// The class has no price; it is counted and free.
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -5,7 +5,7 @@
 
 use super::lines::Line;
 use super::queries::Standing;
-use super::{carry_over, correction, digest, dirty, lines, outbox, Error, Result, Store};
+use super::{carry_over, correction, digest, dirty, lines, outbox, Result, Store, StoreError};
 use crate::document::Document;
 use crate::period::{stamp, Period};
 use crate::rate::amount;
@@ -83,7 +83,7 @@
         let statements: i64 = self.db.query_row(count, [start], |row| row.get(0))?;
         if statements > 0 {
             let period = self.period.name();
-            return Err(Error::PeriodClosed { period });
+            return Err(StoreError::PeriodClosed { period });
         }
         let prices = serde_json::to_string(self.terms.prices)?;
         self.db.execute(
--- a/crates/usage-ledger/src/store/correction.rs
+++ b/crates/usage-ledger/src/store/correction.rs
@@ -3,7 +3,7 @@
 //! Transaction boundary: one transaction a correction holds it and, if its period is closed, the
 //! credit or debit in the outbox.
 
-use super::{outbox, Error, Result, Store};
+use super::{outbox, Result, Store, StoreError};
 use crate::document::Document;
 use crate::period::Period;
 use crate::statement::CorrectionLine;
@@ -38,7 +38,7 @@
             params![id, now, tenant, period.start, amount, reason, author],
         )?;
         if added == 0 {
-            return Err(Error::DuplicateCorrection { id: id.clone() });
+            return Err(StoreError::DuplicateCorrection { id: id.clone() });
         }
         let document = closed.map(|hash| Document::of_correction(correction, period, &hash));
         if let Some(document) = &document {
--- a/crates/usage-ledger/src/store/error.rs
+++ b/crates/usage-ledger/src/store/error.rs
@@ -2,7 +2,7 @@
 
 /// What can go wrong with the store.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
+pub enum StoreError {
     /// SQLite failed.
     #[error("the store: {0}")]
     Sqlite(#[from] rusqlite::Error),
@@ -32,4 +32,4 @@
 }
 
 /// The result of an operation on the store.
-pub(super) type Result<T> = std::result::Result<T, Error>;
+pub(super) type Result<T> = std::result::Result<T, StoreError>;
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -4,7 +4,7 @@
 
 use super::Result;
 use crate::period::Period;
-use crate::rate::Counts;
+use crate::rate::UsageCounts;
 use crate::settle::{LineKey, Lines};
 use crate::statement::StatementLine;
 use rusqlite::{params_from_iter, Connection, Row};
@@ -17,7 +17,7 @@
     /// Whether it adjusts a period that was closed before.
     pub(super) adjusts: bool,
     pub(super) key: LineKey,
-    pub(super) counts: Counts,
+    pub(super) counts: UsageCounts,
     /// Micro-units.
     pub(super) amount: i64,
     /// The class has no price.
@@ -84,10 +84,10 @@
 }
 
 /// The counts of a row whose first two columns are the line's key.
-fn read_counts(row: &Row<'_>) -> rusqlite::Result<Counts> {
-    let mut values = [0; Counts::NAMES.len()];
+fn read_counts(row: &Row<'_>) -> rusqlite::Result<UsageCounts> {
+    let mut values = [0; UsageCounts::NAMES.len()];
     for (index, value) in values.iter_mut().enumerate() {
         *value = row.get(index + 2)?;
     }
-    Ok(Counts::from_values(values))
+    Ok(UsageCounts::from_values(values))
 }
--- a/crates/usage-ledger/src/store/mod.rs
+++ b/crates/usage-ledger/src/store/mod.rs
@@ -30,7 +30,7 @@
 pub use crate::document::OutgoingDocument;
 pub use crate::statement::{CorrectionLine, MemberState, Statement, StatementLine, TenantTotal};
 pub use closing::Terms;
-pub use error::Error;
+pub use error::StoreError;
 pub use ingest::Ingested;
 pub use queries::{ClosedPeriod, Standing, StoredStatement};
 pub use verification::{VerificationFault, VerificationReport};
--- a/crates/usage-ledger/src/store/records.rs
+++ b/crates/usage-ledger/src/store/records.rs
@@ -5,7 +5,7 @@
 
 use super::uncertainty::{self, RunKey};
 use super::{Result, Store};
-use crate::join::{Outcome, UsageRecord};
+use crate::join::{RecordedOutcome, UsageRecord};
 use crate::wire::{Outcome as WireOutcome, Record};
 use rusqlite::{params, Connection, Row};
 use std::ops::Range;
@@ -89,12 +89,12 @@
 }
 
 /// The outcome of a stored number; one that a later version may have written counts as failed.
-fn outcome(number: i32, share: u32) -> Outcome {
+fn outcome(number: i32, share: u32) -> RecordedOutcome {
     match WireOutcome::try_from(number) {
-        Ok(WireOutcome::Whole) => Outcome::Complete,
-        Ok(WireOutcome::Partial) => Outcome::Partial(share),
-        Ok(WireOutcome::Refused) => Outcome::Rejected,
-        Ok(WireOutcome::Left) => Outcome::Cancelled,
-        Ok(WireOutcome::Failed) | Err(_) => Outcome::Failed,
+        Ok(WireOutcome::Whole) => RecordedOutcome::Complete,
+        Ok(WireOutcome::Partial) => RecordedOutcome::Partial(share),
+        Ok(WireOutcome::Refused) => RecordedOutcome::Rejected,
+        Ok(WireOutcome::Left) => RecordedOutcome::Cancelled,
+        Ok(WireOutcome::Failed) | Err(_) => RecordedOutcome::Failed,
     }
 }
--- a/crates/usage-ledger/src/store/schema.rs
+++ b/crates/usage-ledger/src/store/schema.rs
@@ -3,7 +3,7 @@
 //! Transaction boundary: [`migrate`] applies all missing versions in one immediate transaction, so
 //! that of two processes that open a store the second finds it migrated.
 
-use super::{Error, Result};
+use super::{Result, StoreError};
 use rusqlite::{Connection, TransactionBehavior};
 
 /// The schema's versions, each made from the one before; never changed once they are released.
@@ -54,7 +54,7 @@
     let read_version = |row: &rusqlite::Row<'_>| row.get::<_, u32>(0);
     let version = transaction.pragma_query_value(None, "user_version", read_version)? as usize;
     let Some(missing) = MIGRATIONS.get(version..) else {
-        return Err(Error::NewerSchema {
+        return Err(StoreError::NewerSchema {
             found: version,
             known: MIGRATIONS.len(),
         });
--- a/crates/usage-ledger/src/writer/mod.rs
+++ b/crates/usage-ledger/src/writer/mod.rs
@@ -12,7 +12,7 @@
 
 use self::thread::WriterThread;
 use crate::log::{cut_torn_tail, segments, Segment, VERSION};
-use crate::settings::UsageLog;
+use crate::settings::UsageLogSettings;
 use crate::wire::{entry::What, Class, Entry, Header, Mark, Outcome, Record};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -67,7 +67,7 @@
 
 /// Counters of records.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct WriterCounters {
     /// Written to the log.
     pub written: AtomicU64,
     /// Never written: the queue was full, or the disk could not be written.
@@ -98,7 +98,7 @@
 pub struct Writer {
     queue: Option<SyncSender<Entry>>,
     written: watch::Receiver<u64>,
-    counts: Arc<Counts>,
+    counts: Arc<WriterCounters>,
     max_reply_delay: Duration,
     collection_address: Option<SocketAddr>,
     thread: Option<JoinHandle<()>>,
@@ -111,7 +111,7 @@
 ///
 /// # Errors
 /// The directory can't be used, another aggregator uses it, or the address can't be listened on.
-pub fn start(settings: &UsageLog, names: Names, now: u64) -> Result<Writer, StartError> {
+pub fn start(settings: &UsageLogSettings, names: Names, now: u64) -> Result<Writer, StartError> {
     let mut writer = start_on(FileSystem, settings, names, now)?;
     if let Some(address) = settings.listen {
         let bound_address = crate::collect::listen(address, settings.directory.clone())?;
@@ -126,7 +126,7 @@
 /// As [`start`].
 pub fn start_on(
     disk: impl Disk,
-    settings: &UsageLog,
+    settings: &UsageLogSettings,
     names: Names,
     now: u64,
 ) -> Result<Writer, StartError> {
@@ -144,7 +144,7 @@
     let incarnation = next_incarnation(now, existing.last());
     let (queue, entries) = sync_channel(settings.queue);
     let (publish_written, written) = watch::channel(0);
-    let counts = Arc::<Counts>::default();
+    let counts = Arc::<WriterCounters>::default();
     let header = names.into_header(incarnation);
     let thread = WriterThread::new(disk, lock, settings, header, publish_written, &counts);
     let thread = std::thread::Builder::new()
@@ -209,7 +209,7 @@
     }
 
     /// The counters of this run.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &WriterCounters {
         &self.counts
     }
 
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -1,9 +1,9 @@
 //! The thread that writes a usage log.
 
 use super::error::AppendError;
-use super::{Counts, Disk};
+use super::{Disk, WriterCounters};
 use crate::log::{put_frame, segments, Segment, MAGIC};
-use crate::settings::UsageLog;
+use crate::settings::UsageLogSettings;
 use crate::wire::{entry::What, Entry, Header};
 use std::fs::{self, File, OpenOptions};
 use std::path::PathBuf;
@@ -48,7 +48,7 @@
     header: Header,
     open: Option<OpenSegment>,
     publish_written: watch::Sender<u64>,
-    counts: Arc<Counts>,
+    counts: Arc<WriterCounters>,
     /// When the last write failed; `None` once one has succeeded again.
     failed_at: Option<Instant>,
 }
@@ -57,10 +57,10 @@
     pub(super) fn new(
         disk: D,
         lock: File,
-        settings: &UsageLog,
+        settings: &UsageLogSettings,
         header: Header,
         publish_written: watch::Sender<u64>,
-        counts: &Arc<Counts>,
+        counts: &Arc<WriterCounters>,
     ) -> WriterThread<D> {
         WriterThread {
             disk,
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -6,10 +6,10 @@
 use std::fs;
 use std::path::Path;
 use std::time::Duration;
-use usage_ledger::join::Outcome;
+use usage_ledger::join::RecordedOutcome;
 use usage_ledger::log::{self, Follower, Position};
 use usage_ledger::period::{Calendar, Every, Period};
-use usage_ledger::settings::{self, Ledger, Price, UsageLog};
+use usage_ledger::settings::{self, LedgerSettings, Price, UsageLogSettings};
 use usage_ledger::settle::Bounds;
 use usage_ledger::store::{CorrectionLine, Store, Terms, VerificationReport};
 use usage_ledger::wire::entry::What;
@@ -90,7 +90,7 @@
 #[test]
 fn a_segment_is_written_as_version_1_defines_it() {
     let folder = tempfile::tempdir().unwrap();
-    let settings = UsageLog {
+    let settings = UsageLogSettings {
         directory: folder.path().into(),
         segment_bytes: 1 << 20,
         keep_bytes: 1 << 30,
@@ -314,7 +314,7 @@
         sequence: 4,
     };
     assert_eq!(store.position("n0").unwrap(), position);
-    let outcomes: Vec<Outcome> = store
+    let outcomes: Vec<RecordedOutcome> = store
         .records(i64::MIN, i64::MAX)
         .unwrap()
         .iter()
@@ -323,9 +323,9 @@
     assert_eq!(
         outcomes,
         [
-            Outcome::Rejected,
-            Outcome::Partial(900_000),
-            Outcome::Complete
+            RecordedOutcome::Rejected,
+            RecordedOutcome::Partial(900_000),
+            RecordedOutcome::Complete
         ]
     );
     assert_eq!(close(&mut store), one_line(STATEMENT));
@@ -439,8 +439,8 @@
 again = 100ms
 ";
     let read = read(text);
-    let usage = UsageLog::read(&read, &SETTINGS).unwrap().unwrap();
-    let expected = UsageLog {
+    let usage = UsageLogSettings::read(&read, &SETTINGS).unwrap().unwrap();
+    let expected = UsageLogSettings {
         directory: "/var/lib/mixer/usage".into(),
         segment_bytes: 4 << 20,
         keep_bytes: 64 << 20,
@@ -450,7 +450,7 @@
         listen: Some("127.0.0.1:7500".parse().unwrap()),
     };
     assert_eq!(usage, expected);
-    let ledger = Ledger::read(&read, &SETTINGS).unwrap();
+    let ledger = LedgerSettings::read(&read, &SETTINGS).unwrap();
     assert_eq!(ledger.store, Some("/var/lib/ledger.sqlite".into()));
     assert_eq!(
         (ledger.again, ledger.silent),
@@ -488,8 +488,8 @@
 #[test]
 fn settings_without_a_file_have_their_defaults() {
     let none = Settings::defaults();
-    assert_eq!(UsageLog::read(&none, &SETTINGS).unwrap(), None);
-    let ledger = Ledger::read(&none, &SETTINGS).unwrap();
+    assert_eq!(UsageLogSettings::read(&none, &SETTINGS).unwrap(), None);
+    let ledger = LedgerSettings::read(&none, &SETTINGS).unwrap();
     assert_eq!(ledger.store, None);
     assert_eq!(
         (ledger.again, ledger.silent),
@@ -504,7 +504,7 @@
         (ledger.export.timeout, ledger.export.again),
         (Duration::from_secs(5), Duration::from_millis(500))
     );
-    let usage = UsageLog::read(&read("[usage]\ndirectory = d\n"), &SETTINGS);
+    let usage = UsageLogSettings::read(&read("[usage]\ndirectory = d\n"), &SETTINGS);
     let usage = usage.unwrap().unwrap();
     assert_eq!(
         (usage.segment_bytes, usage.keep_bytes, usage.queue),
@@ -563,8 +563,8 @@
     ];
     for (text, expected) in cases {
         let settings = read(text);
-        let usage = UsageLog::read(&settings, &SETTINGS).map(drop);
-        let problems = usage.and_then(|()| Ledger::read(&settings, &SETTINGS).map(drop));
+        let usage = UsageLogSettings::read(&settings, &SETTINGS).map(drop);
+        let problems = usage.and_then(|()| LedgerSettings::read(&settings, &SETTINGS).map(drop));
         assert_eq!(problems.unwrap_err().to_string(), expected);
     }
 }
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -3,9 +3,9 @@
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
-use usage_ledger::join::{Joiner, LogicalRequest, Outcome, RecordId, UsageRecord};
+use usage_ledger::join::{Joiner, LogicalRequest, RecordId, RecordedOutcome, UsageRecord};
 use usage_ledger::period::Period;
-use usage_ledger::rate::Counts;
+use usage_ledger::rate::UsageCounts;
 use usage_ledger::settle::{
     adjustments, decide_closing, Bounds, CarryOver, ClosingDecision, LineKey, Lines,
     MemberProgress, PeriodSettler,
@@ -28,7 +28,7 @@
         sequence,
         tenant: 1,
         class: 1,
-        outcome: Outcome::Rejected,
+        outcome: RecordedOutcome::Rejected,
         parts: 2,
         attempts: 3,
         cross_zone_attempts: 1,
@@ -53,7 +53,10 @@
 }
 
 fn is_answered(record: &UsageRecord) -> bool {
-    matches!(record.outcome, Outcome::Complete | Outcome::Partial(_))
+    matches!(
+        record.outcome,
+        RecordedOutcome::Complete | RecordedOutcome::Partial(_)
+    )
 }
 
 /// The rule as the module states it, over everything at once: no streaming, nothing closed early.
@@ -111,12 +114,12 @@
 
 fn arbitrary_records() -> impl Strategy<Value = Vec<UsageRecord>> {
     let outcome = prop_oneof![
-        Just(Outcome::Complete),
-        (1u32..1_000_000).prop_map(Outcome::Partial),
-        Just(Outcome::Rejected),
-        Just(Outcome::Rejected),
-        Just(Outcome::Failed),
-        Just(Outcome::Cancelled),
+        Just(RecordedOutcome::Complete),
+        (1u32..1_000_000).prop_map(RecordedOutcome::Partial),
+        Just(RecordedOutcome::Rejected),
+        Just(RecordedOutcome::Rejected),
+        Just(RecordedOutcome::Failed),
+        Just(RecordedOutcome::Cancelled),
     ];
     let fields = (
         0i64..1600,
@@ -169,8 +172,8 @@
     }
 }
 
-fn total(lines: impl IntoIterator<Item = Counts>) -> Counts {
-    let mut sum = Counts::default();
+fn total(lines: impl IntoIterator<Item = UsageCounts>) -> UsageCounts {
+    let mut sum = UsageCounts::default();
     lines.into_iter().for_each(|counts| sum += counts);
     sum
 }
@@ -240,7 +243,7 @@
         ..first_record(at, sequence)
     };
     let complete = |record: UsageRecord| UsageRecord {
-        outcome: Outcome::Complete,
+        outcome: RecordedOutcome::Complete,
         ..record
     };
     // Two clients with the same text at the same moment are two logical requests, each with its
@@ -254,7 +257,7 @@
     assert_eq!(requests.len(), 2);
     assert!(requests
         .iter()
-        .all(|request| request.outcome == Outcome::Complete && request.records.len() == 2));
+        .all(|request| request.outcome == RecordedOutcome::Complete && request.records.len() == 2));
     assert!(
         !requests[0].ambiguous.is_empty(),
         "either of two could be joined"
@@ -301,12 +304,12 @@
         ..first_record(at, sequence)
     };
     let records = vec![
-        keyed(0, 1, Outcome::Complete),
-        keyed(40, 2, Outcome::Partial(700_000)),
-        keyed(HORIZON, 3, Outcome::Rejected),
+        keyed(0, 1, RecordedOutcome::Complete),
+        keyed(40, 2, RecordedOutcome::Partial(700_000)),
+        keyed(HORIZON, 3, RecordedOutcome::Rejected),
         UsageRecord {
             tenant: 2,
-            ..keyed(10, 4, Outcome::Complete)
+            ..keyed(10, 4, RecordedOutcome::Complete)
         },
     ];
     let requests = join(records);
@@ -315,7 +318,10 @@
             .iter()
             .map(|request| (request.records.len(), request.outcome))
             .collect::<Vec<_>>(),
-        [(3, Outcome::Complete), (1, Outcome::Complete)]
+        [
+            (3, RecordedOutcome::Complete),
+            (1, RecordedOutcome::Complete)
+        ]
     );
 }
 
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 use usage_ledger::log::{Follower, Position};
-use usage_ledger::settings::UsageLog;
+use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::wire::{entry::What, Damage, Outcome, Record};
 use usage_ledger::writer::{self, FileSystem, Names, Writer};
 
@@ -13,8 +13,8 @@
     sequence: u64::MAX,
 };
 
-pub fn settings(directory: &Path, segment_bytes: u64) -> UsageLog {
-    UsageLog {
+pub fn settings(directory: &Path, segment_bytes: u64) -> UsageLogSettings {
+    UsageLogSettings {
         directory: directory.into(),
         segment_bytes,
         keep_bytes: 1 << 30,
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use usage_ledger::log::{self, Position};
-use usage_ledger::settings::UsageLog;
+use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::writer::{self, Disk, FileSystem};
 
 /// Writes half of what it is given and fails, for as long as the flag is set.
@@ -91,7 +91,7 @@
 #[test]
 fn a_log_has_one_writer_and_a_capacity() {
     let folder = tempfile::tempdir().unwrap();
-    let bounded = UsageLog {
+    let bounded = UsageLogSettings {
         keep_bytes: 12 * 1024,
         ..settings(folder.path(), 4096)
     };
--- a/crates/usage-ledger/tests/rate.rs
+++ b/crates/usage-ledger/tests/rate.rs
@@ -1,6 +1,6 @@
 //! What counted use costs.
 
-use usage_ledger::rate::{amount, over_allowance, Counts};
+use usage_ledger::rate::{amount, over_allowance, UsageCounts};
 use usage_ledger::settings::Price;
 
 #[test]
@@ -9,11 +9,11 @@
         whole: 3,
         partial: 1,
     };
-    let line = |complete, share| Counts {
+    let line = |complete, share| UsageCounts {
         complete,
         share,
         partial: i64::from(share > 0),
-        ..Counts::default()
+        ..UsageCounts::default()
     };
     let cases = [
         ((2, 0), 6),
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -10,9 +10,9 @@
 use tokio::task::JoinHandle;
 use usage_ledger::log;
 use usage_ledger::period::{Calendar, Every};
-use usage_ledger::settings::{ExportTarget, Ledger, Member, Price, UsageLog};
-use usage_ledger::settlement::{self, OperatorSignal};
-use usage_ledger::store::{Error, Statement, Store};
+use usage_ledger::settings::{ExportTarget, LedgerSettings, Member, Price, UsageLogSettings};
+use usage_ledger::settlement::{self, SettlementSignal};
+use usage_ledger::store::{Statement, Store, StoreError};
 use usage_ledger::wire::{entry::What, Outcome, Record};
 use usage_ledger::writer::{self, Names, Writer};
 
@@ -35,7 +35,7 @@
 
 /// An aggregator's usage log, offered for collection at a port that the system chooses.
 fn start_log(directory: &Path, name: &str) -> Writer {
-    let settings = UsageLog {
+    let settings = UsageLogSettings {
         directory: directory.into(),
         segment_bytes: 4096,
         keep_bytes: 1 << 30,
@@ -71,13 +71,13 @@
 /// The service under test, with a store and an export folder in one directory.
 struct Service {
     runtime: Runtime,
-    signals: mpsc::Sender<OperatorSignal>,
-    serve: JoinHandle<Result<(), Error>>,
+    signals: mpsc::Sender<SettlementSignal>,
+    serve: JoinHandle<Result<(), StoreError>>,
     store: PathBuf,
     documents: PathBuf,
 }
 
-fn ledger_settings(directory: &Path, members: &[(&str, SocketAddr)]) -> Ledger {
+fn ledger_settings(directory: &Path, members: &[(&str, SocketAddr)]) -> LedgerSettings {
     let member = |(name, address): &(&str, SocketAddr)| {
         let member = Member {
             address: *address,
@@ -90,7 +90,7 @@
         whole: 10,
         partial: 7,
     };
-    Ledger {
+    LedgerSettings {
         store: None,
         again: Duration::from_millis(20),
         silent: Duration::from_secs(5),
@@ -111,7 +111,7 @@
 }
 
 impl Service {
-    fn start(directory: &Path, settings: Ledger) -> Service {
+    fn start(directory: &Path, settings: LedgerSettings) -> Service {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
@@ -131,7 +131,7 @@
         }
     }
 
-    fn signal(&self, signal: OperatorSignal) {
+    fn signal(&self, signal: SettlementSignal) {
         assert!(self.signals.blocking_send(signal).is_ok());
     }
 
@@ -152,7 +152,7 @@
     }
 
     fn stop(self) {
-        self.signal(OperatorSignal::Shutdown);
+        self.signal(SettlementSignal::Shutdown);
         self.runtime.block_on(self.serve).unwrap().unwrap();
     }
 }
@@ -213,7 +213,7 @@
     wait_for("records of n0", || collected("n0") == 1);
     assert_eq!(collected("n1"), 0);
     let corrected = ledger_settings(folder.path(), &[("n0", first), ("n1", second)]);
-    service.signal(OperatorSignal::Reload(Box::new(corrected)));
+    service.signal(SettlementSignal::Reload(Box::new(corrected)));
     wait_for("records of n1", || collected("n1") == 1);
     service.stop();
     for writer in &mut writers {
--- a/crates/usage-ledger/tests/store/delivery.rs
+++ b/crates/usage-ledger/tests/store/delivery.rs
@@ -3,7 +3,7 @@
 use crate::harness::{batch, complete_record, mark, StoreHarness, BOUNDS, FIRST, PERIOD};
 use proptest::prelude::*;
 use usage_ledger::join::Joiner;
-use usage_ledger::rate::Counts;
+use usage_ledger::rate::UsageCounts;
 use usage_ledger::wire::{entry::What, Outcome, Record};
 
 const MEMBERS: [&str; 2] = ["n0", "n1"];
@@ -77,8 +77,8 @@
 }
 
 /// What all statements have counted.
-fn stated(harness: &StoreHarness) -> Counts {
-    let mut stated = Counts::default();
+fn stated(harness: &StoreHarness) -> UsageCounts {
+    let mut stated = UsageCounts::default();
     for stored in harness.store.statements().unwrap() {
         for line in &stored.statement.lines {
             stated += line.counts;
@@ -88,8 +88,8 @@
 }
 
 /// What all records count if they are joined at once.
-fn joined(harness: &StoreHarness) -> Counts {
-    let mut counts = Counts::default();
+fn joined(harness: &StoreHarness) -> UsageCounts {
+    let mut counts = UsageCounts::default();
     let mut joiner = Joiner::new(BOUNDS.skew, BOUNDS.horizon);
     for record in harness.store.records(i64::MIN, i64::MAX).unwrap() {
         joiner.push(record, &mut |request| counts.add(&request));
