--- a/crates/aggregator/src/cli/ledger/context.rs
+++ b/crates/aggregator/src/cli/ledger/context.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use usage_ledger::period::Period;
 use usage_ledger::settings::LedgerSettings;
-use usage_ledger::settle::Bounds;
+use usage_ledger::settle::JoinBounds;
 use usage_ledger::store::Store;
 
 /// The settings of the ledger and the store that they name.
@@ -51,8 +51,8 @@
     }
 
     /// The tolerances within which tries are joined to uses.
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    pub fn bounds(&self) -> JoinBounds {
+        JoinBounds {
             horizon: self.settings.horizon,
             skew: self.settings.skew,
         }
--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 use usage_ledger::join::{RecordedOutcome, UsageRecord};
-use usage_ledger::log::{Follower, Position};
+use usage_ledger::log::{LogFollower, LogPosition};
 use usage_ledger::period::stamp;
 use usage_ledger::wire::{entry::What, Damage, Header, Record};
 
@@ -132,7 +132,7 @@
         path: directory.into(),
         source,
     };
-    let mut follower = Follower::new(directory, Position::default());
+    let mut follower = LogFollower::new(directory, LogPosition::default());
     let mut report = Report::new(&COLUMNS);
     while let Some(batch) = follower.next(BATCH_ENTRIES).map_err(unreadable)? {
         batch.damage.iter().for_each(warn_of_damage);
--- a/crates/aggregator/src/cli/ledger/reconcile.rs
+++ b/crates/aggregator/src/cli/ledger/reconcile.rs
@@ -5,8 +5,8 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
-use usage_ledger::reconcile::{self, ClientUse, Reconciled};
-use usage_ledger::store::{Standing, Store};
+use usage_ledger::reconcile::{self, ClientRequest, ReconciliationReport};
+use usage_ledger::store::{MemberStatus, Store};
 
 const TOTAL_COLUMNS: [&str; 8] = [
     "period",
@@ -49,9 +49,9 @@
         print_client_comparison(&reconciled, arguments.format.format)?;
         differences += reconciled.unequal() + reconciled.differences.len();
     }
-    let standings = store.standings()?;
+    let statuses = store.member_statuses()?;
     for argument in &arguments.counters {
-        for difference in compare_with_counters(&store, &standings, argument)? {
+        for difference in compare_with_counters(&store, &statuses, argument)? {
             output::print(difference.to_line().as_bytes())?;
             differences += 1;
         }
@@ -66,7 +66,7 @@
     context: &LedgerContext,
     store: &Store,
     path: &Path,
-) -> Result<Reconciled, LedgerError> {
+) -> Result<ReconciliationReport, LedgerError> {
     let uses = read_client_uses(path).map_err(|source| LedgerError::InvalidCsv {
         path: path.into(),
         source,
@@ -77,12 +77,12 @@
     Ok(reconciled)
 }
 
-fn read_client_uses(path: &Path) -> Result<Vec<ClientUse>, csv::Error> {
+fn read_client_uses(path: &Path) -> Result<Vec<ClientRequest>, csv::Error> {
     csv::Reader::from_path(path)?.into_deserialize().collect()
 }
 
 fn print_client_comparison(
-    reconciled: &Reconciled,
+    reconciled: &ReconciliationReport,
     format: OutputFormat,
 ) -> Result<(), LedgerError> {
     let mut totals = Report::new(&TOTAL_COLUMNS);
@@ -137,15 +137,15 @@
 /// Compares the counters of one aggregator, `NAME=FILE`, with its latest run in the ledger.
 fn compare_with_counters(
     store: &Store,
-    standings: &[Standing],
+    statuses: &[MemberStatus],
     argument: &str,
 ) -> Result<Vec<CounterDifference>, LedgerError> {
     let (member, file) = argument
         .split_once('=')
         .ok_or_else(|| LedgerError::InvalidCounters(argument.into()))?;
     let stats = read_json(Path::new(file))?;
-    let standing = standings.iter().find(|standing| standing.member == member);
-    let incarnation = standing.map_or(0, |standing| standing.position.incarnation);
+    let status = statuses.iter().find(|status| status.member == member);
+    let incarnation = status.map_or(0, |status| status.position.incarnation);
     let in_ledger = store.recorded(member, incarnation)?;
     let counted: BTreeMap<String, u64> =
         serde_json::from_value(stats[RECORDED_FIELD].clone()).unwrap_or_default();
--- a/crates/aggregator/src/cli/ledger/status.rs
+++ b/crates/aggregator/src/cli/ledger/status.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use usage_ledger::period::stamp;
-use usage_ledger::store::{Standing, Store};
+use usage_ledger::store::{MemberStatus, Store};
 
 const COLUMNS: [&str; 9] = [
     "member",
@@ -30,29 +30,29 @@
 }
 
 fn member_report(context: &LedgerContext, store: &Store) -> Result<Report, LedgerError> {
-    let standings = store.standings()?;
+    let statuses = store.member_statuses()?;
     let configured = &context.settings.members;
-    let recorded = standings.iter().map(|standing| &standing.member);
+    let recorded = statuses.iter().map(|status| &status.member);
     let names: BTreeSet<&String> = configured.keys().chain(recorded).collect();
     let mut report = Report::new(&COLUMNS);
     for name in names {
-        let standing = standings.iter().find(|standing| standing.member == *name);
-        report.push(row(name, configured.contains_key(name), standing));
+        let status = statuses.iter().find(|status| status.member == *name);
+        report.push(row(name, configured.contains_key(name), status));
     }
     Ok(report)
 }
 
-fn row(name: &str, configured: bool, standing: Option<&Standing>) -> Vec<Value> {
+fn row(name: &str, configured: bool, status: Option<&MemberStatus>) -> Vec<Value> {
     let mut row = vec![json!(name), json!(configured)];
-    match standing {
-        Some(standing) => row.extend([
-            json!(standing.position.incarnation),
-            json!(standing.position.sequence),
-            json!(stamp(standing.complete)),
-            json!(standing.records),
-            json!(standing.lost),
-            json!(standing.died),
-            json!(standing.damaged),
+    match status {
+        Some(status) => row.extend([
+            json!(status.position.incarnation),
+            json!(status.position.sequence),
+            json!(stamp(status.complete)),
+            json!(status.records),
+            json!(status.lost),
+            json!(status.died),
+            json!(status.damaged),
         ]),
         None => row.resize(COLUMNS.len(), Value::Null),
     }
--- a/crates/aggregator/src/cli/ledger/verify.rs
+++ b/crates/aggregator/src/cli/ledger/verify.rs
@@ -87,8 +87,8 @@
         let read = log::read(bytes, entries_start, usize::MAX);
         for item in &read.items {
             match item {
-                log::Item::Entry(_) => self.entries += 1,
-                log::Item::Damage(from, to) => self.faults.push(Fault::DamagedBytes {
+                log::SegmentItem::Entry(_) => self.entries += 1,
+                log::SegmentItem::Damage(from, to) => self.faults.push(Fault::DamagedBytes {
                     segment: name.clone(),
                     from: *from,
                     to: *to,
--- a/crates/aggregator/src/process/mod.rs
+++ b/crates/aggregator/src/process/mod.rs
@@ -26,7 +26,7 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 use usage_ledger::settings::UsageLogSettings;
-use usage_ledger::writer;
+use usage_ledger::writer::{self, RunClass, RunTables};
 
 /// What the files state at the start of the process.
 struct Startup {
@@ -137,12 +137,18 @@
     config: &Config,
     clock: &Clock,
 ) -> Result<Box<dyn UsageRecorder>, ServeError> {
-    let names = writer::Names {
-        mixer: config.name.clone(),
-        classes: config.aggregator_settings.classes.clone(),
-        give_up: config.aggregator_settings.deadlines.clone(),
-        tenants: config.aggregator_settings.tenants.clone(),
+    let settings = &config.aggregator_settings;
+    let classes = settings.classes.iter().zip(&settings.deadlines);
+    let tables = RunTables {
+        aggregator: config.name.clone(),
+        classes: classes
+            .map(|(name, timeout_ns)| RunClass {
+                name: name.clone(),
+                client_timeout_ns: *timeout_ns,
+            })
+            .collect(),
+        tenants: settings.tenants.clone(),
     };
-    let writer = writer::start(usage_log, names, clock.now()).map_err(ServeError::UsageLog)?;
+    let writer = writer::start(usage_log, tables, clock.now()).map_err(ServeError::UsageLog)?;
     Ok(Box::new(UsageLogRecorder::new(writer)))
 }
--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -6,18 +6,18 @@
 use tokio::sync::watch;
 use usage_ledger::wire::entry::What;
 use usage_ledger::wire::{Outcome as WireOutcome, Record};
-use usage_ledger::writer::{self, Writer};
+use usage_ledger::writer::{self, UsageLogWriter};
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
 /// Records the engine's usage in a usage log.
 pub struct UsageLogRecorder {
-    writer: Writer,
+    writer: UsageLogWriter,
 }
 
 impl UsageLogRecorder {
     /// A recorder whose records go to the thread of this writer.
-    pub fn new(writer: Writer) -> UsageLogRecorder {
+    pub fn new(writer: UsageLogWriter) -> UsageLogRecorder {
         UsageLogRecorder { writer }
     }
 }
--- a/crates/testkit/src/bin/bench-ledger/settlement.rs
+++ b/crates/testkit/src/bin/bench-ledger/settlement.rs
@@ -7,14 +7,14 @@
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
-use usage_ledger::period::{Calendar, Every, Period};
+use usage_ledger::period::{Calendar, Period, PeriodLength};
 use usage_ledger::settings::Price;
-use usage_ledger::settle::Bounds;
-use usage_ledger::store::{Store, Terms};
+use usage_ledger::settle::JoinBounds;
+use usage_ledger::store::{ClosingTerms, Store};
 use usage_ledger::wire::{entry::What, Batch, Class, Entry, Header};
 
 const MEMBER: &str = "n0";
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: JoinBounds = JoinBounds {
     horizon: 2000,
     skew: 100,
 };
@@ -47,7 +47,7 @@
 fn ingest(store: &mut Store, records: u64) -> Result<Duration, BenchError> {
     let mut random = StdRng::seed_from_u64(7);
     let length_ms = period_length_ms(records);
-    let calendar = Calendar(Every::Ms(DAY_MS));
+    let calendar = Calendar(PeriodLength::Milliseconds(DAY_MS));
     let header = header();
     let (mut time, mut sequence) = (Duration::ZERO, 0);
     while sequence < records {
@@ -80,7 +80,7 @@
         .iter()
         .map(|class| (class.name.to_string(), price))
         .collect();
-    let terms = Terms {
+    let terms = ClosingTerms {
         bounds: BOUNDS,
         prices: &prices,
         allowances: &BTreeMap::new(),
--- a/crates/usage-ledger/src/collect.rs
+++ b/crates/usage-ledger/src/collect.rs
@@ -1,6 +1,6 @@
 //! Collection over gRPC: each aggregator offers its usage log, and the settlement follows it.
 
-use crate::log::{self, Follower, Position};
+use crate::log::{self, LogFollower, LogPosition};
 use crate::wire::usage_log_server::{UsageLog, UsageLogServer};
 use crate::wire::{AcknowledgeReply, AcknowledgeRequest, Batch, FollowRequest};
 use std::io;
@@ -60,11 +60,11 @@
         request: Request<FollowRequest>,
     ) -> Result<Response<Self::FollowStream>, Status> {
         let request = request.into_inner();
-        let after = Position {
+        let after = LogPosition {
             incarnation: request.incarnation,
             sequence: request.sequence,
         };
-        let follower = Follower::new(&self.directory, after);
+        let follower = LogFollower::new(&self.directory, after);
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
         tokio::spawn(send_batches(follower, sender));
         Ok(Response::new(ReceiverStream::new(receiver)))
@@ -78,7 +78,7 @@
             incarnation,
             sequence,
         } = request.into_inner();
-        let settled = Position {
+        let settled = LogPosition {
             incarnation,
             sequence,
         };
@@ -99,7 +99,7 @@
 }
 
 /// Sends batches until the collector is gone or the log can't be read.
-async fn send_batches(mut follower: Follower, sender: mpsc::Sender<Result<Batch, Status>>) {
+async fn send_batches(mut follower: LogFollower, sender: mpsc::Sender<Result<Batch, Status>>) {
     let mut idle_polls = 0;
     loop {
         let read = tokio::task::spawn_blocking(move || {
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -1,6 +1,6 @@
 //! Reading a log that is still being written, from any position on.
 
-use super::format::{header, read, Item, MAGIC, MAX_HEADER_BYTES};
+use super::format::{header, read, SegmentItem, MAGIC, MAX_HEADER_BYTES};
 use super::segment::{segments, Segment};
 use crate::wire::{entry::What, Batch, Damage, Entry, Header};
 use std::fs::File;
@@ -9,7 +9,7 @@
 
 /// How far a log has been read: up to this record of this run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Position {
+pub struct LogPosition {
     /// The run of the aggregator.
     pub incarnation: u64,
     /// The last record of the run that was read.
@@ -60,16 +60,16 @@
 
 /// Reads a log from a position on, batch by batch.
 #[derive(Debug)]
-pub struct Follower {
+pub struct LogFollower {
     directory: PathBuf,
-    after: Position,
+    after: LogPosition,
     open: Option<OpenSegment>,
 }
 
-impl Follower {
+impl LogFollower {
     /// A follower that delivers what comes after a position in the log in `directory`.
-    pub fn new(directory: &Path, after: Position) -> Follower {
-        Follower {
+    pub fn new(directory: &Path, after: LogPosition) -> LogFollower {
+        LogFollower {
             directory: directory.into(),
             after,
             open: None,
@@ -200,9 +200,9 @@
         };
         for item in found.items {
             match item {
-                Item::Entry(entry) if self.is_delivered(&open.segment, &entry) => {}
-                Item::Entry(entry) => chunk.entries.push(entry),
-                Item::Damage(from, to) => chunk.damage.push(Damage {
+                SegmentItem::Entry(entry) if self.is_delivered(&open.segment, &entry) => {}
+                SegmentItem::Entry(entry) => chunk.entries.push(entry),
+                SegmentItem::Damage(from, to) => chunk.damage.push(Damage {
                     segment: open.segment.name(),
                     from: open.offset + from,
                     to: open.offset + to,
@@ -221,7 +221,7 @@
             None => 0,
         };
         let incarnation = segment.incarnation;
-        let position = Position {
+        let position = LogPosition {
             incarnation,
             sequence,
         };
--- a/crates/usage-ledger/src/log/format.rs
+++ b/crates/usage-ledger/src/log/format.rs
@@ -58,7 +58,7 @@
 
 /// One finding in a segment.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum SegmentItem {
     /// An entry that could be read.
     Entry(Entry),
     /// Bytes from one offset up to another that are no frames, though frames follow.
@@ -67,9 +67,9 @@
 
 /// What [`read`] found in a segment's bytes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Read {
+pub struct SegmentContent {
     /// Entries and damage, in the order of the segment.
-    pub items: Vec<Item>,
+    pub items: Vec<SegmentItem>,
     /// Offset up to which the bytes were read; what follows is no frame, or not yet a complete one.
     pub end: usize,
 }
@@ -83,14 +83,14 @@
 
 /// Reads at most `max_items` items from offset `at` on, skipping what can't be read up to the next
 /// frame that can.
-pub fn read(bytes: &[u8], at: usize, max_items: usize) -> Read {
-    let mut read = Read {
+pub fn read(bytes: &[u8], at: usize, max_items: usize) -> SegmentContent {
+    let mut read = SegmentContent {
         items: Vec::new(),
         end: at,
     };
     while read.end < bytes.len() && read.items.len() < max_items {
         if let Some((entry, end)) = entry(bytes, read.end) {
-            read.items.push(Item::Entry(entry));
+            read.items.push(SegmentItem::Entry(entry));
             read.end = end;
             continue;
         }
@@ -99,7 +99,8 @@
         let Some(next) = candidates.find(|at| entry(bytes, *at).is_some()) else {
             break;
         };
-        read.items.push(Item::Damage(read.end as u64, next as u64));
+        read.items
+            .push(SegmentItem::Damage(read.end as u64, next as u64));
         read.end = next;
     }
     read
--- a/crates/usage-ledger/src/log/segment.rs
+++ b/crates/usage-ledger/src/log/segment.rs
@@ -1,7 +1,7 @@
 //! The files of a log.
 
 use super::format::{header, read, FRAME_HEAD_BYTES, MAGIC};
-use super::Position;
+use super::LogPosition;
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -45,11 +45,11 @@
     }
 
     /// Whether all records up to `settled` include all of this segment, given the one after it.
-    fn is_settled(&self, next: &Segment, settled: Position) -> bool {
+    fn is_settled(&self, next: &Segment, settled: LogPosition) -> bool {
         if next.incarnation != self.incarnation {
             return settled.incarnation > self.incarnation;
         }
-        let last = Position {
+        let last = LogPosition {
             incarnation: self.incarnation,
             sequence: next.first_sequence.saturating_sub(1),
         };
@@ -100,7 +100,7 @@
 ///
 /// # Errors
 /// The directory can't be read, or a segment can't be removed.
-pub fn remove_settled(directory: &Path, settled: Position) -> io::Result<usize> {
+pub fn remove_settled(directory: &Path, settled: LogPosition) -> io::Result<usize> {
     let segments = segments(directory)?;
     let mut removed = 0;
     for (segment, next) in segments.iter().zip(segments.iter().skip(1)) {
--- a/crates/usage-ledger/src/period.rs
+++ b/crates/usage-ledger/src/period.rs
@@ -28,32 +28,34 @@
 
 /// The length of a period.
 #[derive(Clone, Debug)]
-pub enum Every {
+pub enum PeriodLength {
     /// As many milliseconds, counted from the start of 1970.
-    Ms(i64),
+    Milliseconds(i64),
     /// A civil day: 23 or 25 hours long where the clocks change.
-    Day(TimeZone),
+    CivilDay(TimeZone),
     /// A civil month.
-    Month(TimeZone),
+    CivilMonth(TimeZone),
 }
 
 /// Cuts time into periods without gap or overlap.
 #[derive(Clone, Debug)]
-pub struct Calendar(pub Every);
+pub struct Calendar(pub PeriodLength);
 
 impl Calendar {
     /// The period that holds a time in Unix milliseconds.
     pub fn at(&self, ms: i64) -> Period {
         match &self.0 {
-            Every::Ms(length) => {
+            PeriodLength::Milliseconds(length) => {
                 let start = ms.div_euclid(*length) * length;
                 Period {
                     start,
                     end: start + length,
                 }
             }
-            Every::Day(zone) => civil_period(ms, zone, civil_day).unwrap_or(UNBOUNDED),
-            Every::Month(zone) => civil_period(ms, zone, civil_month).unwrap_or(UNBOUNDED),
+            PeriodLength::CivilDay(zone) => civil_period(ms, zone, civil_day).unwrap_or(UNBOUNDED),
+            PeriodLength::CivilMonth(zone) => {
+                civil_period(ms, zone, civil_month).unwrap_or(UNBOUNDED)
+            }
         }
     }
 
--- a/crates/usage-ledger/src/reconcile.rs
+++ b/crates/usage-ledger/src/reconcile.rs
@@ -2,7 +2,7 @@
 
 use crate::join::{Joiner, LogicalRequest, RecordedOutcome};
 use crate::period::{stamp, Calendar};
-use crate::settle::Bounds;
+use crate::settle::JoinBounds;
 use crate::store::{Store, StoreError};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,7 +11,7 @@
 
 /// One logical request as a client recorded it: a row of its file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ClientUse {
+pub struct ClientRequest {
     /// When the first request was sent, in Unix milliseconds.
     pub at_ms: i64,
     /// The tenant's name.
@@ -49,7 +49,7 @@
 
 /// What only one side has, or what differs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Difference {
+pub struct RequestDifference {
     /// How the sides differ.
     pub kind: DifferenceKind,
     /// The tenant's name.
@@ -79,7 +79,7 @@
 
 /// Logical requests of one tenant and class in one period, on both sides.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Pair {
+pub struct RequestTotals {
     /// All that the ledger has.
     pub ledger: u64,
     /// All that the clients have.
@@ -90,7 +90,7 @@
     pub client_answered: u64,
 }
 
-impl Pair {
+impl RequestTotals {
     /// Whether both sides have as many requests, and as many answered ones.
     pub fn is_equal(&self) -> bool {
         self.ledger == self.client && self.ledger_answered == self.client_answered
@@ -99,14 +99,14 @@
 
 /// The result of a reconciliation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reconciled {
+pub struct ReconciliationReport {
     /// By period, tenant and class.
-    pub totals: BTreeMap<TotalKey, Pair>,
+    pub totals: BTreeMap<TotalKey, RequestTotals>,
     /// All differences between single requests.
-    pub differences: Vec<Difference>,
+    pub differences: Vec<RequestDifference>,
 }
 
-impl Reconciled {
+impl ReconciliationReport {
     /// How many totals differ.
     pub fn unequal(&self) -> usize {
         self.totals.values().filter(|pair| !pair.is_equal()).count()
@@ -140,7 +140,7 @@
 /// A reconciliation under way.
 struct Reconciliation<'a> {
     calendar: &'a Calendar,
-    reconciled: Reconciled,
+    reconciled: ReconciliationReport,
     /// Requests of the ledger that no client's request has been matched with, oldest first.
     unmatched: BTreeMap<RequestKey, VecDeque<LogicalRequest>>,
 }
@@ -153,13 +153,13 @@
 pub fn with_clients(
     store: &Store,
     calendar: &Calendar,
-    bounds: Bounds,
+    bounds: JoinBounds,
     arrivals: Range<i64>,
-    clients: &[ClientUse],
-) -> Result<Reconciled, StoreError> {
+    clients: &[ClientRequest],
+) -> Result<ReconciliationReport, StoreError> {
     let mut reconciliation = Reconciliation {
         calendar,
-        reconciled: Reconciled::default(),
+        reconciled: ReconciliationReport::default(),
         unmatched: BTreeMap::new(),
     };
     let names = store.names()?;
@@ -179,7 +179,7 @@
     }
     joiner.finish(&mut add);
     let clients = clients.iter();
-    let mut clients: Vec<&ClientUse> = clients
+    let mut clients: Vec<&ClientRequest> = clients
         .filter(|client| arrivals.contains(&client.at_ms))
         .collect();
     clients.sort_by_key(|client| client.at_ms);
@@ -187,7 +187,7 @@
 }
 
 impl Reconciliation<'_> {
-    fn total(&mut self, at: i64, key: &RequestKey) -> &mut Pair {
+    fn total(&mut self, at: i64, key: &RequestKey) -> &mut RequestTotals {
         let total = TotalKey {
             period: self.calendar.at(at).name(),
             tenant: key.tenant.clone(),
@@ -203,7 +203,7 @@
         self.unmatched.entry(key).or_default().push_back(request);
     }
 
-    fn match_clients(mut self, clients: &[&ClientUse]) -> Reconciled {
+    fn match_clients(mut self, clients: &[&ClientRequest]) -> ReconciliationReport {
         for requests in self.unmatched.values_mut() {
             let requests = requests.make_contiguous();
             requests.sort_by_key(|request| request.first().id());
@@ -225,7 +225,7 @@
         self.reconciled
     }
 
-    fn match_client(&mut self, client: &ClientUse) {
+    fn match_client(&mut self, client: &ClientRequest) {
         let key = RequestKey {
             tenant: client.tenant.clone(),
             class: client.class.clone(),
@@ -254,7 +254,7 @@
         ledger: Option<&str>,
         client: Option<&str>,
     ) {
-        self.reconciled.differences.push(Difference {
+        self.reconciled.differences.push(RequestDifference {
             kind,
             tenant: key.tenant.clone(),
             class: key.class.clone(),
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -1,7 +1,7 @@
 //! Settings of the settlement.
 
 use super::{EXPORT, MEMBER, PERIODS, PRICE, SETTLEMENT, TENANT};
-use crate::period::{Calendar, Every};
+use crate::period::{Calendar, PeriodLength};
 use ini_config::{Problems, Schema, Settings};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
@@ -127,11 +127,11 @@
             problem("zone", &reason)
         })?;
         match periods.text("every").unwrap_or("monthly") {
-            "daily" => Ok(Calendar(Every::Day(zone))),
-            "monthly" => Ok(Calendar(Every::Month(zone))),
+            "daily" => Ok(Calendar(PeriodLength::CivilDay(zone))),
+            "monthly" => Ok(Calendar(PeriodLength::CivilMonth(zone))),
             _ => match self.period_ms("every") {
                 ..MIN_PERIOD_MS => Err(problem("every", "has to be 1s at least")),
-                length => Ok(Calendar(Every::Ms(length))),
+                length => Ok(Calendar(PeriodLength::Milliseconds(length))),
             },
         }
     }
--- a/crates/usage-ledger/src/settle.rs
+++ b/crates/usage-ledger/src/settle.rs
@@ -10,14 +10,14 @@
 
 /// Times in milliseconds that joining goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct JoinBounds {
     /// The longest after a first request that a retry may arrive.
     pub horizon: i64,
     /// The most that two aggregators' clocks differ.
     pub skew: i64,
 }
 
-impl Bounds {
+impl JoinBounds {
     /// The arrivals that settling a period has to read, in Unix milliseconds.
     pub fn arrivals(&self, period: Period) -> Range<i64> {
         let from = period.start.saturating_sub(self.skew);
@@ -56,7 +56,7 @@
 /// milliseconds, `grace` is in milliseconds.
 pub fn decide_closing(
     period: Period,
-    bounds: Bounds,
+    bounds: JoinBounds,
     grace: i64,
     now: i64,
     members: &[MemberProgress],
@@ -90,7 +90,7 @@
 }
 
 /// The lines of a period.
-pub type Lines = BTreeMap<LineKey, UsageCounts>;
+pub type LineCounts = BTreeMap<LineKey, UsageCounts>;
 
 /// What settling one period tells the settling of the next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettledPeriod {
     /// Its counts.
-    pub lines: Lines,
+    pub lines: LineCounts,
     /// What the next period has to know.
     pub carry_over: CarryOver,
     /// First records of logical requests with an ambiguous join.
@@ -115,8 +115,8 @@
 
 /// Settles one period.
 ///
-/// Takes the records that [`Bounds::arrivals`] asks for, in the order of [`UsageRecord::id`], and
-/// ignores those that the period before has carried over.
+/// Takes the records that arrived in the range of [`JoinBounds::arrivals`], in the order of
+/// [`UsageRecord::id`], and ignores those that the period before has carried over.
 pub struct PeriodSettler {
     carried_in: BTreeSet<RecordId>,
     joiner: Joiner,
@@ -135,8 +135,8 @@
 
 impl PeriodSettler {
     /// Begins to settle `period`, after the period before has told what it carries over.
-    pub fn new(period: Period, bounds: Bounds, before: CarryOver) -> PeriodSettler {
-        let Bounds { horizon, skew } = bounds;
+    pub fn new(period: Period, bounds: JoinBounds, before: CarryOver) -> PeriodSettler {
+        let JoinBounds { horizon, skew } = bounds;
         PeriodSettler {
             carried_in: before.carried,
             joiner: Joiner::with_ambiguous(skew, horizon, before.ambiguous_retries),
@@ -196,9 +196,9 @@
 
 /// What has to be put right of a closed period: what it comes to now, less what statements have
 /// counted so far.
-pub fn adjustments(now: &Lines, stated: &Lines) -> Lines {
+pub fn adjustments(now: &LineCounts, stated: &LineCounts) -> LineCounts {
     let keys: BTreeSet<LineKey> = now.keys().chain(stated.keys()).copied().collect();
-    let counts = |lines: &Lines, key: &LineKey| lines.get(key).copied().unwrap_or_default();
+    let counts = |lines: &LineCounts, key: &LineKey| lines.get(key).copied().unwrap_or_default();
     keys.into_iter()
         .map(|key| (key, counts(now, &key) - counts(stated, &key)))
         .filter(|(_, difference)| !difference.is_zero())
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -1,10 +1,10 @@
 //! Takes batches into the store, and closes periods once they may close.
 
-use crate::log::Position;
+use crate::log::LogPosition;
 use crate::period::Period;
 use crate::settings::{LedgerSettings, Member};
-use crate::settle::{decide_closing, Bounds, ClosingDecision, MemberProgress};
-use crate::store::{Statement, Store, StoreError, Terms};
+use crate::settle::{decide_closing, ClosingDecision, JoinBounds, MemberProgress};
+use crate::store::{ClosingTerms, Statement, Store, StoreError};
 use crate::wire::Batch;
 use std::collections::HashMap;
 
@@ -38,15 +38,19 @@
         self.settings = LedgerSettings { calendar, ..next };
     }
 
-    fn bounds(&self) -> Bounds {
-        Bounds {
+    fn bounds(&self) -> JoinBounds {
+        JoinBounds {
             horizon: self.settings.horizon,
             skew: self.settings.skew,
         }
     }
 
     /// Takes a batch into the store. Returns up to where the member's log is in the store.
-    pub(super) fn ingest(&mut self, member: &str, batch: &Batch) -> Result<Position, StoreError> {
+    pub(super) fn ingest(
+        &mut self,
+        member: &str,
+        batch: &Batch,
+    ) -> Result<LogPosition, StoreError> {
         let bounds = self.bounds();
         let calendar = &self.settings.calendar;
         let ingested = self.store.ingest(member, batch, calendar, bounds)?;
@@ -82,7 +86,7 @@
                 return Ok(());
             }
         };
-        let terms = Terms {
+        let terms = ClosingTerms {
             bounds,
             prices: &self.settings.prices,
             allowances: &self.settings.allowances,
@@ -97,9 +101,9 @@
 
     /// How far the records of the members that took part in a period are known.
     fn progress(&self, period: Period) -> Result<Vec<MemberProgress>, StoreError> {
-        let standings = self.store.standings()?.into_iter();
-        let complete: HashMap<String, i64> = standings
-            .map(|standing| (standing.member, standing.complete))
+        let statuses = self.store.member_statuses()?.into_iter();
+        let complete: HashMap<String, i64> = statuses
+            .map(|status| (status.member, status.complete))
             .collect();
         let took_part = |member: &Member| member.from < period.end && member.until > period.start;
         let members = self.settings.members.iter();
--- a/crates/usage-ledger/src/settlement/collector.rs
+++ b/crates/usage-ledger/src/settlement/collector.rs
@@ -1,7 +1,7 @@
 //! Follows the logs of members, each in a task of its own.
 
 use super::lock;
-use crate::log::Position;
+use crate::log::LogPosition;
 use crate::settings::{LedgerSettings, Member};
 use crate::store::{Store, StoreError};
 use crate::wire::usage_log_client::UsageLogClient;
@@ -29,7 +29,7 @@
     pub(super) member: String,
     pub(super) batch: Batch,
     /// Where to say up to what the member's log is in the store.
-    pub(super) stored: oneshot::Sender<Position>,
+    pub(super) stored: oneshot::Sender<LogPosition>,
 }
 
 /// Times that collection goes by.
@@ -58,7 +58,7 @@
     #[error("{0}")]
     Rpc(#[from] Status),
     #[error("{0}")]
-    Position(#[from] StoreError),
+    LogPosition(#[from] StoreError),
     #[error("{0}")]
     Task(#[from] tokio::task::JoinError),
     #[error("silent for too long")]
@@ -201,7 +201,7 @@
     }
 
     /// The store alone knows how far it got, whatever became of this process before.
-    async fn stored_position(&self) -> Result<Position, CollectError> {
+    async fn stored_position(&self) -> Result<LogPosition, CollectError> {
         let path = self.store_path.clone();
         let member = self.member.clone();
         let position = move || Store::open(&path)?.position(&member);
@@ -230,7 +230,7 @@
     }
 
     /// Waits until a batch is in the store.
-    async fn store(&self, batch: Batch) -> Result<Position, CollectError> {
+    async fn store(&self, batch: Batch) -> Result<LogPosition, CollectError> {
         let (stored, position) = oneshot::channel();
         let collected = CollectedBatch {
             member: self.member.clone(),
@@ -246,7 +246,7 @@
 /// Tells an aggregator what of its log it may remove.
 async fn acknowledge(
     client: &mut UsageLogClient<Channel>,
-    position: Position,
+    position: LogPosition,
 ) -> Result<(), CollectError> {
     let request = AcknowledgeRequest {
         incarnation: position.incarnation,
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -5,7 +5,7 @@
 use super::{records, Result};
 use crate::join::RecordId;
 use crate::period::Period;
-use crate::settle::{Bounds, CarryOver, PeriodSettler, SettledPeriod};
+use crate::settle::{CarryOver, JoinBounds, PeriodSettler, SettledPeriod};
 use rusqlite::{params, Connection};
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
 }
 
 /// Settles a period from its records, without storing anything.
-pub(super) fn settle(db: &Connection, period: Period, bounds: Bounds) -> Result<SettledPeriod> {
+pub(super) fn settle(db: &Connection, period: Period, bounds: JoinBounds) -> Result<SettledPeriod> {
     let mut settler = PeriodSettler::new(period, bounds, load_before(db, period.start)?);
     records::for_each(db, bounds.arrivals(period), |record| settler.push(record))?;
     Ok(settler.finish())
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -3,23 +3,23 @@
 //! Transaction boundary: one transaction a period holds its statement and lines, the adjustments of
 //! earlier periods, the corrections that stand in it, and the documents for the outbox.
 
-use super::lines::Line;
-use super::queries::Standing;
+use super::lines::LineRow;
+use super::queries::MemberStatus;
 use super::{carry_over, correction, digest, dirty, lines, outbox, Result, Store, StoreError};
 use crate::document::Document;
 use crate::period::{stamp, Period};
 use crate::rate::amount;
 use crate::settings::Price;
-use crate::settle::{adjustments, Bounds, LineKey, Lines};
+use crate::settle::{adjustments, JoinBounds, LineCounts, LineKey};
 use crate::statement::{tenant_totals, MemberState, Statement, ROUNDING};
 use rusqlite::{params, Connection, OptionalExtension};
 use std::collections::{BTreeMap, HashMap};
 
 /// What closing a period needs beside the store.
 #[derive(Clone, Debug)]
-pub struct Terms<'a> {
+pub struct ClosingTerms<'a> {
     /// How records are joined.
-    pub bounds: Bounds,
+    pub bounds: JoinBounds,
     /// Prices by class.
     pub prices: &'a BTreeMap<String, Price>,
     /// Allowances by tenant.
@@ -37,8 +37,8 @@
     ///
     /// # Errors
     /// It is closed already, or the store can't be written.
-    pub fn close(&mut self, period: Period, terms: &Terms<'_>) -> Result<Statement> {
-        let standings = self.standings()?;
+    pub fn close(&mut self, period: Period, terms: &ClosingTerms<'_>) -> Result<Statement> {
+        let statuses = self.member_statuses()?;
         let names = self.names()?;
         let transaction = self.begin()?;
         let closing = Closing {
@@ -47,7 +47,7 @@
             terms,
             names: &names,
         };
-        let statement = closing.run(&standings)?;
+        let statement = closing.run(&statuses)?;
         transaction.commit()?;
         Ok(statement)
     }
@@ -57,19 +57,19 @@
 struct Closing<'a> {
     db: &'a Connection,
     period: Period,
-    terms: &'a Terms<'a>,
+    terms: &'a ClosingTerms<'a>,
     names: &'a HashMap<u32, String>,
 }
 
 impl Closing<'_> {
-    fn run(&self, standings: &[Standing]) -> Result<Statement> {
+    fn run(&self, statuses: &[MemberStatus]) -> Result<Statement> {
         self.insert_period()?;
         let mut lines = self.adjustment_lines()?;
         lines.extend(self.own_lines()?);
         for line in &lines {
             line.insert(self.db, self.period)?;
         }
-        let statement = self.statement(&lines, standings)?;
+        let statement = self.statement(&lines, statuses)?;
         self.insert_statement(&statement)?;
         for document in Document::of_statement(&statement) {
             outbox::insert(self.db, &document, self.terms.now)?;
@@ -95,7 +95,7 @@
     }
 
     /// What late records have changed of earlier periods.
-    fn adjustment_lines(&self) -> Result<Vec<Line>> {
+    fn adjustment_lines(&self) -> Result<Vec<LineRow>> {
         let mut lines = Vec::new();
         while let Some(earlier) = dirty::first_before(self.db, self.period.start)? {
             let (counts, changed) = self.settle(earlier.period)?;
@@ -109,13 +109,13 @@
         Ok(lines)
     }
 
-    fn adjust(&self, earlier: &dirty::DirtyPeriod, now: &Lines) -> Result<Vec<Line>> {
+    fn adjust(&self, earlier: &dirty::DirtyPeriod, now: &LineCounts) -> Result<Vec<LineRow>> {
         let stated = lines::stated(self.db, earlier.period)?;
         let adjust = |(key, counts)| {
             let price = self.price(&earlier.prices, key);
             let due = now.get(&key);
             let due = due.map_or(0, |counts| amount(counts, price.unwrap_or_default()));
-            Line {
+            LineRow {
                 period: earlier.period,
                 adjusts: true,
                 key,
@@ -129,11 +129,11 @@
     }
 
     /// The lines of the period itself.
-    fn own_lines(&self) -> Result<Vec<Line>> {
+    fn own_lines(&self) -> Result<Vec<LineRow>> {
         let (counts, _) = self.settle(self.period)?;
         let line = |(key, counts)| {
             let price = self.price(self.terms.prices, key);
-            Line {
+            LineRow {
                 period: self.period,
                 adjusts: false,
                 key,
@@ -147,7 +147,7 @@
 
     /// Settles a period from its records, and stores what it carries over. True if that has
     /// changed.
-    fn settle(&self, period: Period) -> Result<(Lines, bool)> {
+    fn settle(&self, period: Period) -> Result<(LineCounts, bool)> {
         let settled = carry_over::settle(self.db, period, self.terms.bounds)?;
         let changed = carry_over::save(self.db, period, &settled)?;
         dirty::clear(self.db, period)?;
@@ -159,7 +159,7 @@
         prices.get(class).copied()
     }
 
-    fn statement(&self, lines: &[Line], standings: &[Standing]) -> Result<Statement> {
+    fn statement(&self, lines: &[LineRow], statuses: &[MemberStatus]) -> Result<Statement> {
         let corrections = correction::take_waiting(self.db, self.period)?;
         let lines: Vec<_> = lines
             .iter()
@@ -178,7 +178,7 @@
             end: stamp(self.period.end),
             closed: stamp(self.terms.now),
             members: members
-                .map(|member| self.member_state(member, standings))
+                .map(|member| self.member_state(member, statuses))
                 .collect(),
             total: line_total + correction_total,
             tenants: tenant_totals(&lines, &corrections, self.terms.allowances),
@@ -189,15 +189,15 @@
         })
     }
 
-    fn member_state(&self, member: &str, standings: &[Standing]) -> MemberState {
-        let standing = standings.iter().find(|standing| standing.member == member);
+    fn member_state(&self, member: &str, statuses: &[MemberStatus]) -> MemberState {
+        let status = statuses.iter().find(|status| status.member == member);
         MemberState {
             member: member.into(),
-            complete: standing.map(|standing| stamp(standing.complete)),
+            complete: status.map(|status| stamp(status.complete)),
             missing: self.terms.missing.iter().any(|missing| missing == member),
-            lost: standing.map_or(0, |standing| standing.lost),
-            died: standing.map_or(0, |standing| standing.died),
-            damaged: standing.map_or(0, |standing| standing.damaged),
+            lost: status.map_or(0, |status| status.lost),
+            died: status.map_or(0, |status| status.died),
+            damaged: status.map_or(0, |status| status.damaged),
         }
     }
 
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -5,7 +5,7 @@
 use super::Result;
 use crate::period::{Calendar, Period};
 use crate::settings::Price;
-use crate::settle::Bounds;
+use crate::settle::JoinBounds;
 use rusqlite::{Connection, OptionalExtension, Row};
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     at: i64,
     closed_until: i64,
     calendar: &Calendar,
-    bounds: Bounds,
+    bounds: JoinBounds,
 ) -> Result<()> {
     let mark = "UPDATE period SET dirty = 1 WHERE start - ?2 <= ?1 AND end + ?3 > ?1";
     db.prepare_cached(mark)?
--- a/crates/usage-ledger/src/store/ingest.rs
+++ b/crates/usage-ledger/src/store/ingest.rs
@@ -7,7 +7,7 @@
 use super::uncertainty::{self, RunKey};
 use super::{dirty, records, NameKind, Result, Store};
 use crate::period::Calendar;
-use crate::settle::Bounds;
+use crate::settle::JoinBounds;
 use crate::wire::{entry::What, Batch, Damage, Entry, Header, Mark, Record};
 use rusqlite::{params, CachedStatement, Connection, OptionalExtension};
 
@@ -18,7 +18,7 @@
 
 /// What a batch of records came to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ingested {
+pub struct IngestSummary {
     /// Records that were not in the store.
     pub new: u64,
     /// Records that were there already.
@@ -66,10 +66,10 @@
         member: &str,
         batch: &Batch,
         calendar: &Calendar,
-        bounds: Bounds,
-    ) -> Result<Ingested> {
+        bounds: JoinBounds,
+    ) -> Result<IngestSummary> {
         let Some(header) = &batch.header else {
-            return Ok(Ingested::default());
+            return Ok(IngestSummary::default());
         };
         let ids = self.header_ids(member, header)?;
         let run = ids.run;
@@ -83,7 +83,7 @@
             closed_until: closed_until(&transaction)?,
             progress: RunProgress::load(&transaction, run)?,
             ids,
-            ingested: Ingested::default(),
+            ingested: IngestSummary::default(),
         };
         ingestion.insert_entries(&batch.entries)?;
         let ingested = ingestion.ingested;
@@ -209,11 +209,11 @@
 struct Ingestion<'a> {
     db: &'a Connection,
     calendar: &'a Calendar,
-    bounds: Bounds,
+    bounds: JoinBounds,
     closed_until: i64,
     ids: HeaderIds,
     progress: RunProgress,
-    ingested: Ingested,
+    ingested: IngestSummary,
 }
 
 impl Ingestion<'_> {
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -5,13 +5,13 @@
 use super::Result;
 use crate::period::Period;
 use crate::rate::UsageCounts;
-use crate::settle::{LineKey, Lines};
+use crate::settle::{LineCounts, LineKey};
 use crate::statement::StatementLine;
 use rusqlite::{params_from_iter, Connection, Row};
 use std::collections::{BTreeMap, HashMap};
 
 /// A line of a statement, with numbers in place of names.
-pub(super) struct Line {
+pub(super) struct LineRow {
     /// The period it counts.
     pub(super) period: Period,
     /// Whether it adjusts a period that was closed before.
@@ -24,7 +24,7 @@
     pub(super) unpriced: bool,
 }
 
-impl Line {
+impl LineRow {
     pub(super) fn with_names(&self, names: &HashMap<u32, String>) -> StatementLine {
         let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
         StatementLine {
@@ -57,21 +57,21 @@
 
 /// What all statements so far have said of a period.
 #[derive(Default)]
-pub(super) struct Stated {
-    pub(super) lines: Lines,
+pub(super) struct StatedUsage {
+    pub(super) lines: LineCounts,
     /// Micro-units.
     pub(super) amounts: BTreeMap<LineKey, i64>,
 }
 
 /// What all statements so far have said of `period`.
-pub(super) fn stated(db: &Connection, period: Period) -> Result<Stated> {
+pub(super) fn stated(db: &Connection, period: Period) -> Result<StatedUsage> {
     let mut select = db.prepare(
         "SELECT tenant, class, sum(uses), sum(whole), sum(partial), sum(share), sum(refused), sum(failed), sum(gone),
            sum(tries), sum(parts), sum(attempts), sum(crossed), sum(ambiguous), sum(amount)
          FROM line WHERE period = ? GROUP BY tenant, class",
     )?;
     let mut rows = select.query([period.start])?;
-    let mut stated = Stated::default();
+    let mut stated = StatedUsage::default();
     while let Some(row) = rows.next()? {
         let key = LineKey {
             tenant: row.get(0)?,
--- a/crates/usage-ledger/src/store/mod.rs
+++ b/crates/usage-ledger/src/store/mod.rs
@@ -29,10 +29,10 @@
 
 pub use crate::document::OutgoingDocument;
 pub use crate::statement::{CorrectionLine, MemberState, Statement, StatementLine, TenantTotal};
-pub use closing::Terms;
+pub use closing::ClosingTerms;
 pub use error::StoreError;
-pub use ingest::Ingested;
-pub use queries::{ClosedPeriod, Standing, StoredStatement};
+pub use ingest::IngestSummary;
+pub use queries::{ClosedPeriod, MemberStatus, StoredStatement};
 pub use verification::{VerificationFault, VerificationReport};
 
 use self::error::Result;
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -3,7 +3,7 @@
 //! Transaction boundary: none; each method reads one consistent snapshot.
 
 use super::{Result, Store};
-use crate::log::Position;
+use crate::log::LogPosition;
 use crate::period::{Calendar, Period};
 use crate::statement::Statement;
 use rusqlite::{params, OptionalExtension, Row};
@@ -11,11 +11,11 @@
 
 /// How far a member's log has been collected.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct MemberStatus {
     /// The aggregator's name.
     pub member: String,
     /// The last record of its last run.
-    pub position: Position,
+    pub position: LogPosition,
     /// Its records are complete before this time, in Unix milliseconds.
     pub complete: i64,
     /// Its last run has said that it ended.
@@ -65,11 +65,11 @@
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn position(&self, member: &str) -> Result<Position> {
+    pub fn position(&self, member: &str) -> Result<LogPosition> {
         let select = "SELECT incarnation, sequence FROM position JOIN name ON name.id = member
             WHERE kind = 'member' AND text = ? ORDER BY incarnation DESC LIMIT 1";
         let read = |row: &Row<'_>| {
-            Ok(Position {
+            Ok(LogPosition {
                 incarnation: row.get(0)?,
                 sequence: row.get(1)?,
             })
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn standings(&self) -> Result<Vec<Standing>> {
+    pub fn member_statuses(&self) -> Result<Vec<MemberStatus>> {
         let mut select = self.db.prepare(
             "SELECT text, p.incarnation, p.sequence, p.complete, p.ended,
                (SELECT sum(sequence - lost) FROM position o WHERE o.member = p.member),
@@ -93,10 +93,10 @@
              FROM position p JOIN name ON name.id = p.member
              WHERE p.incarnation = (SELECT max(incarnation) FROM position o WHERE o.member = p.member) ORDER BY text",
         )?;
-        let standings = select.query_map([], |row| {
-            Ok(Standing {
+        let statuses = select.query_map([], |row| {
+            Ok(MemberStatus {
                 member: row.get(0)?,
-                position: Position {
+                position: LogPosition {
                     incarnation: row.get(1)?,
                     sequence: row.get(2)?,
                 },
@@ -108,7 +108,7 @@
                 damaged: row.get(8)?,
             })
         })?;
-        Ok(standings.collect::<rusqlite::Result<_>>()?)
+        Ok(statuses.collect::<rusqlite::Result<_>>()?)
     }
 
     /// How many records one run of a member has, by `TENANT CLASS` as the aggregator's own counters
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -4,7 +4,7 @@
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
 use super::Result;
-use crate::settle::Bounds;
+use crate::settle::JoinBounds;
 use rusqlite::{params, Connection};
 use std::collections::{BTreeSet, HashMap};
 
@@ -53,7 +53,7 @@
     db: &Connection,
     before: &UncertainTails,
     after: &UncertainTails,
-    bounds: Bounds,
+    bounds: JoinBounds,
 ) -> Result<()> {
     let runs: BTreeSet<RunKey> = before.keys().chain(after.keys()).copied().collect();
     for run in runs {
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-fn mark_tail(db: &Connection, run: RunKey, tail: UncertainTail, bounds: Bounds) -> Result<()> {
+fn mark_tail(db: &Connection, run: RunKey, tail: UncertainTail, bounds: JoinBounds) -> Result<()> {
     db.execute(
         "UPDATE period SET dirty = 1 WHERE end + ?6 > ?4 AND EXISTS (SELECT 1 FROM record
            WHERE at >= max(start - ?5, ?4) AND at < end + ?6 AND member = ?1 AND incarnation = ?2 AND sequence > ?3)",
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -5,7 +5,7 @@
 
 use super::{carry_over, digest, lines, Result, Store};
 use crate::period::Period;
-use crate::settle::{adjustments, Bounds};
+use crate::settle::{adjustments, JoinBounds};
 use crate::statement::Statement;
 use std::collections::HashMap;
 
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn verify(&self, bounds: Bounds) -> Result<VerificationReport> {
+    pub fn verify(&self, bounds: JoinBounds) -> Result<VerificationReport> {
         let mut verification = Verification {
             store: self,
             report: VerificationReport::default(),
@@ -162,7 +162,7 @@
         Ok(())
     }
 
-    fn check_periods(&mut self, bounds: Bounds) -> Result<()> {
+    fn check_periods(&mut self, bounds: JoinBounds) -> Result<()> {
         let names = self.store.names()?;
         for closed in self.store.periods()? {
             if !closed.late_records_pending {
@@ -176,7 +176,7 @@
     fn check_period(
         &mut self,
         period: Period,
-        bounds: Bounds,
+        bounds: JoinBounds,
         names: &HashMap<u32, String>,
     ) -> Result<()> {
         let settled = carry_over::settle(&self.store.db, period, bounds)?;
--- a/crates/usage-ledger/src/writer/mod.rs
+++ b/crates/usage-ledger/src/writer/mod.rs
@@ -25,41 +25,46 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// How long [`Writer::close`] waits for the thread.
+/// How long [`UsageLogWriter::close`] waits for the thread.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which [`Writer::close`] looks whether the thread has ended.
+/// Interval at which [`UsageLogWriter::close`] looks whether the thread has ended.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// Nanoseconds in a millisecond.
 const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
-/// What the numbers in records stand for, for one run of an aggregator.
+/// The tables that the numbers in records refer to, for one run of an aggregator.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct RunTables {
     /// The aggregator's own name.
-    pub mixer: String,
+    pub aggregator: String,
     /// Classes by number.
-    pub classes: Vec<String>,
-    /// For each class, the longest that a client waits over all its requests, in nanoseconds.
-    pub give_up: Vec<u64>,
+    pub classes: Vec<RunClass>,
     /// Tenants by number.
     pub tenants: Vec<String>,
 }
 
-impl Names {
+/// A class of requests during one run of an aggregator.
+#[derive(Clone, Debug)]
+pub struct RunClass {
+    /// The class's name.
+    pub name: String,
+    /// The longest that a client waits over all its requests, in nanoseconds.
+    pub client_timeout_ns: u64,
+}
+
+impl RunTables {
+    /// The header of a segment; its published field names are mapped here.
     fn into_header(self, incarnation: u64) -> Header {
-        let client_timeouts = self.give_up.iter().chain(std::iter::repeat(&0));
-        let classes = self.classes.iter().zip(client_timeouts);
+        let classes = self.classes.into_iter().map(|class| Class {
+            name: class.name,
+            give_up_ms: class.client_timeout_ns / NANOSECONDS_PER_MS,
+        });
         Header {
             version: VERSION,
+            mixer: self.aggregator,
             incarnation,
             first_sequence: 1,
-            classes: classes
-                .map(|(name, timeout_ns)| Class {
-                    name: name.clone(),
-                    give_up_ms: timeout_ns / NANOSECONDS_PER_MS,
-                })
-                .collect(),
-            mixer: self.mixer,
+            classes: classes.collect(),
             tenants: self.tenants,
         }
     }
@@ -95,7 +100,7 @@
 }
 
 /// The aggregator's end of the queue.
-pub struct Writer {
+pub struct UsageLogWriter {
     queue: Option<SyncSender<Entry>>,
     written: watch::Receiver<u64>,
     counts: Arc<WriterCounters>,
@@ -111,8 +116,12 @@
 ///
 /// # Errors
 /// The directory can't be used, another aggregator uses it, or the address can't be listened on.
-pub fn start(settings: &UsageLogSettings, names: Names, now: u64) -> Result<Writer, StartError> {
-    let mut writer = start_on(FileSystem, settings, names, now)?;
+pub fn start(
+    settings: &UsageLogSettings,
+    tables: RunTables,
+    now: u64,
+) -> Result<UsageLogWriter, StartError> {
+    let mut writer = start_on(FileSystem, settings, tables, now)?;
     if let Some(address) = settings.listen {
         let bound_address = crate::collect::listen(address, settings.directory.clone())?;
         writer.collection_address = Some(bound_address);
@@ -127,9 +136,9 @@
 pub fn start_on(
     disk: impl Disk,
     settings: &UsageLogSettings,
-    names: Names,
+    tables: RunTables,
     now: u64,
-) -> Result<Writer, StartError> {
+) -> Result<UsageLogWriter, StartError> {
     let directory = &settings.directory;
     let at_directory = |source: io::Error| StartError::Directory {
         directory: directory.clone(),
@@ -145,14 +154,14 @@
     let (queue, entries) = sync_channel(settings.queue);
     let (publish_written, written) = watch::channel(0);
     let counts = Arc::<WriterCounters>::default();
-    let header = names.into_header(incarnation);
+    let header = tables.into_header(incarnation);
     let thread = WriterThread::new(disk, lock, settings, header, publish_written, &counts);
     let thread = std::thread::Builder::new()
         .name("usage log".into())
         .spawn(move || thread.run(&entries))
         .map_err(StartError::Thread)?;
     tracing::info!(directory = %directory.display(), incarnation, "usage log opened");
-    Ok(Writer {
+    Ok(UsageLogWriter {
         queue: Some(queue),
         written,
         counts,
@@ -199,7 +208,7 @@
     (now_ns / NANOSECONDS_PER_MS).max(last + 1)
 }
 
-impl Writer {
+impl UsageLogWriter {
     /// Queues an entry without waiting; false if the queue is full.
     pub fn try_enqueue(&mut self, what: What) -> bool {
         let entry = Entry { what: Some(what) };
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -7,14 +7,14 @@
 use std::path::Path;
 use std::time::Duration;
 use usage_ledger::join::RecordedOutcome;
-use usage_ledger::log::{self, Follower, Position};
-use usage_ledger::period::{Calendar, Every, Period};
+use usage_ledger::log::{self, LogFollower, LogPosition};
+use usage_ledger::period::{Calendar, Period, PeriodLength};
 use usage_ledger::settings::{self, LedgerSettings, Price, UsageLogSettings};
-use usage_ledger::settle::Bounds;
-use usage_ledger::store::{CorrectionLine, Store, Terms, VerificationReport};
+use usage_ledger::settle::JoinBounds;
+use usage_ledger::store::{ClosingTerms, CorrectionLine, Store, VerificationReport};
 use usage_ledger::wire::entry::What;
 use usage_ledger::wire::{self, Batch, Class, Entry, Header, Mark, Record};
-use usage_ledger::writer::{self, FileSystem, Names};
+use usage_ledger::writer::{self, FileSystem, RunClass, RunTables};
 
 /// A segment of version 1: the magic number, the frame of its header, of a record and of a mark.
 /// A frame is a CRC-32, a length (both little-endian) and a protobuf message.
@@ -63,7 +63,7 @@
         .path()
         .join("00000000000000000007-00000000000000000001.log");
     fs::write(path, segment_bytes()).unwrap();
-    let mut follower = Follower::new(folder.path(), Position::default());
+    let mut follower = LogFollower::new(folder.path(), LogPosition::default());
     let batch = follower.next(10).unwrap().unwrap();
     let header = Header {
         version: 1,
@@ -99,10 +99,12 @@
         mark: Duration::from_millis(100),
         listen: None,
     };
-    let names = Names {
-        mixer: "n0".into(),
-        classes: vec!["c".into()],
-        give_up: vec![100_000_000],
+    let names = RunTables {
+        aggregator: "n0".into(),
+        classes: vec![RunClass {
+            name: "c".into(),
+            client_timeout_ns: 100_000_000,
+        }],
         tenants: vec!["t".into()],
     };
     let mut writer = writer::start_on(FileSystem, &settings, names, 7_000_000).unwrap();
@@ -166,7 +168,7 @@
     end: 1_001_000,
 };
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: JoinBounds = JoinBounds {
     horizon: 150,
     skew: 20,
 };
@@ -179,7 +181,7 @@
             partial: 7,
         },
     )]);
-    let terms = Terms {
+    let terms = ClosingTerms {
         bounds: BOUNDS,
         prices: &prices,
         allowances: &BTreeMap::from([("t".to_string(), 1)]),
@@ -309,7 +311,7 @@
     database.pragma_update(None, "user_version", 1).unwrap();
     drop(database);
     let mut store = new_store(folder.path());
-    let position = Position {
+    let position = LogPosition {
         incarnation: 3,
         sequence: 4,
     };
@@ -335,7 +337,7 @@
     };
     assert_eq!(store.verify(BOUNDS).unwrap(), verified);
     // What the present version makes of the same batch is the same: it knows all of it.
-    let calendar = Calendar(Every::Ms(1000));
+    let calendar = Calendar(PeriodLength::Milliseconds(1000));
     let ingested = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
     assert_eq!((ingested.new, ingested.known), (0, 3));
 }
@@ -363,7 +365,7 @@
 fn statements_and_documents_keep_their_bytes() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = new_store(folder.path());
-    let calendar = Calendar(Every::Ms(1000));
+    let calendar = Calendar(PeriodLength::Milliseconds(1000));
     let ingested = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
     assert_eq!((ingested.new, ingested.late), (3, 0));
     assert_eq!(close(&mut store), one_line(STATEMENT));
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -7,7 +7,7 @@
 use usage_ledger::period::Period;
 use usage_ledger::rate::UsageCounts;
 use usage_ledger::settle::{
-    adjustments, decide_closing, Bounds, CarryOver, ClosingDecision, LineKey, Lines,
+    adjustments, decide_closing, CarryOver, ClosingDecision, JoinBounds, LineCounts, LineKey,
     MemberProgress, PeriodSettler,
 };
 
@@ -15,7 +15,7 @@
 const WINDOW: i64 = 100;
 const HORIZON: i64 = 150;
 const PERIOD: i64 = 400;
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: JoinBounds = JoinBounds {
     horizon: HORIZON,
     skew: SKEW,
 };
@@ -152,7 +152,7 @@
 }
 
 /// Settles one period after the other, as the store does.
-fn settle(records: &[UsageRecord], period: Period, before: &CarryOver) -> (Lines, CarryOver) {
+fn settle(records: &[UsageRecord], period: Period, before: &CarryOver) -> (LineCounts, CarryOver) {
     let arrivals = BOUNDS.arrivals(period);
     let records = records.iter().copied();
     let mut seen: Vec<UsageRecord> = records
@@ -196,7 +196,7 @@
 
     #[test]
     fn periods_settled_one_by_one_count_what_all_records_do(records in arbitrary_records()) {
-        let mut expected: BTreeMap<i64, Lines> = BTreeMap::new();
+        let mut expected: BTreeMap<i64, LineCounts> = BTreeMap::new();
         for request in join(records.clone()) {
             let first = request.first();
             let key = LineKey { tenant: first.tenant, class: first.class };
@@ -218,7 +218,7 @@
     fn adjustments_account_for_late_records(records in arbitrary_records(), late in any::<u64>()) {
         let is_early = |record: &&UsageRecord| late >> (record.sequence % 64) & 1 == 0;
         let early: Vec<UsageRecord> = records.iter().filter(is_early).copied().collect();
-        let mut stated: Vec<Lines> = Vec::new();
+        let mut stated: Vec<LineCounts> = Vec::new();
         let mut carried = CarryOver::default();
         for n in 0..4 {
             let (lines, next) = settle(&early, period(n), &carried);
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -2,13 +2,13 @@
 
 use std::path::Path;
 use std::time::Duration;
-use usage_ledger::log::{Follower, Position};
+use usage_ledger::log::{LogFollower, LogPosition};
 use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::wire::{entry::What, Damage, Outcome, Record};
-use usage_ledger::writer::{self, FileSystem, Names, Writer};
+use usage_ledger::writer::{self, FileSystem, RunClass, RunTables, UsageLogWriter};
 
 /// A position past all records of a log.
-pub const EVERYTHING: Position = Position {
+pub const EVERYTHING: LogPosition = LogPosition {
     incarnation: u64::MAX,
     sequence: u64::MAX,
 };
@@ -25,11 +25,13 @@
     }
 }
 
-pub fn names() -> Names {
-    Names {
-        mixer: "n0".into(),
-        classes: vec!["c".into()],
-        give_up: vec![1_000_000_000],
+pub fn names() -> RunTables {
+    RunTables {
+        aggregator: "n0".into(),
+        classes: vec![RunClass {
+            name: "c".into(),
+            client_timeout_ns: 1_000_000_000,
+        }],
         tenants: vec!["t".into()],
     }
 }
@@ -43,7 +45,7 @@
 }
 
 /// Writes records one after another, each waited for, so that none finds the queue full.
-pub fn write(writer: &mut Writer, sequences: std::ops::RangeInclusive<u64>) {
+pub fn write(writer: &mut UsageLogWriter, sequences: std::ops::RangeInclusive<u64>) {
     let mut written = writer.written();
     for sequence in sequences {
         assert!(writer.try_enqueue(record(sequence)));
@@ -69,7 +71,7 @@
 /// All that a follower finds.
 #[derive(Default)]
 pub struct Found {
-    pub records: Vec<Position>,
+    pub records: Vec<LogPosition>,
     pub damage: Vec<Damage>,
 }
 
@@ -90,15 +92,15 @@
 }
 
 /// Follows a log from a position to its end.
-pub fn follow(directory: &Path, after: Position, max_entries: usize) -> Found {
-    let mut follower = Follower::new(directory, after);
+pub fn follow(directory: &Path, after: LogPosition, max_entries: usize) -> Found {
+    let mut follower = LogFollower::new(directory, after);
     let mut found = Found::default();
     while let Some(batch) = follower.next(max_entries).unwrap() {
         let incarnation = batch.header.as_ref().map_or(0, |header| header.incarnation);
         for entry in batch.entries {
             if let Some(What::Record(record)) = entry.what {
                 assert_eq!((record.key, record.parts), (record.sequence * 7, 5));
-                found.records.push(Position {
+                found.records.push(LogPosition {
                     incarnation,
                     sequence: record.sequence,
                 });
--- a/crates/usage-ledger/tests/log/reading.rs
+++ b/crates/usage-ledger/tests/log/reading.rs
@@ -2,7 +2,7 @@
 
 use crate::harness::{follow, log_of, names, settings, write, EVERYTHING};
 use std::fs;
-use usage_ledger::log::{self, Item, Position};
+use usage_ledger::log::{self, LogPosition, SegmentItem};
 use usage_ledger::writer::{self, FileSystem};
 
 #[test]
@@ -22,7 +22,7 @@
             writer::start_on(FileSystem, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
         write(&mut again, 1..=2);
         again.close();
-        let found = follow(folder.path(), Position::default(), 100);
+        let found = follow(folder.path(), LogPosition::default(), 100);
         if length >= start {
             let old = found.sequences_of(segment.incarnation);
             assert_eq!(old, (1..=kept).collect::<Vec<_>>(), "cut at {length}");
@@ -63,7 +63,7 @@
                 .position(|pair| (pair[0]..pair[1]).contains(&at))
                 .unwrap() as u64
                 + 1;
-            let found = follow(folder.path(), Position::default(), 3);
+            let found = follow(folder.path(), LogPosition::default(), 3);
             assert_eq!(
                 found.sequences_of(segment.incarnation),
                 (1..=8).filter(|n| *n != hit).collect::<Vec<_>>(),
@@ -85,7 +85,7 @@
     assert_eq!(
         items
             .iter()
-            .filter(|item| matches!(item, Item::Entry(_)))
+            .filter(|item| matches!(item, SegmentItem::Entry(_)))
             .count(),
         8
     );
@@ -100,7 +100,7 @@
         log::segments(folder.path()).unwrap().len() > 4,
         "it rotates"
     );
-    let found = follow(folder.path(), Position::default(), 7);
+    let found = follow(folder.path(), LogPosition::default(), 7);
     let all = &found.records;
     assert_eq!((all.len(), found.damage.len()), (300, 0));
     for (n, after) in all.iter().enumerate() {
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 use std::time::Duration;
-use usage_ledger::log::{self, Position};
+use usage_ledger::log::{self, LogPosition};
 use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::writer::{self, Disk, FileSystem};
 
@@ -45,7 +45,7 @@
         ),
         (6, 6)
     );
-    let found = follow(folder.path(), Position::default(), 100);
+    let found = follow(folder.path(), LogPosition::default(), 100);
     assert_eq!(found.sequences(), [1, 2, 3, 10, 11, 12]);
     let damage = &found.damage;
     assert!(damage.is_empty(), "half a write is taken back: {damage:?}");
@@ -80,7 +80,7 @@
     assert_eq!(*writer.written().borrow(), 0, "none is reported as written");
     drop(release);
     writer.close();
-    let found = follow(folder.path(), Position::default(), 4096);
+    let found = follow(folder.path(), LogPosition::default(), 4096);
     assert_eq!(
         found.records.len() as u64,
         taken,
--- a/crates/usage-ledger/tests/period.rs
+++ b/crates/usage-ledger/tests/period.rs
@@ -2,7 +2,7 @@
 
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
-use usage_ledger::period::{Calendar, Every, Period};
+use usage_ledger::period::{Calendar, Period, PeriodLength};
 
 fn ms(text: &str) -> i64 {
     text.parse::<Timestamp>().unwrap().as_millisecond()
@@ -13,19 +13,19 @@
     let zone = |name| TimeZone::get(name).unwrap();
     let calendars = [
         (
-            Calendar(Every::Day(zone("Europe/Berlin"))),
+            Calendar(PeriodLength::CivilDay(zone("Europe/Berlin"))),
             "2026-10-20T12:00:00Z",
             25,
             23,
         ),
         (
-            Calendar(Every::Day(zone("Asia/Colombo"))),
+            Calendar(PeriodLength::CivilDay(zone("Asia/Colombo"))),
             "2026-10-20T12:00:00Z",
             24,
             24,
         ),
         (
-            Calendar(Every::Month(zone("Europe/Berlin"))),
+            Calendar(PeriodLength::CivilMonth(zone("Europe/Berlin"))),
             "2026-01-10T12:00:00Z",
             31 * 24 + 1,
             28 * 24,
@@ -48,13 +48,13 @@
         );
     }
     // Both hours between two and three belong to the one day.
-    let berlin = Calendar(Every::Day(zone("Europe/Berlin")));
+    let berlin = Calendar(PeriodLength::CivilDay(zone("Europe/Berlin")));
     assert_eq!(
         berlin.at(ms("2026-10-25T00:30:00Z")),
         berlin.at(ms("2026-10-25T01:30:00Z"))
     );
     assert_eq!(
-        Calendar(Every::Ms(5000)).at(12_345),
+        Calendar(PeriodLength::Milliseconds(5000)).at(12_345),
         Period {
             start: 10_000,
             end: 15_000
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -9,12 +9,12 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use usage_ledger::log;
-use usage_ledger::period::{Calendar, Every};
+use usage_ledger::period::{Calendar, PeriodLength};
 use usage_ledger::settings::{ExportTarget, LedgerSettings, Member, Price, UsageLogSettings};
 use usage_ledger::settlement::{self, SettlementSignal};
 use usage_ledger::store::{Statement, Store, StoreError};
 use usage_ledger::wire::{entry::What, Outcome, Record};
-use usage_ledger::writer::{self, Names, Writer};
+use usage_ledger::writer::{self, RunClass, RunTables, UsageLogWriter};
 
 const PERIOD_MS: i64 = 1000;
 /// A period that was over long before any test runs, in Unix milliseconds.
@@ -34,7 +34,7 @@
 }
 
 /// An aggregator's usage log, offered for collection at a port that the system chooses.
-fn start_log(directory: &Path, name: &str) -> Writer {
+fn start_log(directory: &Path, name: &str) -> UsageLogWriter {
     let settings = UsageLogSettings {
         directory: directory.into(),
         segment_bytes: 4096,
@@ -44,23 +44,25 @@
         mark: Duration::from_millis(100),
         listen: Some((Ipv4Addr::LOCALHOST, 0).into()),
     };
-    let names = Names {
-        mixer: name.into(),
-        classes: vec!["c".into()],
-        give_up: vec![100_000_000],
+    let names = RunTables {
+        aggregator: name.into(),
+        classes: vec![RunClass {
+            name: "c".into(),
+            client_timeout_ns: 100_000_000,
+        }],
         tenants: vec!["t".into()],
     };
     writer::start(&settings, names, 1_000_000_000).unwrap()
 }
 
 /// Where a log is offered for collection.
-fn address_of(writer: &Writer) -> SocketAddr {
+fn address_of(writer: &UsageLogWriter) -> SocketAddr {
     let address = writer.collection_address().unwrap();
     assert!(address.ip().is_loopback() && address.port() != 0);
     address
 }
 
-fn write_record(writer: &mut Writer, sequence: u64, at: i64) {
+fn write_record(writer: &mut UsageLogWriter, sequence: u64, at: i64) {
     let record = Record {
         key: sequence * 2,
         ..writer::record(sequence, at as u64, Outcome::Whole, 0)
@@ -94,7 +96,7 @@
         store: None,
         again: Duration::from_millis(20),
         silent: Duration::from_secs(5),
-        calendar: Calendar(Every::Ms(PERIOD_MS)),
+        calendar: Calendar(PeriodLength::Milliseconds(PERIOD_MS)),
         horizon: 150,
         skew: 20,
         grace: i64::MAX / 2,
--- a/crates/usage-ledger/tests/store/closing.rs
+++ b/crates/usage-ledger/tests/store/closing.rs
@@ -132,7 +132,7 @@
         ),
     );
     assert_eq!(
-        harness.store.standings().unwrap()[0].complete,
+        harness.store.member_statuses().unwrap()[0].complete,
         FIRST + 900,
         "its last run is the one that counts"
     );
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
-use usage_ledger::period::{Calendar, Every, Period};
+use usage_ledger::period::{Calendar, Period, PeriodLength};
 use usage_ledger::settings::Price;
-use usage_ledger::settle::Bounds;
-use usage_ledger::store::{Ingested, Statement, Store, Terms};
+use usage_ledger::settle::JoinBounds;
+use usage_ledger::store::{ClosingTerms, IngestSummary, Statement, Store};
 use usage_ledger::wire::{entry::What, Batch, Class, Entry, Header, Mark, Outcome, Record};
 use usage_ledger::writer;
 
-pub const BOUNDS: Bounds = Bounds {
+pub const BOUNDS: JoinBounds = JoinBounds {
     horizon: 150,
     skew: 20,
 };
@@ -17,7 +17,7 @@
 pub const FIRST: i64 = 1_000_000;
 
 pub fn calendar() -> Calendar {
-    Calendar(Every::Ms(PERIOD))
+    Calendar(PeriodLength::Milliseconds(PERIOD))
 }
 
 pub fn period(n: i64) -> Period {
@@ -62,7 +62,7 @@
         self.store = Store::open(&self.path).unwrap();
     }
 
-    pub fn ingest(&mut self, member: &str, batch: &Batch) -> Ingested {
+    pub fn ingest(&mut self, member: &str, batch: &Batch) -> IngestSummary {
         self.store
             .ingest(member, batch, &calendar(), BOUNDS)
             .unwrap()
@@ -70,7 +70,7 @@
 
     pub fn close(&mut self, n: i64, missing: &[&str]) -> Statement {
         let missing: Vec<String> = missing.iter().map(|name| name.to_string()).collect();
-        let terms = Terms {
+        let terms = ClosingTerms {
             bounds: BOUNDS,
             prices: &self.prices,
             allowances: &self.allowances,
--- a/crates/usage-ledger/tests/store/ingest.rs
+++ b/crates/usage-ledger/tests/store/ingest.rs
@@ -1,7 +1,7 @@
 //! What is delivered twice, in another order, or after a crash.
 
 use crate::harness::{batch, complete_record, mark, rejected, retry, uses, StoreHarness, FIRST};
-use usage_ledger::log::Position;
+use usage_ledger::log::LogPosition;
 use usage_ledger::wire::entry::What;
 
 #[test]
@@ -34,7 +34,7 @@
     );
     assert_eq!(
         harness.store.position("n0").unwrap(),
-        Position {
+        LogPosition {
             incarnation: 1,
             sequence: 3
         }
@@ -48,7 +48,7 @@
         ),
         (2, 20, 3)
     );
-    assert_eq!(harness.store.standings().unwrap()[0].lost, 0);
+    assert_eq!(harness.store.member_statuses().unwrap()[0].lost, 0);
     assert!(
         (statement.tenants[0].over, statement.tenants[0].answered) == (1, 2),
         "one over the allowance of one"
--- a/crates/usage-ledger/tests/store/reconciliation.rs
+++ b/crates/usage-ledger/tests/store/reconciliation.rs
@@ -3,11 +3,13 @@
 use crate::harness::{
     batch, calendar, complete_record, period, rejected, StoreHarness, BOUNDS, FIRST, PERIOD,
 };
-use usage_ledger::reconcile::{with_clients, ClientUse, DifferenceKind, Pair, TotalKey};
+use usage_ledger::reconcile::{
+    with_clients, ClientRequest, DifferenceKind, RequestTotals, TotalKey,
+};
 use usage_ledger::wire::entry::What;
 
-fn client_use(at_ms: i64, outcome: &str, key: u64) -> ClientUse {
-    ClientUse {
+fn client_use(at_ms: i64, outcome: &str, key: u64) -> ClientRequest {
+    ClientRequest {
         at_ms,
         tenant: "t".into(),
         class: "c".into(),
@@ -47,7 +49,7 @@
     let totals = [
         total(
             0,
-            Pair {
+            RequestTotals {
                 ledger: 3,
                 client: 2,
                 ledger_answered: 2,
@@ -56,7 +58,7 @@
         ),
         total(
             1,
-            Pair {
+            RequestTotals {
                 ledger: 1,
                 client: 1,
                 ledger_answered: 1,
