--- a/crates/aggregator/src/cli/ledger/context.rs
+++ b/crates/aggregator/src/cli/ledger/context.rs
@@ -7,7 +7,6 @@
 use std::path::PathBuf;
 use usage_ledger::period::Period;
 use usage_ledger::settings::LedgerSettings;
-use usage_ledger::settle::JoinBounds;
 use usage_ledger::store::Store;
 
 /// The settings of the ledger and the store that they name.
@@ -32,7 +31,10 @@
 
     /// Takes settings that are read already; they have to name a store.
     pub fn new(settings: LedgerSettings) -> Result<LedgerContext, LedgerError> {
-        let store_path = settings.store.clone().ok_or(LedgerError::StoreNotNamed)?;
+        let store_path = settings
+            .store_path
+            .clone()
+            .ok_or(LedgerError::StoreNotNamed)?;
         Ok(LedgerContext {
             settings,
             store_path,
@@ -50,14 +52,6 @@
         })
     }
 
-    /// The tolerances within which tries are joined to uses.
-    pub fn bounds(&self) -> JoinBounds {
-        JoinBounds {
-            horizon: self.settings.horizon,
-            skew: self.settings.skew,
-        }
-    }
-
     /// The closed or open period that begins at a time as `ledger periods` shows it.
     pub fn period_starting_at(&self, store: &Store, time: &str) -> Result<Period, LedgerError> {
         let timestamp: jiff::Timestamp = time
@@ -67,9 +61,9 @@
         let stored = store.periods()?.into_iter().map(|closed| closed.period);
         let period = stored
             .into_iter()
-            .find(|period| period.start == start_ms)
+            .find(|period| period.start_ms == start_ms)
             .unwrap_or_else(|| self.settings.calendar.at(start_ms));
-        if period.start != start_ms {
+        if period.start_ms != start_ms {
             return Err(LedgerError::NotAPeriodStart {
                 time: time.into(),
                 start: period.name(),
--- a/crates/aggregator/src/cli/ledger/correct.rs
+++ b/crates/aggregator/src/cli/ledger/correct.rs
@@ -59,7 +59,7 @@
         ..
     } = arguments;
     let id = arguments.id.unwrap_or_else(|| {
-        let start = period.start;
+        let start = period.start_ms;
         let content = format!("{tenant} {start} {amount} {reason} {author} {now_ms}");
         digest(content.as_bytes())[..GENERATED_ID_LENGTH].to_string()
     });
--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -80,7 +80,7 @@
                 source,
             });
         }
-        let backoff = export::wait(target.again, document.attempts);
+        let backoff = export::wait(target.retry_delay, document.attempts);
         std::thread::sleep(backoff.min(MAX_BACKOFF));
     }
 }
--- a/crates/aggregator/src/cli/ledger/reconcile.rs
+++ b/crates/aggregator/src/cli/ledger/reconcile.rs
@@ -73,7 +73,13 @@
     })?;
     let all_times = i64::MIN..i64::MAX;
     let calendar = &context.settings.calendar;
-    let reconciled = reconcile::with_clients(store, calendar, context.bounds(), all_times, &uses)?;
+    let reconciled = reconcile::with_clients(
+        store,
+        calendar,
+        context.settings.join_bounds(),
+        all_times,
+        &uses,
+    )?;
     Ok(reconciled)
 }
 
--- a/crates/aggregator/src/cli/ledger/verify.rs
+++ b/crates/aggregator/src/cli/ledger/verify.rs
@@ -54,7 +54,7 @@
     }
     let settings = settings::read(files.settings.as_deref())?;
     let ledger_settings = read_ledger_settings(&settings)?;
-    if ledger_settings.store.is_some() || arguments.log.is_empty() {
+    if ledger_settings.store_path.is_some() || arguments.log.is_empty() {
         verification.check_store(&LedgerContext::new(ledger_settings)?)?;
     }
     verification.print()
@@ -106,7 +106,9 @@
     }
 
     fn check_store(&mut self, context: &LedgerContext) -> Result<(), LedgerError> {
-        let report = context.existing_store()?.verify(context.bounds())?;
+        let report = context
+            .existing_store()?
+            .verify(context.settings.join_bounds())?;
         self.ledger_items = report.checked;
         let faults = report.faults.into_iter();
         self.faults.extend(faults.map(Fault::Store));
--- a/crates/testkit/src/bin/bench-ledger/settlement.rs
+++ b/crates/testkit/src/bin/bench-ledger/settlement.rs
@@ -15,8 +15,8 @@
 
 const MEMBER: &str = "n0";
 const BOUNDS: JoinBounds = JoinBounds {
-    horizon: 2000,
-    skew: 100,
+    horizon_ms: 2000,
+    skew_ms: 100,
 };
 const DAY_MS: i64 = 86_400_000;
 const MAX_BATCH_ENTRIES: usize = 4096;
@@ -89,8 +89,8 @@
         now: FIRST_RECORD_MS,
     };
     let period = Period {
-        start: FIRST_RECORD_MS,
-        end: FIRST_RECORD_MS + period_length_ms(records) + 1,
+        start_ms: FIRST_RECORD_MS,
+        end_ms: FIRST_RECORD_MS + period_length_ms(records) + 1,
     };
     let started = Instant::now();
     let statement = store.close(period, &terms)?;
--- a/crates/usage-ledger/src/join.rs
+++ b/crates/usage-ledger/src/join.rs
@@ -10,9 +10,9 @@
 //!   answered, but comes last.
 //!
 //! A retry that finds nothing to join is a logical request of its own: its first request never
-//! arrived anywhere, or its record was lost with an aggregator. The clocks of aggregators may
-//! differ by [`Joiner::new`]'s `skew`: so much earlier than its first request a retry may seem to
-//! be.
+//! arrived anywhere, or its record was lost with an aggregator. The clocks of two aggregators may
+//! differ by the `skew_ms` of [`Joiner::new`], so a retry may seem to arrive that much earlier than
+//! its first request.
 //!
 //! Pure: no I/O and no clock.
 
@@ -196,9 +196,9 @@
 #[derive(Debug)]
 pub struct Joiner {
     /// The most that two aggregators' clocks differ, in milliseconds.
-    skew: i64,
+    skew_ms: i64,
     /// Milliseconds after its first request within which a retry may arrive.
-    horizon: i64,
+    horizon_ms: i64,
     open: HashMap<GroupKey, Vec<LogicalRequest>>,
     deadlines: BTreeMap<Deadline, GroupKey>,
     /// Retries that wait until no earlier record can come any more.
@@ -209,10 +209,10 @@
 
 impl Joiner {
     /// A joiner with these bounds, in milliseconds.
-    pub fn new(skew: i64, horizon: i64) -> Joiner {
+    pub fn new(skew_ms: i64, horizon_ms: i64) -> Joiner {
         Joiner {
-            skew,
-            horizon,
+            skew_ms,
+            horizon_ms,
             open: HashMap::new(),
             deadlines: BTreeMap::new(),
             retries: VecDeque::new(),
@@ -221,10 +221,10 @@
     }
 
     /// As [`Joiner::new`], with retries that are already known to be ambiguous.
-    pub fn with_ambiguous(skew: i64, horizon: i64, ambiguous: BTreeSet<RecordId>) -> Joiner {
+    pub fn with_ambiguous(skew_ms: i64, horizon_ms: i64, ambiguous: BTreeSet<RecordId>) -> Joiner {
         Joiner {
             ambiguous_before: ambiguous,
-            ..Joiner::new(skew, horizon)
+            ..Joiner::new(skew_ms, horizon_ms)
         }
     }
 
@@ -244,11 +244,11 @@
     }
 
     /// Milliseconds after a first request within which a retry may join it.
-    fn window(&self, record: &UsageRecord) -> i64 {
+    fn window_ms(&self, record: &UsageRecord) -> i64 {
         if record.has_idempotency_key {
-            self.horizon
+            self.horizon_ms
         } else {
-            record.client_timeout_ms.min(self.horizon)
+            record.client_timeout_ms.min(self.horizon_ms)
         }
     }
 
@@ -257,8 +257,8 @@
         let deadline = Deadline {
             expires_at_ms: first
                 .arrived_at_ms
-                .saturating_add(self.window(&first))
-                .saturating_add(2 * self.skew),
+                .saturating_add(self.window_ms(&first))
+                .saturating_add(2 * self.skew_ms),
             first: first.id(),
         };
         self.deadlines.insert(deadline, group);
@@ -266,28 +266,28 @@
         requests.push(LogicalRequest::new(first, ambiguous));
     }
 
-    /// All records that arrived before `now` are known: joins the retries among them that no other
-    /// record can precede any more.
-    fn advance(&mut self, now: i64, done: &mut impl FnMut(LogicalRequest)) {
+    /// Joins the retries that no other record can precede any more, given that all records that
+    /// arrived before `now_ms` are known.
+    fn advance(&mut self, now_ms: i64, done: &mut impl FnMut(LogicalRequest)) {
         while let Some(retry) = self.retries.front().copied() {
-            if retry.arrived_at_ms.saturating_add(self.skew) >= now {
+            if retry.arrived_at_ms.saturating_add(self.skew_ms) >= now_ms {
                 break;
             }
             self.retries.pop_front();
             self.close_before(retry.arrived_at_ms, done);
             self.join_retry(retry);
         }
-        let oldest_waiting = self
+        let oldest_waiting_ms = self
             .retries
             .front()
-            .map_or(now, |retry| retry.arrived_at_ms);
-        self.close_before(oldest_waiting, done);
+            .map_or(now_ms, |retry| retry.arrived_at_ms);
+        self.close_before(oldest_waiting_ms, done);
     }
 
-    /// Hands on the logical requests that nothing at or after `now` can join.
-    fn close_before(&mut self, now: i64, done: &mut impl FnMut(LogicalRequest)) {
+    /// Hands on the logical requests that nothing at or after `now_ms` can join.
+    fn close_before(&mut self, now_ms: i64, done: &mut impl FnMut(LogicalRequest)) {
         while let Some(entry) = self.deadlines.first_entry() {
-            if entry.key().expires_at_ms >= now {
+            if entry.key().expires_at_ms >= now_ms {
                 break;
             }
             let (deadline, group) = entry.remove_entry();
@@ -305,12 +305,12 @@
     }
 
     fn join_retry(&mut self, retry: UsageRecord) {
-        let skew = self.skew;
-        let window = self.window(&retry);
+        let skew_ms = self.skew_ms;
+        let window_ms = self.window_ms(&retry);
         let requests = self.open.entry(GroupKey::of(&retry)).or_default();
         let in_window = |request: &LogicalRequest| {
-            request.first().arrived_at_ms >= retry.arrived_at_ms.saturating_sub(window + skew)
-                && request.last().arrived_at_ms <= retry.arrived_at_ms.saturating_add(skew)
+            request.first().arrived_at_ms >= retry.arrived_at_ms.saturating_sub(window_ms + skew_ms)
+                && request.last().arrived_at_ms <= retry.arrived_at_ms.saturating_add(skew_ms)
         };
         if retry.has_idempotency_key {
             // The key identifies the logical request: all its records belong to it, in whatever
--- a/crates/usage-ledger/src/period.rs
+++ b/crates/usage-ledger/src/period.rs
@@ -9,15 +9,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Period {
     /// Its first millisecond.
-    pub start: i64,
+    pub start_ms: i64,
     /// The first millisecond after it.
-    pub end: i64,
+    pub end_ms: i64,
 }
 
 impl Period {
     /// Its name: the UTC time of its start, which no other period has.
     pub fn name(&self) -> String {
-        stamp(self.start)
+        stamp(self.start_ms)
     }
 }
 
@@ -48,8 +48,8 @@
             PeriodLength::Milliseconds(length) => {
                 let start = ms.div_euclid(*length) * length;
                 Period {
-                    start,
-                    end: start + length,
+                    start_ms: start,
+                    end_ms: start + length,
                 }
             }
             PeriodLength::CivilDay(zone) => civil_period(ms, zone, civil_day).unwrap_or(UNBOUNDED),
@@ -61,14 +61,14 @@
 
     /// The period that follows.
     pub fn after(&self, period: Period) -> Period {
-        self.at(period.end)
+        self.at(period.end_ms)
     }
 }
 
 /// The period where a time is outside of what a calendar can compute.
 const UNBOUNDED: Period = Period {
-    start: i64::MIN,
-    end: i64::MAX,
+    start_ms: i64::MIN,
+    end_ms: i64::MAX,
 };
 
 /// The first instants of a civil span and of the one after it.
@@ -85,8 +85,8 @@
     let at = Timestamp::from_millisecond(ms).ok()?;
     let span = span(at.to_zoned(zone.clone())).ok()?;
     Some(Period {
-        start: span.start.timestamp().as_millisecond(),
-        end: span.next.timestamp().as_millisecond(),
+        start_ms: span.start.timestamp().as_millisecond(),
+        end_ms: span.next.timestamp().as_millisecond(),
     })
 }
 
--- a/crates/usage-ledger/src/reconcile.rs
+++ b/crates/usage-ledger/src/reconcile.rs
@@ -173,7 +173,7 @@
         };
         reconciliation.add_ledger_request(key, request);
     };
-    let mut joiner = Joiner::new(bounds.skew, bounds.horizon);
+    let mut joiner = Joiner::new(bounds.skew_ms, bounds.horizon_ms);
     for record in store.records(arrivals.start, arrivals.end)? {
         joiner.push(record, &mut add);
     }
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -2,6 +2,7 @@
 
 use super::{EXPORT, MEMBER, PERIODS, PRICE, SETTLEMENT, TENANT};
 use crate::period::{Calendar, PeriodLength};
+use crate::settle::JoinBounds;
 use ini_config::{Problems, Schema, Settings};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
@@ -24,9 +25,9 @@
     /// Where its log is collected.
     pub address: SocketAddr,
     /// From when it takes part, in Unix milliseconds.
-    pub from: i64,
+    pub from_ms: i64,
     /// Until when it takes part, in Unix milliseconds.
-    pub until: i64,
+    pub until_ms: i64,
 }
 
 /// Prices of one class, in micro-units.
@@ -48,26 +49,26 @@
     /// How long the receiver may take for one document.
     pub timeout: Duration,
     /// The first pause before a document that failed is sent again.
-    pub again: Duration,
+    pub retry_delay: Duration,
 }
 
 /// All settings of the settlement.
 #[derive(Clone, Debug)]
 pub struct LedgerSettings {
     /// The SQLite file.
-    pub store: Option<PathBuf>,
+    pub store_path: Option<PathBuf>,
     /// The first pause before a member that failed is asked again.
-    pub again: Duration,
+    pub retry_delay: Duration,
     /// A member that says nothing for so long is asked anew.
-    pub silent: Duration,
+    pub idle_timeout: Duration,
     /// The billing periods.
     pub calendar: Calendar,
     /// The longest after a first request that a retry may arrive, in milliseconds.
-    pub horizon: i64,
+    pub horizon_ms: i64,
     /// The most that two aggregators' clocks differ, in milliseconds.
-    pub skew: i64,
+    pub skew_ms: i64,
     /// How long a period waits for missing members, in milliseconds.
-    pub grace: i64,
+    pub grace_ms: i64,
     /// The aggregators, by name.
     pub members: BTreeMap<String, Member>,
     /// Prices by class.
@@ -88,19 +89,27 @@
         let settlement = settings.of(schema, SETTLEMENT.name, "");
         let time = |key: &str| settlement.time(key).unwrap_or(DEFAULT_COLLECTION_TIME);
         Ok(LedgerSettings {
-            store: settlement.text("store").map(PathBuf::from),
-            again: time("again"),
-            silent: time("silent"),
+            store_path: settlement.text("store").map(PathBuf::from),
+            retry_delay: time("again"),
+            idle_timeout: time("silent"),
             calendar: reader.calendar()?,
-            horizon: reader.period_ms("horizon"),
-            skew: reader.period_ms("skew"),
-            grace: reader.period_ms("grace"),
+            horizon_ms: reader.period_ms("horizon"),
+            skew_ms: reader.period_ms("skew"),
+            grace_ms: reader.period_ms("grace"),
             members: reader.members()?,
             prices: reader.prices()?,
             allowances: reader.allowances(),
             export: reader.export()?,
         })
     }
+
+    /// The bounds within which retries are joined to first requests.
+    pub fn join_bounds(&self) -> JoinBounds {
+        JoinBounds {
+            horizon_ms: self.horizon_ms,
+            skew_ms: self.skew_ms,
+        }
+    }
 }
 
 struct Reader<'a> {
@@ -157,15 +166,15 @@
                 Err(_) => Err(problem(key, "has to be a time as in 2026-12-01T00:00:00Z")),
             },
         };
-        let from = timestamp("from", i64::MIN)?;
-        let until = timestamp("until", i64::MAX)?;
-        if from >= until {
+        let from_ms = timestamp("from", i64::MIN)?;
+        let until_ms = timestamp("until", i64::MAX)?;
+        if from_ms >= until_ms {
             return Err(problem("until", "does not come after 'from'"));
         }
         Ok(Member {
             address,
-            from,
-            until,
+            from_ms,
+            until_ms,
         })
     }
 
@@ -208,7 +217,7 @@
             folder: values.text("folder").map(PathBuf::from),
             url,
             timeout: values.time("timeout").unwrap_or(DEFAULT_EXPORT_TIMEOUT),
-            again: values.time("again").unwrap_or(DEFAULT_EXPORT_RETRY),
+            retry_delay: values.time("again").unwrap_or(DEFAULT_EXPORT_RETRY),
         })
     }
 }
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -28,13 +28,13 @@
     /// The most that the log may take.
     pub keep_bytes: u64,
     /// Entries that may wait for the writer.
-    pub queue: usize,
+    pub queue_entries: usize,
     /// How long an answer waits for its record.
-    pub stall: Duration,
+    pub max_reply_delay: Duration,
     /// Interval at which the log says up to when it is complete.
-    pub mark: Duration,
+    pub mark_interval: Duration,
     /// Where the log is offered for collection; `None` if it is not.
-    pub listen: Option<SocketAddr>,
+    pub listen_address: Option<SocketAddr>,
 }
 
 impl UsageLogSettings {
@@ -47,10 +47,10 @@
         schema: &Schema,
     ) -> Result<Option<UsageLogSettings>, Problems> {
         let values = settings.of(schema, USAGE.name, "");
-        let listen = values.address("listen");
+        let listen_address = values.address("listen");
         let problem = |key: &str, reason: &str| settings.problem(USAGE.name, "", key, reason);
         let Some(directory) = values.text("directory").map(PathBuf::from) else {
-            return match listen {
+            return match listen_address {
                 Some(_) => Err(problem(
                     "listen",
                     "there is no log to collect without 'directory'",
@@ -69,18 +69,18 @@
                 "has to be twice 'segment' at least, or no segment could ever be closed",
             ));
         }
-        let mark = values.time("mark").unwrap_or(DEFAULT_MARK_INTERVAL);
-        if mark < MIN_MARK_INTERVAL {
+        let mark_interval = values.time("mark").unwrap_or(DEFAULT_MARK_INTERVAL);
+        if mark_interval < MIN_MARK_INTERVAL {
             return Err(problem("mark", "has to be 10ms at least"));
         }
         Ok(Some(UsageLogSettings {
             directory,
             segment_bytes,
             keep_bytes,
-            queue: values.count("queue").unwrap_or(DEFAULT_QUEUE_ENTRIES) as usize,
-            stall: values.time("stall").unwrap_or(DEFAULT_STALL),
-            mark,
-            listen,
+            queue_entries: values.count("queue").unwrap_or(DEFAULT_QUEUE_ENTRIES) as usize,
+            max_reply_delay: values.time("stall").unwrap_or(DEFAULT_STALL),
+            mark_interval,
+            listen_address,
         }))
     }
 }
--- a/crates/usage-ledger/src/settle.rs
+++ b/crates/usage-ledger/src/settle.rs
@@ -12,22 +12,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JoinBounds {
     /// The longest after a first request that a retry may arrive.
-    pub horizon: i64,
+    pub horizon_ms: i64,
     /// The most that two aggregators' clocks differ.
-    pub skew: i64,
+    pub skew_ms: i64,
 }
 
 impl JoinBounds {
     /// The arrivals that settling a period has to read, in Unix milliseconds.
     pub fn arrivals(&self, period: Period) -> Range<i64> {
-        let from = period.start.saturating_sub(self.skew);
-        let until = period.end.saturating_add(self.lookahead());
-        from..until
+        let from_ms = period.start_ms.saturating_sub(self.skew_ms);
+        let until_ms = period.end_ms.saturating_add(self.lookahead_ms());
+        from_ms..until_ms
     }
 
     /// How far past its end settling a period reads, in milliseconds.
-    pub fn lookahead(&self) -> i64 {
-        self.horizon.saturating_add(3 * self.skew).saturating_add(1)
+    pub fn lookahead_ms(&self) -> i64 {
+        self.horizon_ms
+            .saturating_add(3 * self.skew_ms)
+            .saturating_add(1)
     }
 }
 
@@ -52,28 +54,29 @@
     Incomplete(Vec<String>),
 }
 
-/// Whether `period` may close at `now`, given the members that took part in it. All times are Unix
-/// milliseconds, `grace` is in milliseconds.
+/// Whether `period` may close at `now_ms`, given the members that took part in it.
+///
+/// Times are in Unix milliseconds; `grace_ms` is a duration.
 pub fn decide_closing(
     period: Period,
     bounds: JoinBounds,
-    grace: i64,
-    now: i64,
+    grace_ms: i64,
+    now_ms: i64,
     members: &[MemberProgress],
 ) -> ClosingDecision {
-    let until = bounds.arrivals(period).end;
+    let until_ms = bounds.arrivals(period).end;
     let missing: Vec<String> = members
         .iter()
-        .filter(|member| member.complete.is_none_or(|complete| complete < until))
+        .filter(|member| member.complete.is_none_or(|complete| complete < until_ms))
         .map(|member| member.member.clone())
         .collect();
-    if now < until {
+    if now_ms < until_ms {
         // A member whose clock is ahead must not close a period for those that have yet to serve in
         // it.
         ClosingDecision::Wait(missing)
     } else if missing.is_empty() {
         ClosingDecision::Complete
-    } else if now >= until.saturating_add(grace) {
+    } else if now_ms >= until_ms.saturating_add(grace_ms) {
         ClosingDecision::Incomplete(missing)
     } else {
         ClosingDecision::Wait(missing)
@@ -127,23 +130,29 @@
 struct PeriodCount {
     period: Period,
     /// From here on, in Unix milliseconds, a record may also be read for the next period.
-    carry_from: i64,
+    carry_from_ms: i64,
     /// Up to here, in Unix milliseconds, a retry may be of a request of this period.
-    retry_until: i64,
+    retry_until_ms: i64,
     settled: SettledPeriod,
 }
 
 impl PeriodSettler {
     /// Begins to settle `period`, after the period before has told what it carries over.
     pub fn new(period: Period, bounds: JoinBounds, before: CarryOver) -> PeriodSettler {
-        let JoinBounds { horizon, skew } = bounds;
+        let JoinBounds {
+            horizon_ms,
+            skew_ms,
+        } = bounds;
         PeriodSettler {
             carried_in: before.carried,
-            joiner: Joiner::with_ambiguous(skew, horizon, before.ambiguous_retries),
+            joiner: Joiner::with_ambiguous(skew_ms, horizon_ms, before.ambiguous_retries),
             count: PeriodCount {
                 period,
-                carry_from: period.end.saturating_sub(skew),
-                retry_until: period.end.saturating_add(horizon).saturating_add(skew),
+                carry_from_ms: period.end_ms.saturating_sub(skew_ms),
+                retry_until_ms: period
+                    .end_ms
+                    .saturating_add(horizon_ms)
+                    .saturating_add(skew_ms),
                 settled: SettledPeriod::default(),
             },
         }
@@ -174,9 +183,9 @@
             carry_over,
             ambiguous,
         } = &mut self.settled;
-        if first.arrived_at_ms >= self.period.end {
+        if first.arrived_at_ms >= self.period.end_ms {
             let retries = request.ambiguous.iter();
-            let retries = retries.filter(|id| id.arrived_at_ms <= self.retry_until);
+            let retries = retries.filter(|id| id.arrived_at_ms <= self.retry_until_ms);
             carry_over.ambiguous_retries.extend(retries);
             return;
         }
@@ -186,7 +195,7 @@
         };
         lines.entry(key).or_default().add(request);
         let records = request.records.iter();
-        let near_end = records.filter(|record| record.arrived_at_ms >= self.carry_from);
+        let near_end = records.filter(|record| record.arrived_at_ms >= self.carry_from_ms);
         carry_over.carried.extend(near_end.map(UsageRecord::id));
         if !request.ambiguous.is_empty() {
             ambiguous.push(first.id());
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -3,7 +3,7 @@
 use crate::log::LogPosition;
 use crate::period::Period;
 use crate::settings::{LedgerSettings, Member};
-use crate::settle::{decide_closing, ClosingDecision, JoinBounds, MemberProgress};
+use crate::settle::{decide_closing, ClosingDecision, MemberProgress};
 use crate::store::{ClosingTerms, Statement, Store, StoreError};
 use crate::wire::Batch;
 use std::collections::HashMap;
@@ -38,20 +38,13 @@
         self.settings = LedgerSettings { calendar, ..next };
     }
 
-    fn bounds(&self) -> JoinBounds {
-        JoinBounds {
-            horizon: self.settings.horizon,
-            skew: self.settings.skew,
-        }
-    }
-
     /// Takes a batch into the store. Returns up to where the member's log is in the store.
     pub(super) fn ingest(
         &mut self,
         member: &str,
         batch: &Batch,
     ) -> Result<LogPosition, StoreError> {
-        let bounds = self.bounds();
+        let bounds = self.settings.join_bounds();
         let calendar = &self.settings.calendar;
         let ingested = self.store.ingest(member, batch, calendar, bounds)?;
         for damage in &batch.damage {
@@ -73,12 +66,12 @@
         let Some(period) = self.store.next_period(&self.settings.calendar)? else {
             return Ok(());
         };
-        let bounds = self.bounds();
+        let bounds = self.settings.join_bounds();
         if now < bounds.arrivals(period).end {
             return Ok(());
         }
         let members = self.progress(period)?;
-        let missing = match decide_closing(period, bounds, self.settings.grace, now, &members) {
+        let missing = match decide_closing(period, bounds, self.settings.grace_ms, now, &members) {
             ClosingDecision::Complete => Vec::new(),
             ClosingDecision::Incomplete(missing) => missing,
             ClosingDecision::Wait(missing) => {
@@ -105,7 +98,8 @@
         let complete: HashMap<String, i64> = statuses
             .map(|status| (status.member, status.complete))
             .collect();
-        let took_part = |member: &Member| member.from < period.end && member.until > period.start;
+        let took_part =
+            |member: &Member| member.from_ms < period.end_ms && member.until_ms > period.start_ms;
         let members = self.settings.members.iter();
         Ok(members
             .filter(|(_, member)| took_part(member))
--- a/crates/usage-ledger/src/settlement/collector.rs
+++ b/crates/usage-ledger/src/settlement/collector.rs
@@ -44,8 +44,8 @@
 impl CollectionTimes {
     pub(super) fn of(settings: &LedgerSettings) -> CollectionTimes {
         CollectionTimes {
-            retry_delay: settings.again,
-            idle_timeout: settings.silent,
+            retry_delay: settings.retry_delay,
+            idle_timeout: settings.idle_timeout,
         }
     }
 }
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -103,7 +103,7 @@
         error = error.to_string(),
         "document not acknowledged"
     );
-    let pause = export::wait(target.again, attempts);
+    let pause = export::wait(target.retry_delay, attempts);
     retry_at.insert(document.id.clone(), Instant::now() + pause);
     Ok(())
 }
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -29,14 +29,14 @@
 
 /// Settles a period from its records, without storing anything.
 pub(super) fn settle(db: &Connection, period: Period, bounds: JoinBounds) -> Result<SettledPeriod> {
-    let mut settler = PeriodSettler::new(period, bounds, load_before(db, period.start)?);
+    let mut settler = PeriodSettler::new(period, bounds, load_before(db, period.start_ms)?);
     records::for_each(db, bounds.arrivals(period), |record| settler.push(record))?;
     Ok(settler.finish())
 }
 
 /// Stores what a settled period carries over. True if that has changed.
 pub(super) fn save(db: &Connection, period: Period, settled: &SettledPeriod) -> Result<bool> {
-    let start = period.start;
+    let start = period.start_ms;
     let carry_over = &settled.carry_over;
     let changed = load(db, start)? != *carry_over;
     save_ids(db, IdTable::Carried, start, &carry_over.carried)?;
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -78,7 +78,7 @@
     }
 
     fn insert_period(&self) -> Result<()> {
-        let start = self.period.start;
+        let start = self.period.start_ms;
         let count = "SELECT count(*) FROM statement WHERE period = ?";
         let statements: i64 = self.db.query_row(count, [start], |row| row.get(0))?;
         if statements > 0 {
@@ -89,7 +89,7 @@
         self.db.execute(
             "INSERT INTO period VALUES (?, ?, ?, 0)
              ON CONFLICT (start) DO UPDATE SET end = excluded.end, prices = excluded.prices",
-            params![start, self.period.end, prices],
+            params![start, self.period.end_ms, prices],
         )?;
         Ok(())
     }
@@ -97,12 +97,12 @@
     /// What late records have changed of earlier periods.
     fn adjustment_lines(&self) -> Result<Vec<LineRow>> {
         let mut lines = Vec::new();
-        while let Some(earlier) = dirty::first_before(self.db, self.period.start)? {
+        while let Some(earlier) = dirty::first_before(self.db, self.period.start_ms)? {
             let (counts, changed) = self.settle(earlier.period)?;
             if changed {
                 // The next period may have counted records that this one counts now, or the other
                 // way round. The one that closes now is settled after all of them in any case.
-                dirty::mark_following(self.db, earlier.period, self.period.start)?;
+                dirty::mark_following(self.db, earlier.period, self.period.start_ms)?;
             }
             lines.extend(self.adjust(&earlier, &counts)?);
         }
@@ -175,7 +175,7 @@
             .optional()?;
         Ok(Statement {
             period: self.period.name(),
-            end: stamp(self.period.end),
+            end: stamp(self.period.end_ms),
             closed: stamp(self.terms.now),
             members: members
                 .map(|member| self.member_state(member, statuses))
@@ -206,7 +206,7 @@
         let hash = digest(body.as_bytes());
         self.db.execute(
             "INSERT INTO statement VALUES (?, ?, ?, ?)",
-            params![self.period.start, self.terms.now, body, hash],
+            params![self.period.start_ms, self.terms.now, body, hash],
         )?;
         Ok(())
     }
--- a/crates/usage-ledger/src/store/correction.rs
+++ b/crates/usage-ledger/src/store/correction.rs
@@ -24,7 +24,7 @@
         let transaction = self.begin()?;
         let select = "SELECT hash FROM statement WHERE period = ?";
         let closed: Option<String> = transaction
-            .query_row(select, [period.start], |row| row.get(0))
+            .query_row(select, [period.start_ms], |row| row.get(0))
             .optional()?;
         let CorrectionLine {
             id,
@@ -35,7 +35,7 @@
         } = correction;
         let added = transaction.execute(
             "INSERT OR IGNORE INTO correction VALUES (?, ?, ?, ?, ?, ?, ?, NULL)",
-            params![id, now, tenant, period.start, amount, reason, author],
+            params![id, now, tenant, period.start_ms, amount, reason, author],
         )?;
         if added == 0 {
             return Err(StoreError::DuplicateCorrection { id: id.clone() });
@@ -55,11 +55,11 @@
         "SELECT id, tenant, amount, reason, author FROM correction
          WHERE statement IS NULL AND period = ? ORDER BY made, id",
     )?;
-    let corrections = select.query_map([period.start], read_correction)?;
+    let corrections = select.query_map([period.start_ms], read_correction)?;
     let corrections = corrections.collect::<rusqlite::Result<_>>()?;
     db.execute(
         "UPDATE correction SET statement = ?1 WHERE statement IS NULL AND period = ?1",
-        [period.start],
+        [period.start_ms],
     )?;
     Ok(corrections)
 }
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -29,7 +29,7 @@
 ) -> Result<()> {
     let mark = "UPDATE period SET dirty = 1 WHERE start - ?2 <= ?1 AND end + ?3 > ?1";
     db.prepare_cached(mark)?
-        .execute([at, bounds.skew, bounds.lookahead()])?;
+        .execute([at, bounds.skew_ms, bounds.lookahead_ms()])?;
     let count = "SELECT count(*) FROM period WHERE start <= ? AND end > ?";
     let holding: i64 = db
         .prepare_cached(count)?
@@ -47,8 +47,8 @@
     let after: Option<i64> = db.query_row(after, [at], |row| row.get(0))?;
     let before = "SELECT max(end) FROM period WHERE end <= ?";
     let before: Option<i64> = db.query_row(before, [at], |row| row.get(0))?;
-    let start = period.start.max(before.unwrap_or(i64::MIN));
-    let end = period.end.min(after.unwrap_or(i64::MAX));
+    let start = period.start_ms.max(before.unwrap_or(i64::MIN));
+    let end = period.end_ms.min(after.unwrap_or(i64::MAX));
     db.execute("INSERT INTO period VALUES (?, ?, '{}', 1)", [start, end])?;
     Ok(())
 }
@@ -59,8 +59,8 @@
         "SELECT start, end, prices FROM period WHERE dirty AND start < ? ORDER BY start LIMIT 1";
     let read = |row: &Row<'_>| {
         let period = Period {
-            start: row.get(0)?,
-            end: row.get(1)?,
+            start_ms: row.get(0)?,
+            end_ms: row.get(1)?,
         };
         Ok((period, row.get::<_, String>(2)?))
     };
@@ -74,7 +74,7 @@
 /// The period has been settled again.
 pub(super) fn clear(db: &Connection, period: Period) -> Result<()> {
     let clear = "UPDATE period SET dirty = 0 WHERE start = ?";
-    db.execute(clear, [period.start])?;
+    db.execute(clear, [period.start_ms])?;
     Ok(())
 }
 
@@ -84,7 +84,7 @@
     db.execute(
         "UPDATE period SET dirty = 1 WHERE start = (SELECT min(start) FROM period WHERE start > ?)
            AND start < ?",
-        [period.start, before],
+        [period.start_ms, before],
     )?;
     Ok(())
 }
--- a/crates/usage-ledger/src/store/ingest.rs
+++ b/crates/usage-ledger/src/store/ingest.rs
@@ -240,7 +240,7 @@
         self.progress.on_record(record.sequence as i64);
         let at = record.arrived_ms as i64;
         // A closed period has seen a while past its end, where its retries are.
-        if at < self.closed_until.saturating_add(self.bounds.lookahead()) {
+        if at < self.closed_until.saturating_add(self.bounds.lookahead_ms()) {
             self.ingested.late += 1;
             dirty::mark_late_arrival(self.db, at, self.closed_until, self.calendar, self.bounds)?;
         }
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -41,8 +41,8 @@
     /// Stores the line as one of the statement on `statement`.
     pub(super) fn insert(&self, db: &Connection, statement: Period) -> Result<()> {
         let mut values = vec![
-            statement.start,
-            self.period.start,
+            statement.start_ms,
+            self.period.start_ms,
             i64::from(self.key.tenant),
             i64::from(self.key.class),
         ];
@@ -70,7 +70,7 @@
            sum(tries), sum(parts), sum(attempts), sum(crossed), sum(ambiguous), sum(amount)
          FROM line WHERE period = ? GROUP BY tenant, class",
     )?;
-    let mut rows = select.query([period.start])?;
+    let mut rows = select.query([period.start_ms])?;
     let mut stated = StatedUsage::default();
     while let Some(row) = rows.next()? {
         let key = LineKey {
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -136,8 +136,11 @@
         let last_end = "SELECT max(end) FROM period WHERE start IN (SELECT period FROM statement)";
         let last_end: Option<i64> = self.db.query_row(last_end, [], |row| row.get(0))?;
         if let Some(start) = last_end {
-            let end = calendar.at(start).end;
-            return Ok(Some(Period { start, end }));
+            let end = calendar.at(start).end_ms;
+            return Ok(Some(Period {
+                start_ms: start,
+                end_ms: end,
+            }));
         }
         let first_arrival = "SELECT min(at) FROM record";
         let first_arrival: Option<i64> = self.db.query_row(first_arrival, [], |row| row.get(0))?;
@@ -174,8 +177,8 @@
         let mut select = self.db.prepare(select)?;
         let periods = select.query_map([], |row| {
             let period = Period {
-                start: row.get(0)?,
-                end: row.get(1)?,
+                start_ms: row.get(0)?,
+                end_ms: row.get(1)?,
             };
             Ok(ClosedPeriod {
                 period,
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -82,8 +82,8 @@
             run.incarnation as i64,
             tail.after_sequence as i64,
             tail.since,
-            bounds.skew,
-            bounds.lookahead()
+            bounds.skew_ms,
+            bounds.lookahead_ms()
         ],
     )?;
     Ok(())
--- a/crates/usage-ledger/src/writer/mod.rs
+++ b/crates/usage-ledger/src/writer/mod.rs
@@ -122,7 +122,7 @@
     now: u64,
 ) -> Result<UsageLogWriter, StartError> {
     let mut writer = start_on(FileSystem, settings, tables, now)?;
-    if let Some(address) = settings.listen {
+    if let Some(address) = settings.listen_address {
         let bound_address = crate::collect::listen(address, settings.directory.clone())?;
         writer.collection_address = Some(bound_address);
     }
@@ -151,7 +151,7 @@
         repair(last).map_err(at_directory)?;
     }
     let incarnation = next_incarnation(now, existing.last());
-    let (queue, entries) = sync_channel(settings.queue);
+    let (queue, entries) = sync_channel(settings.queue_entries);
     let (publish_written, written) = watch::channel(0);
     let counts = Arc::<WriterCounters>::default();
     let header = tables.into_header(incarnation);
@@ -165,7 +165,7 @@
         queue: Some(queue),
         written,
         counts,
-        max_reply_delay: settings.stall,
+        max_reply_delay: settings.max_reply_delay,
         collection_address: None,
         thread: Some(thread),
     })
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -94,10 +94,10 @@
         directory: folder.path().into(),
         segment_bytes: 1 << 20,
         keep_bytes: 1 << 30,
-        queue: 64,
-        stall: Duration::from_millis(5),
-        mark: Duration::from_millis(100),
-        listen: None,
+        queue_entries: 64,
+        max_reply_delay: Duration::from_millis(5),
+        mark_interval: Duration::from_millis(100),
+        listen_address: None,
     };
     let names = RunTables {
         aggregator: "n0".into(),
@@ -164,13 +164,13 @@
 ";
 
 const PERIOD: Period = Period {
-    start: 1_000_000,
-    end: 1_001_000,
+    start_ms: 1_000_000,
+    end_ms: 1_001_000,
 };
 
 const BOUNDS: JoinBounds = JoinBounds {
-    horizon: 150,
-    skew: 20,
+    horizon_ms: 150,
+    skew_ms: 20,
 };
 
 fn close(store: &mut Store) -> String {
@@ -446,30 +446,30 @@
         directory: "/var/lib/mixer/usage".into(),
         segment_bytes: 4 << 20,
         keep_bytes: 64 << 20,
-        queue: 100,
-        stall: Duration::from_millis(2),
-        mark: Duration::from_millis(250),
-        listen: Some("127.0.0.1:7500".parse().unwrap()),
+        queue_entries: 100,
+        max_reply_delay: Duration::from_millis(2),
+        mark_interval: Duration::from_millis(250),
+        listen_address: Some("127.0.0.1:7500".parse().unwrap()),
     };
     assert_eq!(usage, expected);
     let ledger = LedgerSettings::read(&read, &SETTINGS).unwrap();
-    assert_eq!(ledger.store, Some("/var/lib/ledger.sqlite".into()));
+    assert_eq!(ledger.store_path, Some("/var/lib/ledger.sqlite".into()));
     assert_eq!(
-        (ledger.again, ledger.silent),
+        (ledger.retry_delay, ledger.idle_timeout),
         (Duration::from_millis(300), Duration::from_secs(7))
     );
     assert_eq!(
-        (ledger.horizon, ledger.skew, ledger.grace),
+        (ledger.horizon_ms, ledger.skew_ms, ledger.grace_ms),
         (20_000, 1_000, 600_000)
     );
-    assert_eq!(ledger.calendar.at(3_600_000).end, 7_200_000);
+    assert_eq!(ledger.calendar.at(3_600_000).end_ms, 7_200_000);
     let member = &ledger.members["n0"];
     assert_eq!(
-        (member.from, member.until),
+        (member.from_ms, member.until_ms),
         (1_796_083_200_000, 1_796_169_600_000)
     );
     let member = &ledger.members["n1"];
-    assert_eq!((member.from, member.until), (i64::MIN, i64::MAX));
+    assert_eq!((member.from_ms, member.until_ms), (i64::MIN, i64::MAX));
     assert_eq!(member.address, "127.0.0.1:7501".parse().unwrap());
     let price = |whole, partial| Price { whole, partial };
     assert_eq!(ledger.prices["c"], price(10, 7));
@@ -482,7 +482,7 @@
         Some("http://127.0.0.1:9000/documents")
     );
     assert_eq!(
-        (export.timeout, export.again),
+        (export.timeout, export.retry_delay),
         (Duration::from_secs(3), Duration::from_millis(100))
     );
 }
@@ -492,28 +492,32 @@
     let none = Settings::defaults();
     assert_eq!(UsageLogSettings::read(&none, &SETTINGS).unwrap(), None);
     let ledger = LedgerSettings::read(&none, &SETTINGS).unwrap();
-    assert_eq!(ledger.store, None);
+    assert_eq!(ledger.store_path, None);
     assert_eq!(
-        (ledger.again, ledger.silent),
+        (ledger.retry_delay, ledger.idle_timeout),
         (Duration::from_millis(200), Duration::from_secs(5))
     );
     assert_eq!(
-        (ledger.horizon, ledger.skew, ledger.grace),
+        (ledger.horizon_ms, ledger.skew_ms, ledger.grace_ms),
         (30_000, 2_000, 3_600_000)
     );
-    assert_eq!(ledger.calendar.at(0).end, 31 * 86_400_000);
+    assert_eq!(ledger.calendar.at(0).end_ms, 31 * 86_400_000);
     assert_eq!(
-        (ledger.export.timeout, ledger.export.again),
+        (ledger.export.timeout, ledger.export.retry_delay),
         (Duration::from_secs(5), Duration::from_millis(500))
     );
     let usage = UsageLogSettings::read(&read("[usage]\ndirectory = d\n"), &SETTINGS);
     let usage = usage.unwrap().unwrap();
     assert_eq!(
-        (usage.segment_bytes, usage.keep_bytes, usage.queue),
+        (usage.segment_bytes, usage.keep_bytes, usage.queue_entries),
         (8 << 20, 1 << 30, 8192)
     );
     assert_eq!(
-        (usage.stall, usage.mark, usage.listen),
+        (
+            usage.max_reply_delay,
+            usage.mark_interval,
+            usage.listen_address
+        ),
         (Duration::from_millis(5), Duration::from_millis(500), None)
     );
 }
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -16,8 +16,8 @@
 const HORIZON: i64 = 150;
 const PERIOD: i64 = 400;
 const BOUNDS: JoinBounds = JoinBounds {
-    horizon: HORIZON,
-    skew: SKEW,
+    horizon_ms: HORIZON,
+    skew_ms: SKEW,
 };
 
 fn first_record(arrived_at_ms: i64, sequence: u64) -> UsageRecord {
@@ -167,8 +167,8 @@
 
 fn period(n: i64) -> Period {
     Period {
-        start: n * PERIOD,
-        end: (n + 1) * PERIOD,
+        start_ms: n * PERIOD,
+        end_ms: (n + 1) * PERIOD,
     }
 }
 
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -18,10 +18,10 @@
         directory: directory.into(),
         segment_bytes,
         keep_bytes: 1 << 30,
-        queue: 64,
-        stall: Duration::from_millis(5),
-        mark: Duration::from_millis(100),
-        listen: None,
+        queue_entries: 64,
+        max_reply_delay: Duration::from_millis(5),
+        mark_interval: Duration::from_millis(100),
+        listen_address: None,
     }
 }
 
--- a/crates/usage-ledger/tests/period.rs
+++ b/crates/usage-ledger/tests/period.rs
@@ -35,11 +35,11 @@
         let mut period = calendar.at(ms(from));
         let mut hours = Vec::new();
         for _ in 0..200 {
-            assert_eq!(calendar.at(period.start), period);
-            assert_eq!(calendar.at(period.end - 1), period);
-            hours.push((period.end - period.start) / 3_600_000);
+            assert_eq!(calendar.at(period.start_ms), period);
+            assert_eq!(calendar.at(period.end_ms - 1), period);
+            hours.push((period.end_ms - period.start_ms) / 3_600_000);
             let next = calendar.after(period);
-            assert_eq!(next.start, period.end);
+            assert_eq!(next.start_ms, period.end_ms);
             period = next;
         }
         assert_eq!(
@@ -56,8 +56,8 @@
     assert_eq!(
         Calendar(PeriodLength::Milliseconds(5000)).at(12_345),
         Period {
-            start: 10_000,
-            end: 15_000
+            start_ms: 10_000,
+            end_ms: 15_000
         }
     );
 }
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -39,10 +39,10 @@
         directory: directory.into(),
         segment_bytes: 4096,
         keep_bytes: 1 << 30,
-        queue: 1024,
-        stall: Duration::from_millis(5),
-        mark: Duration::from_millis(100),
-        listen: Some((Ipv4Addr::LOCALHOST, 0).into()),
+        queue_entries: 1024,
+        max_reply_delay: Duration::from_millis(5),
+        mark_interval: Duration::from_millis(100),
+        listen_address: Some((Ipv4Addr::LOCALHOST, 0).into()),
     };
     let names = RunTables {
         aggregator: name.into(),
@@ -83,8 +83,8 @@
     let member = |(name, address): &(&str, SocketAddr)| {
         let member = Member {
             address: *address,
-            from: i64::MIN,
-            until: i64::MAX,
+            from_ms: i64::MIN,
+            until_ms: i64::MAX,
         };
         (name.to_string(), member)
     };
@@ -93,13 +93,13 @@
         partial: 7,
     };
     LedgerSettings {
-        store: None,
-        again: Duration::from_millis(20),
-        silent: Duration::from_secs(5),
+        store_path: None,
+        retry_delay: Duration::from_millis(20),
+        idle_timeout: Duration::from_secs(5),
         calendar: Calendar(PeriodLength::Milliseconds(PERIOD_MS)),
-        horizon: 150,
-        skew: 20,
-        grace: i64::MAX / 2,
+        horizon_ms: 150,
+        skew_ms: 20,
+        grace_ms: i64::MAX / 2,
         members: members.iter().map(member).collect(),
         prices: BTreeMap::from([("c".to_string(), price)]),
         allowances: BTreeMap::new(),
@@ -107,7 +107,7 @@
             folder: Some(directory.join("documents")),
             url: None,
             timeout: Duration::from_secs(1),
-            again: Duration::from_millis(10),
+            retry_delay: Duration::from_millis(10),
         },
     }
 }
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -94,7 +94,7 @@
         folder: Some(folder.path().into()),
         url: None,
         timeout: Duration::from_secs(1),
-        again: Duration::from_millis(1),
+        retry_delay: Duration::from_millis(1),
     };
     let waiting = harness.store.outbox(true, false).unwrap();
     assert_only_in_folder(&export::send(&to, &waiting[0]));
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -10,8 +10,8 @@
 use usage_ledger::writer;
 
 pub const BOUNDS: JoinBounds = JoinBounds {
-    horizon: 150,
-    skew: 20,
+    horizon_ms: 150,
+    skew_ms: 20,
 };
 pub const PERIOD: i64 = 1000;
 pub const FIRST: i64 = 1_000_000;
@@ -22,8 +22,8 @@
 
 pub fn period(n: i64) -> Period {
     Period {
-        start: FIRST + n * PERIOD,
-        end: FIRST + (n + 1) * PERIOD,
+        start_ms: FIRST + n * PERIOD,
+        end_ms: FIRST + (n + 1) * PERIOD,
     }
 }
 
