--- a/crates/aggregator/src/cli/ledger/periods.rs
+++ b/crates/aggregator/src/cli/ledger/periods.rs
@@ -36,15 +36,15 @@
     let missing: Vec<&str> = statement
         .members
         .iter()
-        .filter(|member| member.missing)
+        .filter(|member| member.is_missing)
         .map(|member| member.member.as_str())
         .collect();
     vec![
         json!(statement.period),
-        json!(statement.end),
-        json!(statement.closed),
-        json!(sum(statement, false, |counts| counts.uses)),
-        json!(sum(statement, true, |counts| counts.uses)),
+        json!(statement.period_end),
+        json!(statement.closed_at),
+        json!(sum(statement, false, |counts| counts.requests)),
+        json!(sum(statement, true, |counts| counts.requests)),
         json!(sum(statement, false, |counts| counts.ambiguous)),
         json!(missing.join(" ")),
         json!(statement.total),
@@ -56,7 +56,7 @@
 fn sum(statement: &Statement, adjustments: bool, count: fn(&UsageCounts) -> i64) -> i64 {
     let lines = statement.lines.iter();
     lines
-        .filter(|line| line.adjusts == adjustments)
+        .filter(|line| line.is_adjustment == adjustments)
         .map(|line| count(&line.counts))
         .sum()
 }
--- a/crates/aggregator/src/cli/ledger/statement.rs
+++ b/crates/aggregator/src/cli/ledger/statement.rs
@@ -68,7 +68,7 @@
 
     fn report(&self) -> Report {
         let mut columns = vec!["statement", "tenant", "class", "period", "kind"];
-        columns.extend(UsageCounts::NAMES);
+        columns.extend(UsageCounts::COLUMNS);
         columns.push("amount");
         let mut report = Report::new(&columns);
         for line in &self.statement.lines {
@@ -85,7 +85,11 @@
     }
 
     fn line_row(&self, line: &StatementLine) -> Vec<Value> {
-        let kind = if line.adjusts { "adjustment" } else { "use" };
+        let kind = if line.is_adjustment {
+            "adjustment"
+        } else {
+            "use"
+        };
         let mut row = vec![
             json!(self.statement.period),
             json!(line.tenant),
@@ -116,10 +120,12 @@
         let statement = self.statement;
         let mut text = format!(
             "\nperiod {} to {}, closed {}; rounded {}\n",
-            statement.period, statement.end, statement.closed, statement.rounding
+            statement.period, statement.period_end, statement.closed_at, statement.rounding
         );
         for member in &statement.members {
-            if member.missing || member.lost + member.died + member.damaged > 0 {
+            if member.is_missing
+                || member.lost_records + member.unclosed_runs + member.damaged_ranges > 0
+            {
                 text += &member_summary(member);
             }
         }
@@ -136,11 +142,11 @@
     format!(
         "member {}: {}complete up to {}, {} records lost, {} runs died, {} damaged stretches\n",
         member.member,
-        if member.missing { "MISSING, " } else { "" },
-        member.complete.as_deref().unwrap_or("never"),
-        member.lost,
-        member.died,
-        member.damaged
+        if member.is_missing { "MISSING, " } else { "" },
+        member.complete_until.as_deref().unwrap_or("never"),
+        member.lost_records,
+        member.unclosed_runs,
+        member.damaged_ranges
     )
 }
 
@@ -151,6 +157,6 @@
     };
     format!(
         "tenant {}: {} answered, allowance {allowance}, {} over it, {} micro-units\n",
-        total.tenant, total.answered, total.over, total.amount
+        total.tenant, total.answered, total.over_allowance, total.amount
     )
 }
--- a/crates/aggregator/src/cli/ledger/status.rs
+++ b/crates/aggregator/src/cli/ledger/status.rs
@@ -48,11 +48,11 @@
         Some(status) => row.extend([
             json!(status.position.incarnation),
             json!(status.position.sequence),
-            json!(stamp(status.complete)),
+            json!(stamp(status.complete_until_ms)),
             json!(status.records),
-            json!(status.lost),
-            json!(status.died),
-            json!(status.damaged),
+            json!(status.lost_records),
+            json!(status.unclosed_runs),
+            json!(status.damaged_ranges),
         ]),
         None => row.resize(COLUMNS.len(), Value::Null),
     }
--- a/crates/testkit/src/bin/bench-ledger/settlement.rs
+++ b/crates/testkit/src/bin/bench-ledger/settlement.rs
@@ -73,7 +73,7 @@
 /// Closes the period of the records; the time that it takes.
 fn settle(store: &mut Store, records: u64) -> Result<Duration, BenchError> {
     let price = Price {
-        whole: 100,
+        complete: 100,
         partial: 90,
     };
     let prices = CLASSES
@@ -86,7 +86,7 @@
         allowances: &BTreeMap::new(),
         members: vec![MEMBER.into()],
         missing: &[],
-        now: FIRST_RECORD_MS,
+        now_ms: FIRST_RECORD_MS,
     };
     let period = Period {
         start_ms: FIRST_RECORD_MS,
@@ -95,7 +95,7 @@
     let started = Instant::now();
     let statement = store.close(period, &terms)?;
     let time = started.elapsed();
-    let settled: i64 = statement.lines.iter().map(|line| line.counts.tries).sum();
+    let settled: i64 = statement.lines.iter().map(|line| line.counts.records).sum();
     if settled as u64 != records {
         return Err(BenchError::RecordsMissing { settled, records });
     }
--- a/crates/usage-ledger/src/document.rs
+++ b/crates/usage-ledger/src/document.rs
@@ -32,8 +32,8 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub missing: Vec<String>,
     /// The statement that a credit or debit corrects.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub corrects: Option<CorrectedStatement>,
+    #[serde(rename = "corrects", default, skip_serializing_if = "Option::is_none")]
+    pub corrected_statement: Option<CorrectedStatement>,
 }
 
 /// The statement that a credit or debit corrects; in JSON a pair.
@@ -88,7 +88,7 @@
         let tenant = &totals.tenant;
         let lines = statement.lines.iter();
         let corrections = statement.corrections.iter();
-        let missing = statement.members.iter().filter(|member| member.missing);
+        let missing = statement.members.iter().filter(|member| member.is_missing);
         Document {
             id: statement_id(&statement.period, tenant),
             kind: "statement".into(),
@@ -105,7 +105,7 @@
                 .collect(),
             totals: Some(totals.clone()),
             missing: missing.map(|member| member.member.clone()).collect(),
-            corrects: None,
+            corrected_statement: None,
         }
     }
 
@@ -126,7 +126,7 @@
             corrections: vec![correction.clone()],
             totals: None,
             missing: Vec::new(),
-            corrects: Some(CorrectedStatement {
+            corrected_statement: Some(CorrectedStatement {
                 document_id: statement_id(&period.name(), &correction.tenant),
                 hash: hash.into(),
             }),
--- a/crates/usage-ledger/src/rate.rs
+++ b/crates/usage-ledger/src/rate.rs
@@ -18,14 +18,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageCounts {
     /// Logical requests, whatever became of them.
-    pub uses: i64,
+    #[serde(rename = "uses")]
+    pub requests: i64,
     /// Answered completely.
     #[serde(rename = "whole")]
     pub complete: i64,
     /// Answered in part.
     pub partial: i64,
     /// The shares of all partial answers together, in millionths.
-    pub share: i64,
+    #[serde(rename = "share")]
+    pub share_millionths: i64,
     /// Rejected.
     #[serde(rename = "refused")]
     pub rejected: i64,
@@ -35,7 +37,8 @@
     #[serde(rename = "left")]
     pub cancelled: i64,
     /// Records: first requests and retries.
-    pub tries: i64,
+    #[serde(rename = "tries")]
+    pub records: i64,
     /// Shards that were asked.
     pub parts: i64,
     /// Attempts at replicas.
@@ -51,8 +54,8 @@
 const COUNT_FIELDS: usize = 12;
 
 impl UsageCounts {
-    /// The names of the numbers, as in the columns of a statement.
-    pub const NAMES: [&'static str; COUNT_FIELDS] = [
+    /// The published names of the numbers, in JSON and as columns of CSV.
+    pub const COLUMNS: [&'static str; COUNT_FIELDS] = [
         "uses",
         "whole",
         "partial",
@@ -67,17 +70,17 @@
         "ambiguous",
     ];
 
-    /// The numbers, in the order of [`UsageCounts::NAMES`].
+    /// The numbers, in the order of [`UsageCounts::COLUMNS`].
     fn slots(&mut self) -> [&mut i64; COUNT_FIELDS] {
         [
-            &mut self.uses,
+            &mut self.requests,
             &mut self.complete,
             &mut self.partial,
-            &mut self.share,
+            &mut self.share_millionths,
             &mut self.rejected,
             &mut self.failed,
             &mut self.cancelled,
-            &mut self.tries,
+            &mut self.records,
             &mut self.parts,
             &mut self.attempts,
             &mut self.cross_zone_attempts,
@@ -85,12 +88,12 @@
         ]
     }
 
-    /// The values, in the order of [`UsageCounts::NAMES`].
+    /// The values, in the order of [`UsageCounts::COLUMNS`].
     pub fn values(mut self) -> [i64; COUNT_FIELDS] {
         self.slots().map(|slot| *slot)
     }
 
-    /// The counts of these values, in the order of [`UsageCounts::NAMES`].
+    /// The counts of these values, in the order of [`UsageCounts::COLUMNS`].
     pub fn from_values(values: [i64; COUNT_FIELDS]) -> UsageCounts {
         let mut counts = UsageCounts::default();
         for (slot, value) in counts.slots().into_iter().zip(values) {
@@ -101,18 +104,18 @@
 
     /// Counts one logical request.
     pub fn add(&mut self, request: &LogicalRequest) {
-        self.uses += 1;
+        self.requests += 1;
         match request.outcome {
             RecordedOutcome::Complete => self.complete += 1,
-            RecordedOutcome::Partial(share) => {
+            RecordedOutcome::Partial(share_millionths) => {
                 self.partial += 1;
-                self.share += i64::from(share);
+                self.share_millionths += i64::from(share_millionths);
             }
             RecordedOutcome::Rejected => self.rejected += 1,
             RecordedOutcome::Failed => self.failed += 1,
             RecordedOutcome::Cancelled => self.cancelled += 1,
         }
-        self.tries += request.records.len() as i64;
+        self.records += request.records.len() as i64;
         for record in &request.records {
             self.parts += i64::from(record.parts);
             self.attempts += i64::from(record.attempts);
@@ -155,15 +158,15 @@
 const MILLIONTHS: i128 = 1_000_000;
 
 /// The amount of a line in micro-units.
-pub fn amount(counts: &UsageCounts, price: Price) -> i64 {
-    let complete = i128::from(counts.complete) * i128::from(price.whole);
-    let shares = i128::from(counts.share) * i128::from(price.partial);
+pub fn line_amount(counts: &UsageCounts, price: Price) -> i64 {
+    let complete = i128::from(counts.complete) * i128::from(price.complete);
+    let shares = i128::from(counts.share_millionths) * i128::from(price.partial);
     let partial = shares.saturating_add(MILLIONTHS / 2).div_euclid(MILLIONTHS);
     i64::try_from(complete.saturating_add(partial)).unwrap_or(i64::MAX)
 }
 
 /// Answered requests past a tenant's allowance.
-pub fn over_allowance(answered: i64, allowance: Option<u64>) -> i64 {
+pub fn requests_over_allowance(answered: i64, allowance: Option<u64>) -> i64 {
     let Some(allowance) = allowance else {
         return 0;
     };
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -30,11 +30,12 @@
     pub until_ms: i64,
 }
 
-/// Prices of one class, in micro-units.
+/// Prices of one class, in micro-units. The store keeps them as JSON under the published names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Price {
     /// Of a complete answer.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub complete: u64,
     /// Of a partial answer, before its share is taken.
     pub partial: u64,
 }
@@ -187,14 +188,14 @@
 
     fn price(&self, name: &str) -> Result<Price, Problems> {
         let values = self.settings.of(self.schema, PRICE.name, name);
-        let Some(whole) = values.count("whole") else {
+        let Some(complete) = values.count("whole") else {
             let problem = self
                 .settings
                 .problem(PRICE.name, name, "whole", "is missing");
             return Err(problem);
         };
-        let partial = values.count("partial").unwrap_or(whole);
-        Ok(Price { whole, partial })
+        let partial = values.count("partial").unwrap_or(complete);
+        Ok(Price { complete, partial })
     }
 
     fn allowances(&self) -> BTreeMap<String, u64> {
--- a/crates/usage-ledger/src/settle.rs
+++ b/crates/usage-ledger/src/settle.rs
@@ -40,7 +40,7 @@
     pub member: String,
     /// Its records are complete before this time, in Unix milliseconds; `None` if it was never
     /// heard of.
-    pub complete: Option<i64>,
+    pub complete_until_ms: Option<i64>,
 }
 
 /// Whether a period may close.
@@ -67,7 +67,11 @@
     let until_ms = bounds.arrivals(period).end;
     let missing: Vec<String> = members
         .iter()
-        .filter(|member| member.complete.is_none_or(|complete| complete < until_ms))
+        .filter(|member| {
+            member
+                .complete_until_ms
+                .is_none_or(|complete_until_ms| complete_until_ms < until_ms)
+        })
         .map(|member| member.member.clone())
         .collect();
     if now_ms < until_ms {
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -61,17 +61,18 @@
         self.store.position(member)
     }
 
-    /// Closes the next period if it may close at `now`, in Unix milliseconds.
-    pub(super) fn close_next(&mut self, now: i64) -> Result<(), StoreError> {
+    /// Closes the next period if it may close at `now_ms`, in Unix milliseconds.
+    pub(super) fn close_next(&mut self, now_ms: i64) -> Result<(), StoreError> {
         let Some(period) = self.store.next_period(&self.settings.calendar)? else {
             return Ok(());
         };
         let bounds = self.settings.join_bounds();
-        if now < bounds.arrivals(period).end {
+        if now_ms < bounds.arrivals(period).end {
             return Ok(());
         }
         let members = self.progress(period)?;
-        let missing = match decide_closing(period, bounds, self.settings.grace_ms, now, &members) {
+        let missing = match decide_closing(period, bounds, self.settings.grace_ms, now_ms, &members)
+        {
             ClosingDecision::Complete => Vec::new(),
             ClosingDecision::Incomplete(missing) => missing,
             ClosingDecision::Wait(missing) => {
@@ -85,7 +86,7 @@
             allowances: &self.settings.allowances,
             members: members.into_iter().map(|member| member.member).collect(),
             missing: &missing,
-            now,
+            now_ms,
         };
         let statement = self.store.close(period, &terms)?;
         log_closed(&statement, &missing);
@@ -95,8 +96,8 @@
     /// How far the records of the members that took part in a period are known.
     fn progress(&self, period: Period) -> Result<Vec<MemberProgress>, StoreError> {
         let statuses = self.store.member_statuses()?.into_iter();
-        let complete: HashMap<String, i64> = statuses
-            .map(|status| (status.member, status.complete))
+        let complete_until_ms: HashMap<String, i64> = statuses
+            .map(|status| (status.member, status.complete_until_ms))
             .collect();
         let took_part =
             |member: &Member| member.from_ms < period.end_ms && member.until_ms > period.start_ms;
@@ -105,7 +106,7 @@
             .filter(|(_, member)| took_part(member))
             .map(|(name, _)| MemberProgress {
                 member: name.clone(),
-                complete: complete.get(name).copied(),
+                complete_until_ms: complete_until_ms.get(name).copied(),
             })
             .collect())
     }
--- a/crates/usage-ledger/src/statement.rs
+++ b/crates/usage-ledger/src/statement.rs
@@ -3,7 +3,7 @@
 //! Statements are stored and exported as JSON; the names and the order of the fields are part of
 //! that format.
 
-use crate::rate::{over_allowance, UsageCounts};
+use crate::rate::{requests_over_allowance, UsageCounts};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -20,15 +20,20 @@
     /// The period it counts: the statement's own, or an earlier one that late records have changed.
     pub period: String,
     /// Whether it adjusts an earlier period.
-    pub adjusts: bool,
+    #[serde(rename = "adjusts")]
+    pub is_adjustment: bool,
     /// What it counts.
     #[serde(flatten)]
     pub counts: UsageCounts,
     /// Micro-units.
     pub amount: i64,
     /// The class has no price; it is counted and free.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub unpriced: bool,
+    #[serde(
+        rename = "unpriced",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
+    pub is_unpriced: bool,
 }
 
 /// A correction that an operator has made.
@@ -56,7 +61,8 @@
     /// The tenant's allowance; `None` if it has none.
     pub allowance: Option<u64>,
     /// Answered requests past the allowance.
-    pub over: i64,
+    #[serde(rename = "over")]
+    pub over_allowance: i64,
     /// Micro-units, with adjustments and corrections.
     pub amount: i64,
 }
@@ -67,15 +73,20 @@
     /// The aggregator's name.
     pub member: String,
     /// Its records are complete up to this time; `None` if it was never heard of.
-    pub complete: Option<String>,
+    #[serde(rename = "complete")]
+    pub complete_until: Option<String>,
     /// It was not complete: the period closed without the rest.
-    pub missing: bool,
+    #[serde(rename = "missing")]
+    pub is_missing: bool,
     /// Records that were never written.
-    pub lost: i64,
+    #[serde(rename = "lost")]
+    pub lost_records: i64,
     /// Runs that ended without a closing mark.
-    pub died: i64,
+    #[serde(rename = "died")]
+    pub unclosed_runs: i64,
     /// Stretches of its log that can't be read.
-    pub damaged: i64,
+    #[serde(rename = "damaged")]
+    pub damaged_ranges: i64,
 }
 
 /// What a closed period came to. It never changes.
@@ -84,9 +95,11 @@
     /// The period's name: its start.
     pub period: String,
     /// The period's end.
-    pub end: String,
+    #[serde(rename = "end")]
+    pub period_end: String,
     /// When it was closed.
-    pub closed: String,
+    #[serde(rename = "closed")]
+    pub closed_at: String,
     /// The aggregators that took part.
     pub members: Vec<MemberState>,
     /// Adjustments of earlier periods, then the period's own lines.
@@ -100,7 +113,8 @@
     /// How amounts were rounded.
     pub rounding: String,
     /// SHA-256 of the statement before, in hexadecimal; empty for the first.
-    pub previous: String,
+    #[serde(rename = "previous")]
+    pub previous_hash: String,
 }
 
 /// Sums while lines and corrections are added up.
@@ -120,7 +134,7 @@
     for line in lines {
         let sum = sums.entry(&line.tenant).or_default();
         sum.amount += line.amount;
-        if !line.adjusts {
+        if !line.is_adjustment {
             sum.answered += line.counts.answered();
         }
     }
@@ -133,7 +147,7 @@
             tenant: tenant.into(),
             answered: sum.answered,
             allowance,
-            over: over_allowance(sum.answered, allowance),
+            over_allowance: requests_over_allowance(sum.answered, allowance),
             amount: sum.amount,
         }
     };
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -8,7 +8,7 @@
 use super::{carry_over, correction, digest, dirty, lines, outbox, Result, Store, StoreError};
 use crate::document::Document;
 use crate::period::{stamp, Period};
-use crate::rate::amount;
+use crate::rate::line_amount;
 use crate::settings::Price;
 use crate::settle::{adjustments, JoinBounds, LineCounts, LineKey};
 use crate::statement::{tenant_totals, MemberState, Statement, ROUNDING};
@@ -29,7 +29,7 @@
     /// Of them, those without whose records the period closes.
     pub missing: &'a [String],
     /// Unix milliseconds.
-    pub now: i64,
+    pub now_ms: i64,
 }
 
 impl Store {
@@ -72,7 +72,7 @@
         let statement = self.statement(&lines, statuses)?;
         self.insert_statement(&statement)?;
         for document in Document::of_statement(&statement) {
-            outbox::insert(self.db, &document, self.terms.now)?;
+            outbox::insert(self.db, &document, self.terms.now_ms)?;
         }
         Ok(statement)
     }
@@ -114,14 +114,14 @@
         let adjust = |(key, counts)| {
             let price = self.price(&earlier.prices, key);
             let due = now.get(&key);
-            let due = due.map_or(0, |counts| amount(counts, price.unwrap_or_default()));
+            let due = due.map_or(0, |counts| line_amount(counts, price.unwrap_or_default()));
             LineRow {
                 period: earlier.period,
-                adjusts: true,
+                is_adjustment: true,
                 key,
                 counts,
                 amount: due - stated.amounts.get(&key).copied().unwrap_or_default(),
-                unpriced: price.is_none(),
+                is_unpriced: price.is_none(),
             }
         };
         let differences = adjustments(now, &stated.lines);
@@ -135,11 +135,11 @@
             let price = self.price(self.terms.prices, key);
             LineRow {
                 period: self.period,
-                adjusts: false,
+                is_adjustment: false,
                 key,
                 counts,
-                amount: amount(&counts, price.unwrap_or_default()),
-                unpriced: price.is_none(),
+                amount: line_amount(&counts, price.unwrap_or_default()),
+                is_unpriced: price.is_none(),
             }
         };
         Ok(counts.into_iter().map(line).collect())
@@ -175,8 +175,8 @@
             .optional()?;
         Ok(Statement {
             period: self.period.name(),
-            end: stamp(self.period.end_ms),
-            closed: stamp(self.terms.now),
+            period_end: stamp(self.period.end_ms),
+            closed_at: stamp(self.terms.now_ms),
             members: members
                 .map(|member| self.member_state(member, statuses))
                 .collect(),
@@ -185,7 +185,7 @@
             lines,
             corrections,
             rounding: ROUNDING.into(),
-            previous: previous.unwrap_or_default(),
+            previous_hash: previous.unwrap_or_default(),
         })
     }
 
@@ -193,11 +193,11 @@
         let status = statuses.iter().find(|status| status.member == member);
         MemberState {
             member: member.into(),
-            complete: status.map(|status| stamp(status.complete)),
-            missing: self.terms.missing.iter().any(|missing| missing == member),
-            lost: status.map_or(0, |status| status.lost),
-            died: status.map_or(0, |status| status.died),
-            damaged: status.map_or(0, |status| status.damaged),
+            complete_until: status.map(|status| stamp(status.complete_until_ms)),
+            is_missing: self.terms.missing.iter().any(|missing| missing == member),
+            lost_records: status.map_or(0, |status| status.lost_records),
+            unclosed_runs: status.map_or(0, |status| status.unclosed_runs),
+            damaged_ranges: status.map_or(0, |status| status.damaged_ranges),
         }
     }
 
@@ -206,7 +206,7 @@
         let hash = digest(body.as_bytes());
         self.db.execute(
             "INSERT INTO statement VALUES (?, ?, ?, ?)",
-            params![self.period.start_ms, self.terms.now, body, hash],
+            params![self.period.start_ms, self.terms.now_ms, body, hash],
         )?;
         Ok(())
     }
--- a/crates/usage-ledger/src/store/ingest.rs
+++ b/crates/usage-ledger/src/store/ingest.rs
@@ -47,13 +47,13 @@
     /// The last record.
     sequence: i64,
     /// All records before this time are known, in Unix milliseconds.
-    complete: i64,
+    complete_until_ms: i64,
     /// The last record that a mark has named.
     marked: i64,
     /// The run has said that it ended.
     ended: bool,
     /// Records that were never written.
-    lost: i64,
+    lost_records: i64,
 }
 
 impl Store {
@@ -153,18 +153,18 @@
         let stored = db.query_row(select, params![run.member, run.incarnation as i64], |row| {
             Ok(RunProgress {
                 sequence: row.get(0)?,
-                complete: row.get(1)?,
+                complete_until_ms: row.get(1)?,
                 marked: row.get(2)?,
                 ended: row.get(3)?,
-                lost: row.get(4)?,
+                lost_records: row.get(4)?,
             })
         });
         Ok(stored.optional()?.unwrap_or(RunProgress {
             sequence: 0,
-            complete: i64::MIN,
+            complete_until_ms: i64::MIN,
             marked: 0,
             ended: false,
-            lost: 0,
+            lost_records: 0,
         }))
     }
 
@@ -175,10 +175,10 @@
                 run.member,
                 run.incarnation as i64,
                 self.sequence,
-                self.complete,
+                self.complete_until_ms,
                 self.marked,
                 self.ended,
-                self.lost
+                self.lost_records
             ],
         )?;
         Ok(())
@@ -187,7 +187,7 @@
     /// A new record: those between the last one and this are lost, until they arrive after all.
     fn on_record(&mut self, sequence: i64) {
         let expected = self.sequence + 1;
-        self.lost += if sequence >= expected {
+        self.lost_records += if sequence >= expected {
             sequence - expected
         } else {
             -1
@@ -197,10 +197,10 @@
 
     fn on_mark(&mut self, mark: &Mark) {
         let sequence = mark.sequence as i64;
-        self.lost += (sequence - self.sequence).max(0);
+        self.lost_records += (sequence - self.sequence).max(0);
         self.sequence = self.sequence.max(sequence);
         self.marked = self.marked.max(sequence);
-        self.complete = self.complete.max(mark.complete_ms as i64);
+        self.complete_until_ms = self.complete_until_ms.max(mark.complete_ms as i64);
         self.ended |= mark.end;
     }
 }
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -15,13 +15,13 @@
     /// The period it counts.
     pub(super) period: Period,
     /// Whether it adjusts a period that was closed before.
-    pub(super) adjusts: bool,
+    pub(super) is_adjustment: bool,
     pub(super) key: LineKey,
     pub(super) counts: UsageCounts,
     /// Micro-units.
     pub(super) amount: i64,
     /// The class has no price.
-    pub(super) unpriced: bool,
+    pub(super) is_unpriced: bool,
 }
 
 impl LineRow {
@@ -31,10 +31,10 @@
             tenant: name(self.key.tenant),
             class: name(self.key.class),
             period: self.period.name(),
-            adjusts: self.adjusts,
+            is_adjustment: self.is_adjustment,
             counts: self.counts,
             amount: self.amount,
-            unpriced: self.unpriced,
+            is_unpriced: self.is_unpriced,
         }
     }
 
@@ -85,7 +85,7 @@
 
 /// The counts of a row whose first two columns are the line's key.
 fn read_counts(row: &Row<'_>) -> rusqlite::Result<UsageCounts> {
-    let mut values = [0; UsageCounts::NAMES.len()];
+    let mut values = [0; UsageCounts::COLUMNS.len()];
     for (index, value) in values.iter_mut().enumerate() {
         *value = row.get(index + 2)?;
     }
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -17,17 +17,17 @@
     /// The last record of its last run.
     pub position: LogPosition,
     /// Its records are complete before this time, in Unix milliseconds.
-    pub complete: i64,
+    pub complete_until_ms: i64,
     /// Its last run has said that it ended.
     pub ended: bool,
     /// Records of all its runs.
     pub records: i64,
     /// Records that were never written.
-    pub lost: i64,
+    pub lost_records: i64,
     /// Runs that ended without a closing mark.
-    pub died: i64,
+    pub unclosed_runs: i64,
     /// Stretches of its log that can't be read.
-    pub damaged: i64,
+    pub damaged_ranges: i64,
 }
 
 /// A statement as it is stored.
@@ -100,12 +100,12 @@
                     incarnation: row.get(1)?,
                     sequence: row.get(2)?,
                 },
-                complete: row.get(3)?,
+                complete_until_ms: row.get(3)?,
                 ended: row.get(4)?,
                 records: row.get(5)?,
-                lost: row.get(6)?,
-                died: row.get(7)?,
-                damaged: row.get(8)?,
+                lost_records: row.get(6)?,
+                unclosed_runs: row.get(7)?,
+                damaged_ranges: row.get(8)?,
             })
         })?;
         Ok(statuses.collect::<rusqlite::Result<_>>()?)
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -21,7 +21,7 @@
     /// Records after this one are uncertain.
     pub(super) after_sequence: u64,
     /// None of them arrived before this time, in Unix milliseconds.
-    pub(super) since: i64,
+    pub(super) since_ms: i64,
 }
 
 pub(super) type UncertainTails = HashMap<RunKey, UncertainTail>;
@@ -40,7 +40,7 @@
         };
         let tail = UncertainTail {
             after_sequence: row.get(2)?,
-            since: row.get(3)?,
+            since_ms: row.get(3)?,
         };
         Ok((run, tail))
     })?;
@@ -63,10 +63,10 @@
         }
         let tails = || [old, new].into_iter().flatten();
         let after_sequence = tails().map(|tail| tail.after_sequence).min();
-        let since = tails().map(|tail| tail.since).min();
+        let since_ms = tails().map(|tail| tail.since_ms).min();
         let changed = UncertainTail {
             after_sequence: after_sequence.unwrap_or_default(),
-            since: since.unwrap_or_default(),
+            since_ms: since_ms.unwrap_or_default(),
         };
         mark_tail(db, run, changed, bounds)?;
     }
@@ -81,7 +81,7 @@
             run.member,
             run.incarnation as i64,
             tail.after_sequence as i64,
-            tail.since,
+            tail.since_ms,
             bounds.skew_ms,
             bounds.lookahead_ms()
         ],
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -60,7 +60,7 @@
     },
     /// The statements together have not counted what the records come to.
     #[error(
-        "period {period}: {tenant:?} {class:?}: statements differ from the records by {uses} uses"
+        "period {period}: {tenant:?} {class:?}: statements differ from the records by {requests} uses"
     )]
     RecordsDiffer {
         /// The period's name.
@@ -70,7 +70,7 @@
         /// The class's name; `None` if its number has none.
         class: Option<String>,
         /// Logical requests of the records, less those of the statements.
-        uses: i64,
+        requests: i64,
     },
 }
 
@@ -121,7 +121,7 @@
                 let period = statement.period.clone();
                 self.add_fault(VerificationFault::StatementChanged { period });
             }
-            if statement.previous != previous {
+            if statement.previous_hash != previous {
                 let period = statement.period.clone();
                 self.add_fault(VerificationFault::ChainBroken { period });
             }
@@ -186,7 +186,7 @@
                 period: period.name(),
                 tenant: names.get(&key.tenant).cloned(),
                 class: names.get(&key.class).cloned(),
-                uses: counts.uses,
+                requests: counts.requests,
             });
         }
         Ok(())
--- a/crates/usage-ledger/src/writer/mod.rs
+++ b/crates/usage-ledger/src/writer/mod.rs
@@ -74,11 +74,11 @@
 #[derive(Debug, Default)]
 pub struct WriterCounters {
     /// Written to the log.
-    pub written: AtomicU64,
+    pub written_records: AtomicU64,
     /// Never written: the queue was full, or the disk could not be written.
-    pub lost: AtomicU64,
+    pub lost_records: AtomicU64,
     /// Answers that left before their record was written.
-    pub late: AtomicU64,
+    pub unrecorded_replies: AtomicU64,
 }
 
 /// How bytes reach a segment; tests replace it by one that fails.
@@ -239,7 +239,7 @@
 
     /// Counts a record that could not be queued.
     pub fn count_lost_record(&self) {
-        let lost = self.counts.lost.fetch_add(1, Ordering::Relaxed) + 1;
+        let lost = self.counts.lost_records.fetch_add(1, Ordering::Relaxed) + 1;
         if lost.is_power_of_two() {
             tracing::error!(lost, "usage records lost: the log takes none");
         }
@@ -247,7 +247,11 @@
 
     /// Counts an answer that left before its record was written.
     pub fn count_unrecorded_reply(&self) {
-        let late = self.counts.late.fetch_add(1, Ordering::Relaxed) + 1;
+        let late = self
+            .counts
+            .unrecorded_replies
+            .fetch_add(1, Ordering::Relaxed)
+            + 1;
         if late.is_power_of_two() {
             tracing::warn!(
                 late,
@@ -271,9 +275,9 @@
         } else {
             tracing::error!("the usage log did not take its last records in time");
         }
-        let written = self.counts.written.load(Ordering::Relaxed);
-        let lost = self.counts.lost.load(Ordering::Relaxed);
-        let late = self.counts.late.load(Ordering::Relaxed);
+        let written = self.counts.written_records.load(Ordering::Relaxed);
+        let lost = self.counts.lost_records.load(Ordering::Relaxed);
+        let late = self.counts.unrecorded_replies.load(Ordering::Relaxed);
         tracing::info!(written, lost, late, "usage log closed");
     }
 }
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -95,12 +95,12 @@
 
     fn write(&mut self, batch: &EncodedBatch) {
         let counter = match self.append(batch) {
-            Ok(()) => &self.counts.written,
+            Ok(()) => &self.counts.written_records,
             Err(error) => {
                 if self.failed_at.replace(Instant::now()).is_none() {
                     tracing::error!(%error, "the usage log can't be written: records are lost until it can");
                 }
-                &self.counts.lost
+                &self.counts.lost_records
             }
         };
         counter.fetch_add(batch.records, Ordering::Relaxed);
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -177,7 +177,7 @@
     let prices = BTreeMap::from([(
         "c".to_string(),
         Price {
-            whole: 10,
+            complete: 10,
             partial: 7,
         },
     )]);
@@ -187,7 +187,7 @@
         allowances: &BTreeMap::from([("t".to_string(), 1)]),
         members: vec!["n0".into(), "n1".into()],
         missing: &["n1".to_string()],
-        now: 1_100_000,
+        now_ms: 1_100_000,
     };
     store.close(PERIOD, &terms).unwrap();
     store.statements().unwrap().pop().unwrap().body
@@ -471,7 +471,7 @@
     let member = &ledger.members["n1"];
     assert_eq!((member.from_ms, member.until_ms), (i64::MIN, i64::MAX));
     assert_eq!(member.address, "127.0.0.1:7501".parse().unwrap());
-    let price = |whole, partial| Price { whole, partial };
+    let price = |complete, partial| Price { complete, partial };
     assert_eq!(ledger.prices["c"], price(10, 7));
     assert_eq!(ledger.prices["d"], price(5, 5));
     assert_eq!(ledger.allowances["t"], 1000);
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -329,7 +329,7 @@
 fn a_period_waits_for_missing_members_until_the_grace_period_is_over() {
     let known = |member: &str, complete| MemberProgress {
         member: member.into(),
-        complete,
+        complete_until_ms: complete,
     };
     let until = BOUNDS.arrivals(period(0)).end;
     let both = |b| [known("a", Some(until)), known("b", b)];
--- a/crates/usage-ledger/tests/rate.rs
+++ b/crates/usage-ledger/tests/rate.rs
@@ -1,17 +1,17 @@
 //! What counted use costs.
 
-use usage_ledger::rate::{amount, over_allowance, UsageCounts};
+use usage_ledger::rate::{line_amount, requests_over_allowance, UsageCounts};
 use usage_ledger::settings::Price;
 
 #[test]
 fn a_line_is_rounded_once_half_up_and_differences_add_up() {
     let price = Price {
-        whole: 3,
+        complete: 3,
         partial: 1,
     };
     let line = |complete, share| UsageCounts {
         complete,
-        share,
+        share_millionths: share,
         partial: i64::from(share > 0),
         ..UsageCounts::default()
     };
@@ -24,31 +24,31 @@
     ];
     for ((complete, share), due) in cases {
         assert_eq!(
-            amount(&line(complete, share), price),
+            line_amount(&line(complete, share), price),
             due,
             "{complete} {share}"
         );
     }
     let (before, after) = (line(1, 400_000), line(2, 900_000));
-    assert_eq!((after - before).share, 500_000);
+    assert_eq!((after - before).share_millionths, 500_000);
     let mut sum = before;
     sum += after - before;
     assert_eq!(sum, after);
     let most = Price {
-        whole: u64::MAX,
+        complete: u64::MAX,
         partial: u64::MAX,
     };
-    assert_eq!(amount(&line(i64::MAX, i64::MAX), most), i64::MAX);
+    assert_eq!(line_amount(&line(i64::MAX, i64::MAX), most), i64::MAX);
 }
 
 #[test]
 fn requests_over_the_allowance_are_counted_apart() {
     assert_eq!(
         (
-            over_allowance(5, None),
-            over_allowance(5, Some(3)),
-            over_allowance(3, Some(3)),
-            over_allowance(0, Some(0))
+            requests_over_allowance(5, None),
+            requests_over_allowance(5, Some(3)),
+            requests_over_allowance(3, Some(3)),
+            requests_over_allowance(0, Some(0))
         ),
         (0, 2, 0, 0)
     );
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -89,7 +89,7 @@
         (name.to_string(), member)
     };
     let price = Price {
-        whole: 10,
+        complete: 10,
         partial: 7,
     };
     LedgerSettings {
@@ -179,10 +179,10 @@
     wait_for("statement", || !service.statements().is_empty());
     let statement = service.statements().remove(0);
     assert_eq!(
-        (statement.lines[0].counts.uses, statement.total),
+        (statement.lines[0].counts.requests, statement.total),
         (500, 5000)
     );
-    assert!(!statement.members[0].missing);
+    assert!(!statement.members[0].is_missing);
     let document = "statement-2001-09-09T014640.000Z-t.json";
     wait_for("document", || service.exported().contains(&document.into()));
     // What is in the store is removed from the log, up to the segment that is being written.
--- a/crates/usage-ledger/tests/store/closing.rs
+++ b/crates/usage-ledger/tests/store/closing.rs
@@ -23,8 +23,8 @@
     assert_eq!(
         (
             uses(&empty, false),
-            empty.members[1].missing,
-            empty.members[1].complete.clone()
+            empty.members[1].is_missing,
+            empty.members[1].complete_until.clone()
         ),
         (0, true, None)
     );
@@ -48,7 +48,7 @@
     let lines: Vec<(String, i64, i64)> = next
         .lines
         .iter()
-        .map(|line| (line.period.clone(), line.counts.uses, line.amount))
+        .map(|line| (line.period.clone(), line.counts.requests, line.amount))
         .collect();
     assert_eq!(
         lines,
@@ -116,7 +116,7 @@
         (
             uses(&first, false),
             first.lines[0].counts.complete,
-            first.lines[0].counts.tries
+            first.lines[0].counts.records
         ),
         (1, 1, 2)
     );
@@ -132,7 +132,7 @@
         ),
     );
     assert_eq!(
-        harness.store.member_statuses().unwrap()[0].complete,
+        harness.store.member_statuses().unwrap()[0].complete_until_ms,
         FIRST + 900,
         "its last run is the one that counts"
     );
@@ -172,7 +172,7 @@
     harness.ingest("n0", &batch(2, vec![mark(0, FIRST + 5000, false)]));
     let next = harness.close(1, &[]);
     assert_eq!(
-        (uses(&next, true), next.total, next.members[0].died),
+        (uses(&next, true), next.total, next.members[0].unclosed_runs),
         (-1, -10, 1)
     );
     harness.assert_verified();
@@ -206,11 +206,18 @@
     harness.ingest("n0", &next);
     let statement = harness.close(0, &["n1"]);
     let member = &statement.members[0];
-    assert_eq!((member.lost, member.died, member.damaged), (5, 1, 1));
+    assert_eq!(
+        (
+            member.lost_records,
+            member.unclosed_runs,
+            member.damaged_ranges
+        ),
+        (5, 1, 1)
+    );
     let by: Vec<(&str, i64)> = statement
         .lines
         .iter()
-        .map(|line| (line.tenant.as_str(), line.counts.uses))
+        .map(|line| (line.tenant.as_str(), line.counts.requests))
         .collect();
     assert_eq!(by, [("t", 2), ("u", 1)]);
 }
--- a/crates/usage-ledger/tests/store/delivery.rs
+++ b/crates/usage-ledger/tests/store/delivery.rs
@@ -127,6 +127,6 @@
         harness.assert_verified();
         let stated = stated(&harness);
         prop_assert_eq!(stated, joined(&harness));
-        prop_assert_eq!(stated.tries, draws.len() as i64);
+        prop_assert_eq!(stated.records, draws.len() as i64);
     }
 }
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -40,12 +40,12 @@
         (
             credit.kind.as_str(),
             credit.amount,
-            credit.corrects.clone().unwrap().hash
+            credit.corrected_statement.clone().unwrap().hash
         ),
         ("credit", -4, hash)
     );
     assert_eq!(
-        credit.corrects.unwrap().document_id,
+        credit.corrected_statement.unwrap().document_id,
         Document::of_statement(&statement)[0].id
     );
     assert_eq!(
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -44,7 +44,7 @@
         let prices = BTreeMap::from([(
             "c".to_string(),
             Price {
-                whole: 10,
+                complete: 10,
                 partial: 7,
             },
         )]);
@@ -76,7 +76,7 @@
             allowances: &self.allowances,
             members: vec!["n0".into(), "n1".into()],
             missing: &missing,
-            now: FIRST + 100 * PERIOD,
+            now_ms: FIRST + 100 * PERIOD,
         };
         self.store.close(period(n), &terms).unwrap()
     }
@@ -150,7 +150,7 @@
     statement
         .lines
         .iter()
-        .filter(|line| line.adjusts == adjusts)
-        .map(|line| line.counts.uses)
+        .filter(|line| line.is_adjustment == adjusts)
+        .map(|line| line.counts.requests)
         .sum()
 }
--- a/crates/usage-ledger/tests/store/ingest.rs
+++ b/crates/usage-ledger/tests/store/ingest.rs
@@ -44,13 +44,16 @@
         (
             uses(&statement, false),
             statement.total,
-            statement.lines[0].counts.tries
+            statement.lines[0].counts.records
         ),
         (2, 20, 3)
     );
-    assert_eq!(harness.store.member_statuses().unwrap()[0].lost, 0);
+    assert_eq!(harness.store.member_statuses().unwrap()[0].lost_records, 0);
     assert!(
-        (statement.tenants[0].over, statement.tenants[0].answered) == (1, 2),
+        (
+            statement.tenants[0].over_allowance,
+            statement.tenants[0].answered
+        ) == (1, 2),
         "one over the allowance of one"
     );
     harness.assert_verified();
--- a/crates/usage-ledger/tests/store/verification.rs
+++ b/crates/usage-ledger/tests/store/verification.rs
@@ -75,7 +75,7 @@
             period: period(),
             tenant: Some("t".into()),
             class: None,
-            uses: -1,
+            requests: -1,
         },
     ];
     assert_eq!(
