--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -43,12 +43,11 @@
 }
 
 fn send_outbox(store: &Store, target: &ExportTarget, within: Duration) -> Result<(), LedgerError> {
-    let (to_folder, to_url) = (target.folder.is_some(), target.url.is_some());
-    if !to_folder && !to_url {
+    if !target.has_destination() {
         return Err(LedgerError::NoExportTarget);
     }
     let deadline = Instant::now() + within;
-    let pending = store.outbox(to_folder, to_url)?;
+    let pending = store.undelivered_documents(target)?;
     let bar = progress::bar(pending.len() as u64, "documents");
     for document in pending {
         send_until_acknowledged(store, target, document, deadline)?;
@@ -87,7 +86,7 @@
 
 fn document_report(store: &Store) -> Result<Report, LedgerError> {
     let mut report = Report::new(&COLUMNS);
-    for document in store.outbox(false, false)? {
+    for document in store.documents()? {
         report.push(vec![
             json!(document.id),
             json!(document.in_folder),
--- a/crates/aggregator/src/cli/ledger/periods.rs
+++ b/crates/aggregator/src/cli/ledger/periods.rs
@@ -4,7 +4,7 @@
 use crate::cli::output::{OutputFormat, Report};
 use serde_json::{json, Value};
 use usage_ledger::rate::UsageCounts;
-use usage_ledger::store::{Statement, StoredStatement};
+use usage_ledger::store::{Statement, StatementLine, StoredStatement};
 
 const COLUMNS: [&str; 9] = [
     "period",
@@ -43,20 +43,31 @@
         json!(statement.period),
         json!(statement.period_end),
         json!(statement.closed_at),
-        json!(sum(statement, false, |counts| counts.requests)),
-        json!(sum(statement, true, |counts| counts.requests)),
-        json!(sum(statement, false, |counts| counts.ambiguous)),
+        json!(own_counts(statement).requests),
+        json!(adjustment_counts(statement).requests),
+        json!(own_counts(statement).ambiguous),
         json!(missing.join(" ")),
         json!(statement.total),
         json!(stored.hash[..SHORT_HASH_LENGTH]),
     ]
 }
 
-/// Sums one count over the lines of the period itself, or over those that adjust earlier periods.
-fn sum(statement: &Statement, adjustments: bool, count: fn(&UsageCounts) -> i64) -> i64 {
+/// The counts of the lines of the period itself.
+fn own_counts(statement: &Statement) -> UsageCounts {
     let lines = statement.lines.iter();
-    lines
-        .filter(|line| line.is_adjustment == adjustments)
-        .map(|line| count(&line.counts))
-        .sum()
+    sum_counts(lines.filter(|line| !line.is_adjustment))
+}
+
+/// The counts of the lines that adjust earlier periods.
+fn adjustment_counts(statement: &Statement) -> UsageCounts {
+    let lines = statement.lines.iter();
+    sum_counts(lines.filter(|line| line.is_adjustment))
+}
+
+fn sum_counts<'a>(lines: impl Iterator<Item = &'a StatementLine>) -> UsageCounts {
+    let mut sum = UsageCounts::default();
+    for line in lines {
+        sum += line.counts;
+    }
+    sum
 }
--- a/crates/aggregator/src/cli/ledger/status.rs
+++ b/crates/aggregator/src/cli/ledger/status.rs
@@ -62,13 +62,7 @@
 fn summary(context: &LedgerContext, store: &Store) -> Result<String, LedgerError> {
     let next_period = store.next_period(&context.settings.calendar)?;
     let next_period = next_period.map_or("none".into(), |period| period.name());
-    let to_folder = context.settings.export.folder.is_some();
-    let to_url = context.settings.export.url.is_some();
-    let pending = if to_folder || to_url {
-        store.outbox(to_folder, to_url)?.len()
-    } else {
-        0
-    };
+    let pending = store.undelivered_documents(&context.settings.export)?.len();
     Ok(format!(
         "\nnext period to close: {next_period}\ndocuments to send: {pending}\n"
     ))
--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use tokio::sync::watch;
 use usage_ledger::wire::entry::What;
-use usage_ledger::wire::{Outcome as WireOutcome, Record};
-use usage_ledger::writer::{self, UsageLogWriter};
+use usage_ledger::wire::{Mark, Outcome as WireOutcome, Record};
+use usage_ledger::writer::UsageLogWriter;
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
@@ -33,9 +33,11 @@
 
     /// A watermark that does not fit into the writer's queue is dropped: the next one covers it.
     fn record_watermark(&mut self, mark: UsageWatermark) {
-        let complete_ms = mark.complete_until / NANOS_PER_MS;
-        self.writer
-            .try_enqueue(writer::mark(mark.sequence, complete_ms, mark.is_final));
+        self.writer.try_enqueue(What::Mark(Mark {
+            sequence: mark.sequence,
+            complete_ms: mark.complete_until / NANOS_PER_MS,
+            end: mark.is_final,
+        }));
     }
 
     fn written(&self) -> watch::Receiver<u64> {
--- a/crates/usage-ledger/src/join.rs
+++ b/crates/usage-ledger/src/join.rs
@@ -123,6 +123,23 @@
     }
 }
 
+/// Whether a record could have been joined in another way.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum JoinCertainty {
+    Certain,
+    Ambiguous,
+}
+
+impl JoinCertainty {
+    fn from_ambiguity(is_ambiguous: bool) -> JoinCertainty {
+        if is_ambiguous {
+            JoinCertainty::Ambiguous
+        } else {
+            JoinCertainty::Certain
+        }
+    }
+}
+
 /// A first request together with its retries: the unit that is billed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogicalRequest {
@@ -136,11 +153,15 @@
 }
 
 impl LogicalRequest {
-    fn new(first: UsageRecord, ambiguous: bool) -> LogicalRequest {
+    fn new(first: UsageRecord, certainty: JoinCertainty) -> LogicalRequest {
+        let ambiguous = match certainty {
+            JoinCertainty::Certain => Vec::new(),
+            JoinCertainty::Ambiguous => vec![first.id()],
+        };
         LogicalRequest {
             records: vec![first],
             outcome: first.outcome,
-            ambiguous: ambiguous.then(|| first.id()).into_iter().collect(),
+            ambiguous,
         }
     }
 
@@ -153,9 +174,9 @@
         &self.records[self.records.len() - 1]
     }
 
-    fn join(&mut self, retry: UsageRecord, ambiguous: bool) {
+    fn join(&mut self, retry: UsageRecord, certainty: JoinCertainty) {
         self.outcome = self.outcome.better(retry.outcome);
-        if ambiguous {
+        if certainty == JoinCertainty::Ambiguous {
             self.ambiguous.push(retry.id());
         }
         self.records.push(retry);
@@ -234,7 +255,7 @@
         if record.is_retry || record.has_idempotency_key {
             self.retries.push_back(record);
         } else {
-            self.open_request(record, false);
+            self.open_request(record, JoinCertainty::Certain);
         }
     }
 
@@ -252,7 +273,7 @@
         }
     }
 
-    fn open_request(&mut self, first: UsageRecord, ambiguous: bool) {
+    fn open_request(&mut self, first: UsageRecord, certainty: JoinCertainty) {
         let group = GroupKey::of(&first);
         let deadline = Deadline {
             expires_at_ms: first
@@ -263,7 +284,7 @@
         };
         self.deadlines.insert(deadline, group);
         let requests = self.open.entry(group).or_default();
-        requests.push(LogicalRequest::new(first, ambiguous));
+        requests.push(LogicalRequest::new(first, certainty));
     }
 
     /// Joins the retries that no other record can precede any more, given that all records that
@@ -316,8 +337,8 @@
             // The key identifies the logical request: all its records belong to it, in whatever
             // order they ended.
             return match requests.iter_mut().find(|request| in_window(request)) {
-                Some(request) => request.join(retry, false),
-                None => self.open_request(retry, false),
+                Some(request) => request.join(retry, JoinCertainty::Certain),
+                None => self.open_request(retry, JoinCertainty::Certain),
             };
         }
         let candidates: Vec<usize> = (0..requests.len())
@@ -338,10 +359,14 @@
         let best = candidates.iter().copied().min_by_key(rank);
         let known_ambiguous = self.ambiguous_before.contains(&retry.id());
         match best {
-            Some(best) => requests[best].join(retry, known_ambiguous || candidates.len() > 1),
+            Some(best) => {
+                let is_ambiguous = known_ambiguous || candidates.len() > 1;
+                requests[best].join(retry, JoinCertainty::from_ambiguity(is_ambiguous));
+            }
             None => {
-                let answered = requests.iter().any(in_window);
-                self.open_request(retry, known_ambiguous || answered);
+                let was_answered = requests.iter().any(in_window);
+                let is_ambiguous = known_ambiguous || was_answered;
+                self.open_request(retry, JoinCertainty::from_ambiguity(is_ambiguous));
             }
         }
     }
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -53,6 +53,13 @@
     pub retry_delay: Duration,
 }
 
+impl ExportTarget {
+    /// Whether documents go anywhere.
+    pub fn has_destination(&self) -> bool {
+        self.folder.is_some() || self.url.is_some()
+    }
+}
+
 /// All settings of the settlement.
 #[derive(Clone, Debug)]
 pub struct LedgerSettings {
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -64,13 +64,7 @@
     let mut retry_at: HashMap<String, Instant> = HashMap::new();
     while !shared.is_stopping() {
         let target = lock(&shared.target).clone();
-        let (folder, url) = (target.folder.is_some(), target.url.is_some());
-        let documents = if folder || url {
-            store.outbox(folder, url)?
-        } else {
-            Vec::new()
-        };
-        for document in documents {
+        for document in store.undelivered_documents(&target)? {
             if shared.is_stopping() {
                 return Ok(());
             }
--- a/crates/usage-ledger/src/store/outbox.rs
+++ b/crates/usage-ledger/src/store/outbox.rs
@@ -1,38 +1,48 @@
-//! Documents to send, and what became of them.
+//! The documents to send, and the results of sending them.
 //!
-//! Transaction boundary: a document is inserted in the transaction that made it; noting a delivery
-//! is a transaction of its own, after the receiver has answered.
+//! Transaction boundary: a document is inserted in the transaction that made it. The result of a
+//! delivery is stored in a transaction of its own, after the receiver has answered.
 
 use super::{digest, Result, Store};
 use crate::document::{Document, OutgoingDocument};
 use crate::export::Delivery;
-use rusqlite::{params, Connection};
+use crate::settings::ExportTarget;
+use rusqlite::{params, Connection, Row};
+
+/// The columns of `outbox` that [`read_document`] reads, in its order.
+const COLUMNS: &str = "id, body, folder IS NOT NULL, posted IS NOT NULL, attempts, error";
 
 impl Store {
-    /// Documents, oldest first: those still to be put into the folder if `folder`, those still to
-    /// be posted if `url`, all if neither.
+    /// All documents, oldest first.
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn outbox(&self, folder: bool, url: bool) -> Result<Vec<OutgoingDocument>> {
-        let mut select = self.db.prepare(
-            "SELECT id, body, folder IS NOT NULL, posted IS NOT NULL, attempts, error FROM outbox
-             WHERE (?1 AND folder IS NULL) OR (?2 AND posted IS NULL) OR NOT (?1 OR ?2) ORDER BY made, id",
-        )?;
-        let documents = select.query_map([folder, url], |row| {
-            Ok(OutgoingDocument {
-                id: row.get(0)?,
-                body: row.get(1)?,
-                in_folder: row.get(2)?,
-                posted: row.get(3)?,
-                attempts: row.get(4)?,
-                error: row.get(5)?,
-            })
-        })?;
+    pub fn documents(&self) -> Result<Vec<OutgoingDocument>> {
+        let select = format!("SELECT {COLUMNS} FROM outbox ORDER BY made, id");
+        let mut select = self.db.prepare(&select)?;
+        let documents = select.query_map([], read_document)?;
+        Ok(documents.collect::<rusqlite::Result<_>>()?)
+    }
+
+    /// The documents that have not reached all destinations of `target`, oldest first. There are
+    /// none if it names no destination.
+    ///
+    /// # Errors
+    /// The store can't be read.
+    pub fn undelivered_documents(&self, target: &ExportTarget) -> Result<Vec<OutgoingDocument>> {
+        if !target.has_destination() {
+            return Ok(Vec::new());
+        }
+        let select = format!(
+            "SELECT {COLUMNS} FROM outbox WHERE (?1 AND folder IS NULL) OR (?2 AND posted IS NULL) ORDER BY made, id"
+        );
+        let mut select = self.db.prepare(&select)?;
+        let destinations = [target.folder.is_some(), target.url.is_some()];
+        let documents = select.query_map(destinations, read_document)?;
         Ok(documents.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// Stores what an attempt at `now_ms`, in Unix milliseconds, to send a document came to.
+    /// Stores the result of an attempt to send a document at `now_ms`, in Unix milliseconds.
     ///
     /// # Errors
     /// The store can't be written.
@@ -42,14 +52,15 @@
         delivery: &Delivery,
         now_ms: i64,
     ) -> Result<()> {
-        let time_if = |done: bool| done.then_some(now_ms);
+        let folder_ms = delivery.in_folder.then_some(now_ms);
+        let posted_ms = delivery.posted.then_some(now_ms);
         let error = delivery.error.as_ref().map(ToString::to_string);
         self.db.execute(
             "UPDATE outbox SET folder = coalesce(folder, ?), posted = coalesce(posted, ?), error = ?,
                attempts = attempts + 1 WHERE id = ?",
             params![
-                time_if(delivery.in_folder),
-                time_if(delivery.posted),
+                folder_ms,
+                posted_ms,
                 error,
                 document_id
             ],
@@ -58,12 +69,23 @@
     }
 }
 
+fn read_document(row: &Row<'_>) -> rusqlite::Result<OutgoingDocument> {
+    Ok(OutgoingDocument {
+        id: row.get(0)?,
+        body: row.get(1)?,
+        in_folder: row.get(2)?,
+        posted: row.get(3)?,
+        attempts: row.get(4)?,
+        error: row.get(5)?,
+    })
+}
+
 /// Puts a document into the outbox.
-pub(super) fn insert(db: &Connection, document: &Document, now: i64) -> Result<()> {
+pub(super) fn insert(db: &Connection, document: &Document, now_ms: i64) -> Result<()> {
     let body = serde_json::to_string(document)?;
     db.execute(
         "INSERT INTO outbox VALUES (?, ?, ?, ?, NULL, NULL, 0, NULL)",
-        params![document.id, now, body, digest(body.as_bytes())],
+        params![document.id, now_ms, body, digest(body.as_bytes())],
     )?;
     Ok(())
 }
--- a/crates/usage-ledger/src/writer/mod.rs
+++ b/crates/usage-ledger/src/writer/mod.rs
@@ -13,7 +13,7 @@
 use self::thread::WriterThread;
 use crate::log::{cut_torn_tail, segments, Segment, VERSION};
 use crate::settings::UsageLogSettings;
-use crate::wire::{entry::What, Class, Entry, Header, Mark, Outcome, Record};
+use crate::wire::{entry::What, Class, Entry, Header};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -281,24 +281,3 @@
         tracing::info!(written, lost, late, "usage log closed");
     }
 }
-
-/// A record as it goes into the log. `share` is that of a partial answer, in millionths.
-pub fn record(sequence: u64, arrived_ms: u64, outcome: Outcome, share: u32) -> Record {
-    Record {
-        sequence,
-        arrived_ms,
-        outcome: outcome.into(),
-        share,
-        ..Record::default()
-    }
-}
-
-/// A mark as it goes into the log: all records of queries that arrived before `complete_ms` stand
-/// before it, and the last of them is `sequence`. `end` says that the run ends here.
-pub fn mark(sequence: u64, complete_ms: u64, end: bool) -> What {
-    What::Mark(Mark {
-        sequence,
-        complete_ms,
-        end,
-    })
-}
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -109,7 +109,7 @@
     };
     let mut writer = writer::start_on(FileSystem, &settings, names, 7_000_000).unwrap();
     assert!(writer.try_enqueue(What::Record(segment_record())));
-    assert!(writer.try_enqueue(writer::mark(1, 2000, true)));
+    assert!(writer.try_enqueue(segment_mark()));
     writer.close();
     let segments = log::segments(folder.path()).unwrap();
     assert_eq!(segments.len(), 1);
@@ -378,7 +378,7 @@
     };
     store.correct(&correction, PERIOD, 1_200_000).unwrap();
     let bodies: Vec<String> = store
-        .outbox(false, false)
+        .documents()
         .unwrap()
         .into_iter()
         .map(|document| document.body)
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -40,7 +40,10 @@
     What::Record(Record {
         parts: 5,
         key: sequence * 7,
-        ..writer::record(sequence, 1_000 + sequence, Outcome::Whole, 0)
+        sequence,
+        arrived_ms: 1_000 + sequence,
+        outcome: Outcome::Whole.into(),
+        ..Record::default()
     })
 }
 
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -13,7 +13,7 @@
 use usage_ledger::settings::{ExportTarget, LedgerSettings, Member, Price, UsageLogSettings};
 use usage_ledger::settlement::{self, SettlementSignal};
 use usage_ledger::store::{Statement, Store, StoreError};
-use usage_ledger::wire::{entry::What, Outcome, Record};
+use usage_ledger::wire::{entry::What, Mark, Outcome, Record};
 use usage_ledger::writer::{self, RunClass, RunTables, UsageLogWriter};
 
 const PERIOD_MS: i64 = 1000;
@@ -65,7 +65,10 @@
 fn write_record(writer: &mut UsageLogWriter, sequence: u64, at: i64) {
     let record = Record {
         key: sequence * 2,
-        ..writer::record(sequence, at as u64, Outcome::Whole, 0)
+        sequence,
+        arrived_ms: at as u64,
+        outcome: Outcome::Whole.into(),
+        ..Record::default()
     };
     assert!(writer.try_enqueue(What::Record(record)));
 }
@@ -175,7 +178,11 @@
     wait_for("records", || collected(500));
     assert!(service.statements().is_empty());
     let complete = PERIOD_START + 2 * PERIOD_MS;
-    assert!(writer.try_enqueue(writer::mark(500, complete as u64, false)));
+    assert!(writer.try_enqueue(What::Mark(Mark {
+        sequence: 500,
+        complete_ms: complete as u64,
+        end: false,
+    })));
     wait_for("statement", || !service.statements().is_empty());
     let statement = service.statements().remove(0);
     assert_eq!(
--- a/crates/usage-ledger/tests/store/closing.rs
+++ b/crates/usage-ledger/tests/store/closing.rs
@@ -1,8 +1,8 @@
 //! Closing periods: late records, clocks, and runs that died.
 
 use crate::harness::{
-    batch, complete_record, header, mark, period, rejected, retry, uses, StoreHarness, FIRST,
-    PERIOD,
+    adjusted_requests, batch, complete_record, header, mark, own_requests, period, rejected, retry,
+    StoreHarness, FIRST, PERIOD,
 };
 use usage_ledger::wire::{entry::What, Batch, Entry};
 
@@ -22,14 +22,14 @@
     let empty = harness.close(0, &["n1"]);
     assert_eq!(
         (
-            uses(&empty, false),
+            own_requests(&empty),
             empty.members[1].is_missing,
             empty.members[1].complete_until.clone()
         ),
         (0, true, None)
     );
     let first = harness.close(1, &["n1"]);
-    assert_eq!((uses(&first, false), first.total), (1, 10));
+    assert_eq!((own_requests(&first), first.total), (1, 10));
     let before = harness.store.statements().unwrap();
     // The silent member returns with the first request: one logical request, in the first one's
     // period.
@@ -79,7 +79,7 @@
     );
     let next = harness.close(1, &[]);
     assert_eq!(
-        (uses(&next, true), next.lines[0].period.clone()),
+        (adjusted_requests(&next), next.lines[0].period.clone()),
         (1, period(-5).name())
     );
     harness.assert_verified();
@@ -110,11 +110,11 @@
             ],
         ),
     );
-    assert_eq!(uses(&harness.close(0, &[]), false), 0);
+    assert_eq!(own_requests(&harness.close(0, &[])), 0);
     let first = harness.close(1, &[]);
     assert_eq!(
         (
-            uses(&first, false),
+            own_requests(&first),
             first.lines[0].counts.complete,
             first.lines[0].counts.records
         ),
@@ -138,7 +138,7 @@
     );
     let second = harness.close(2, &[]);
     assert_eq!(
-        (uses(&second, true), second.lines[0].period.clone()),
+        (adjusted_requests(&second), second.lines[0].period.clone()),
         (1, period(0).name())
     );
     harness.assert_verified();
@@ -165,14 +165,18 @@
     // So far it may be alive: the answer counts, and the retry with it.
     let first = harness.close(0, &["n0"]);
     assert_eq!(
-        (uses(&first, false), first.lines[0].counts.ambiguous),
+        (own_requests(&first), first.lines[0].counts.ambiguous),
         (2, 1)
     );
     // It is back without a closing mark: the retry was of that answer.
     harness.ingest("n0", &batch(2, vec![mark(0, FIRST + 5000, false)]));
     let next = harness.close(1, &[]);
     assert_eq!(
-        (uses(&next, true), next.total, next.members[0].unclosed_runs),
+        (
+            adjusted_requests(&next),
+            next.total,
+            next.members[0].unclosed_runs
+        ),
         (-1, -10, 1)
     );
     harness.assert_verified();
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -64,7 +64,7 @@
             .is_err(),
         "one of each id"
     );
-    assert_eq!(harness.store.outbox(false, false).unwrap().len(), 3);
+    assert_eq!(harness.store.documents().unwrap().len(), 3);
     harness.assert_verified();
 }
 
@@ -96,14 +96,14 @@
         timeout: Duration::from_secs(1),
         retry_delay: Duration::from_millis(1),
     };
-    let waiting = harness.store.outbox(true, false).unwrap();
+    let waiting = harness.store.undelivered_documents(&to).unwrap();
     assert_only_in_folder(&export::send(&to, &waiting[0]));
     let bytes =
         |folder: &Path| std::fs::read(folder.join(format!("{}.json", waiting[0].id))).unwrap();
     let first = bytes(folder.path());
     // It went out, and the process died before it was noted.
     harness.restart();
-    let again = harness.store.outbox(true, false).unwrap();
+    let again = harness.store.undelivered_documents(&to).unwrap();
     assert_eq!(again, waiting);
     let delivery = export::send(&to, &again[0]);
     assert_only_in_folder(&delivery);
@@ -118,7 +118,7 @@
         ),
         (first, 1)
     );
-    assert!(harness.store.outbox(true, false).unwrap().is_empty());
+    assert!(harness.store.undelivered_documents(&to).unwrap().is_empty());
     let again = Duration::from_millis(10);
     assert_eq!(
         [1, 2, 7, 99].map(|n| export::wait(again, n).as_millis()),
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -7,7 +7,6 @@
 use usage_ledger::settle::JoinBounds;
 use usage_ledger::store::{ClosingTerms, IngestSummary, Statement, Store};
 use usage_ledger::wire::{entry::What, Batch, Class, Entry, Header, Mark, Outcome, Record};
-use usage_ledger::writer;
 
 pub const BOUNDS: JoinBounds = JoinBounds {
     horizon_ms: 150,
@@ -120,7 +119,10 @@
         key,
         parts: 1,
         attempts: 1,
-        ..writer::record(sequence, at as u64, Outcome::Whole, 0)
+        sequence,
+        arrived_ms: at as u64,
+        outcome: Outcome::Whole.into(),
+        ..Record::default()
     }
 }
 
@@ -146,11 +148,20 @@
     })
 }
 
-pub fn uses(statement: &Statement, adjusts: bool) -> i64 {
-    statement
-        .lines
-        .iter()
-        .filter(|line| line.is_adjustment == adjusts)
+/// The requests that a statement counts of its own period.
+pub fn own_requests(statement: &Statement) -> i64 {
+    let lines = statement.lines.iter();
+    lines
+        .filter(|line| !line.is_adjustment)
+        .map(|line| line.counts.requests)
+        .sum()
+}
+
+/// The requests that a statement adds to earlier periods.
+pub fn adjusted_requests(statement: &Statement) -> i64 {
+    let lines = statement.lines.iter();
+    lines
+        .filter(|line| line.is_adjustment)
         .map(|line| line.counts.requests)
         .sum()
 }
--- a/crates/usage-ledger/tests/store/ingest.rs
+++ b/crates/usage-ledger/tests/store/ingest.rs
@@ -1,6 +1,8 @@
 //! What is delivered twice, in another order, or after a crash.
 
-use crate::harness::{batch, complete_record, mark, rejected, retry, uses, StoreHarness, FIRST};
+use crate::harness::{
+    batch, complete_record, mark, own_requests, rejected, retry, StoreHarness, FIRST,
+};
 use usage_ledger::log::LogPosition;
 use usage_ledger::wire::entry::What;
 
@@ -42,7 +44,7 @@
     let statement = harness.close(0, &[]);
     assert_eq!(
         (
-            uses(&statement, false),
+            own_requests(&statement),
             statement.total,
             statement.lines[0].counts.records
         ),
