--- a/crates/aggregator/src/cli/ledger/correct.rs
+++ b/crates/aggregator/src/cli/ledger/correct.rs
@@ -4,7 +4,7 @@
 use crate::cli::output;
 use usage_ledger::period::Period;
 use usage_ledger::settlement;
-use usage_ledger::store::{digest, CorrectionLine};
+use usage_ledger::store::{sha256_hex, CorrectionLine};
 
 /// Characters of a generated correction id.
 const GENERATED_ID_LENGTH: usize = 16;
@@ -33,9 +33,9 @@
 pub fn run(context: &LedgerContext, arguments: CorrectArguments) -> Result<(), LedgerError> {
     let mut store = context.existing_store()?;
     let period = context.period_starting_at(&store, &arguments.period)?;
-    let now_ms = settlement::now();
+    let now_ms = settlement::unix_time_ms();
     let correction = correction_line(arguments, period, now_ms);
-    let document = store.correct(&correction, period, now_ms)?;
+    let document = store.enter_correction(&correction, period, now_ms)?;
     let (id, amount) = (&correction.id, correction.amount);
     let text = match document {
         Some(document) => {
@@ -61,7 +61,7 @@
     let id = arguments.id.unwrap_or_else(|| {
         let start = period.start_ms;
         let content = format!("{tenant} {start} {amount} {reason} {author} {now_ms}");
-        digest(content.as_bytes())[..GENERATED_ID_LENGTH].to_string()
+        sha256_hex(content.as_bytes())[..GENERATED_ID_LENGTH].to_string()
     });
     CorrectionLine {
         id,
--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use usage_ledger::join::{RecordedOutcome, UsageRecord};
 use usage_ledger::log::{LogFollower, LogPosition};
-use usage_ledger::period::stamp;
+use usage_ledger::period::format_timestamp;
 use usage_ledger::wire::{entry::What, Damage, Header, Record};
 
 const COLUMNS: [&str; 14] = [
@@ -72,7 +72,7 @@
     /// The values in the order of [`COLUMNS`].
     fn values(&self) -> Vec<Value> {
         vec![
-            json!(stamp(self.arrived_ms)),
+            json!(format_timestamp(self.arrived_ms)),
             json!(self.mixer),
             json!(self.incarnation),
             json!(self.sequence),
@@ -134,7 +134,7 @@
     };
     let mut follower = LogFollower::new(directory, LogPosition::default());
     let mut report = Report::new(&COLUMNS);
-    while let Some(batch) = follower.next(BATCH_ENTRIES).map_err(unreadable)? {
+    while let Some(batch) = follower.next_batch(BATCH_ENTRIES).map_err(unreadable)? {
         batch.damage.iter().for_each(warn_of_damage);
         let header = batch.header.unwrap_or_default();
         for entry in batch.entries {
--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -65,8 +65,8 @@
     deadline: Instant,
 ) -> Result<(), LedgerError> {
     loop {
-        let delivery = export::send(target, &document);
-        store.record_delivery(&document.id, &delivery, settlement::now())?;
+        let delivery = export::deliver(target, &document);
+        store.record_delivery(&document.id, &delivery, settlement::unix_time_ms())?;
         document.in_folder |= delivery.in_folder;
         document.posted |= delivery.posted;
         document.attempts += 1;
@@ -79,7 +79,7 @@
                 source,
             });
         }
-        let backoff = export::wait(target.retry_delay, document.attempts);
+        let backoff = export::retry_backoff(target.retry_delay, document.attempts);
         std::thread::sleep(backoff.min(MAX_BACKOFF));
     }
 }
--- a/crates/aggregator/src/cli/ledger/reconcile.rs
+++ b/crates/aggregator/src/cli/ledger/reconcile.rs
@@ -73,7 +73,7 @@
     })?;
     let all_times = i64::MIN..i64::MAX;
     let calendar = &context.settings.calendar;
-    let reconciled = reconcile::with_clients(
+    let reconciled = reconcile::reconcile_with_clients(
         store,
         calendar,
         context.settings.join_bounds(),
@@ -152,7 +152,7 @@
     let stats = read_json(Path::new(file))?;
     let status = statuses.iter().find(|status| status.member == member);
     let incarnation = status.map_or(0, |status| status.position.incarnation);
-    let in_ledger = store.recorded(member, incarnation)?;
+    let in_ledger = store.record_counts(member, incarnation)?;
     let counted: BTreeMap<String, u64> =
         serde_json::from_value(stats[RECORDED_FIELD].clone()).unwrap_or_default();
     let counters: BTreeSet<&String> = in_ledger.keys().chain(counted.keys()).collect();
--- a/crates/aggregator/src/cli/ledger/status.rs
+++ b/crates/aggregator/src/cli/ledger/status.rs
@@ -4,7 +4,7 @@
 use crate::cli::output::{self, OutputFormat, Report};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
-use usage_ledger::period::stamp;
+use usage_ledger::period::format_timestamp;
 use usage_ledger::store::{MemberStatus, Store};
 
 const COLUMNS: [&str; 9] = [
@@ -48,7 +48,7 @@
         Some(status) => row.extend([
             json!(status.position.incarnation),
             json!(status.position.sequence),
-            json!(stamp(status.complete_until_ms)),
+            json!(format_timestamp(status.complete_until_ms)),
             json!(status.records),
             json!(status.lost_records),
             json!(status.unclosed_runs),
--- a/crates/aggregator/src/cli/ledger/verify.rs
+++ b/crates/aggregator/src/cli/ledger/verify.rs
@@ -76,7 +76,7 @@
 
     fn check_segment(&mut self, segment: &Segment, bytes: &[u8], is_last: bool) {
         let name = segment.name();
-        let entries_start = match log::header(bytes) {
+        let entries_start = match log::parse_header(bytes) {
             Some((_, start)) => start,
             None => {
                 let segment = name.clone();
@@ -84,7 +84,7 @@
                 log::MAGIC.len()
             }
         };
-        let read = log::read(bytes, entries_start, usize::MAX);
+        let read = log::read_items(bytes, entries_start, usize::MAX);
         for item in &read.items {
             match item {
                 log::SegmentItem::Entry(_) => self.entries += 1,
--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -41,7 +41,7 @@
     }
 
     fn written(&self) -> watch::Receiver<u64> {
-        self.writer.written()
+        self.writer.written_sequence()
     }
 
     fn max_reply_delay(&self) -> Duration {
--- a/crates/testkit/src/bin/bench-ledger/records.rs
+++ b/crates/testkit/src/bin/bench-ledger/records.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use usage_ledger::log::put_frame;
+use usage_ledger::log::append_frame;
 use usage_ledger::wire::{entry::What, Entry, Outcome, Record};
 
 /// The time of the first record in Unix milliseconds.
@@ -48,7 +48,7 @@
         let arrived_ms = FIRST_RECORD_MS + number as i64;
         let record = random_record(&mut random, SAMPLE_FIRST_SEQUENCE + number, arrived_ms);
         let what = Some(What::Record(record));
-        put_frame(&mut bytes, &Entry { what });
+        append_frame(&mut bytes, &Entry { what });
     }
     println!(
         "log: {:.1} bytes a record",
--- a/crates/testkit/src/bin/bench-ledger/settlement.rs
+++ b/crates/testkit/src/bin/bench-ledger/settlement.rs
@@ -93,7 +93,7 @@
         end_ms: FIRST_RECORD_MS + period_length_ms(records) + 1,
     };
     let started = Instant::now();
-    let statement = store.close(period, &terms)?;
+    let statement = store.close_period(period, &terms)?;
     let time = started.elapsed();
     let settled: i64 = statement.lines.iter().map(|line| line.counts.records).sum();
     if settled as u64 != records {
--- a/crates/usage-ledger/src/collect.rs
+++ b/crates/usage-ledger/src/collect.rs
@@ -103,7 +103,7 @@
     let mut idle_polls = 0;
     loop {
         let read = tokio::task::spawn_blocking(move || {
-            let next = follower.next(MAX_BATCH_ENTRIES);
+            let next = follower.next_batch(MAX_BATCH_ENTRIES);
             (follower, next)
         });
         let Ok((returned, next)) = read.await else {
--- a/crates/usage-ledger/src/export.rs
+++ b/crates/usage-ledger/src/export.rs
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// The folder can't be written.
-fn to_folder(folder: &Path, document: &OutgoingDocument) -> Result<(), DeliveryError> {
+fn write_to_folder(folder: &Path, document: &OutgoingDocument) -> Result<(), DeliveryError> {
     fs::create_dir_all(folder)?;
     let temporary = folder.join(format!(".{}.half", document.id));
     let complete = folder.join(format!("{}.json", document.id));
@@ -93,16 +93,16 @@
 }
 
 /// Exponential backoff: the pause before a document that has failed `attempts` times is sent again.
-pub fn wait(again: Duration, attempts: u32) -> Duration {
+pub fn retry_backoff(retry_delay: Duration, attempts: u32) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
-    again * 2u32.pow(doublings)
+    retry_delay * 2u32.pow(doublings)
 }
 
 /// Sends one document to each target that it has not reached yet.
-pub fn send(target: &ExportTarget, document: &OutgoingDocument) -> Delivery {
+pub fn deliver(target: &ExportTarget, document: &OutgoingDocument) -> Delivery {
     let mut delivery = Delivery::default();
     if let Some(folder) = target.folder.as_ref().filter(|_| !document.in_folder) {
-        delivery.in_folder = delivery.record_result(to_folder(folder, document));
+        delivery.in_folder = delivery.record_result(write_to_folder(folder, document));
     }
     if let Some(url) = target.url.as_ref().filter(|_| !document.posted) {
         delivery.posted = delivery.record_result(post(url, target.timeout, document));
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -1,6 +1,6 @@
 //! Reading a log that is still being written, from any position on.
 
-use super::format::{header, read, SegmentItem, MAGIC, MAX_HEADER_BYTES};
+use super::format::{parse_header, read_items, SegmentItem, MAGIC, MAX_HEADER_BYTES};
 use super::segment::{segments, Segment};
 use crate::wire::{entry::What, Batch, Damage, Entry, Header};
 use std::fs::File;
@@ -27,7 +27,7 @@
     File::open(&segment.path)?
         .take(MAX_HEADER_BYTES as u64 + HEADER_MARGIN_BYTES)
         .read_to_end(&mut bytes)?;
-    Ok(header(&bytes))
+    Ok(parse_header(&bytes))
 }
 
 /// A segment that is being read.
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// The log can't be read.
-    pub fn next(&mut self, max_entries: usize) -> io::Result<Option<Batch>> {
+    pub fn next_batch(&mut self, max_entries: usize) -> io::Result<Option<Batch>> {
         loop {
             let Some(open) = self.open.take() else {
                 let Some(first) = self.first_segment()? else {
@@ -186,7 +186,7 @@
         let found = loop {
             let missing = wanted - bytes.len() as u64;
             let got = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
-            let found = read(&bytes, 0, max_entries);
+            let found = read_items(&bytes, 0, max_entries);
             if !found.items.is_empty() || got < missing {
                 break found;
             }
--- a/crates/usage-ledger/src/log/format.rs
+++ b/crates/usage-ledger/src/log/format.rs
@@ -22,7 +22,7 @@
 pub(super) const MAX_HEADER_BYTES: usize = 4 << 20;
 
 /// Appends a frame.
-pub fn put_frame(out: &mut Vec<u8>, body: &impl Message) {
+pub fn append_frame(out: &mut Vec<u8>, body: &impl Message) {
     let start = out.len();
     let length_at = start + WORD_BYTES;
     out.extend_from_slice(&[0; FRAME_HEAD_BYTES]);
@@ -65,7 +65,7 @@
     Damage(u64, u64),
 }
 
-/// What [`read`] found in a segment's bytes.
+/// What [`read_items`] found in a segment's bytes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SegmentContent {
     /// Entries and damage, in the order of the segment.
@@ -75,7 +75,7 @@
 }
 
 /// The header of a segment, and the offset of its first entry; `None` if it can't be read.
-pub fn header(bytes: &[u8]) -> Option<(Header, usize)> {
+pub fn parse_header(bytes: &[u8]) -> Option<(Header, usize)> {
     let rest = bytes.strip_prefix(MAGIC)?;
     let frame = frame(rest, 0, MAX_HEADER_BYTES)?;
     Some((Header::decode(frame.body).ok()?, MAGIC.len() + frame.end))
@@ -83,7 +83,7 @@
 
 /// Reads at most `max_items` items from offset `at` on, skipping what can't be read up to the next
 /// frame that can.
-pub fn read(bytes: &[u8], at: usize, max_items: usize) -> SegmentContent {
+pub fn read_items(bytes: &[u8], at: usize, max_items: usize) -> SegmentContent {
     let mut read = SegmentContent {
         items: Vec::new(),
         end: at,
--- a/crates/usage-ledger/src/log/segment.rs
+++ b/crates/usage-ledger/src/log/segment.rs
@@ -1,6 +1,6 @@
 //! The files of a log.
 
-use super::format::{header, read, FRAME_HEAD_BYTES, MAGIC};
+use super::format::{parse_header, read_items, FRAME_HEAD_BYTES, MAGIC};
 use super::LogPosition;
 use std::fs;
 use std::io;
@@ -76,17 +76,17 @@
 /// The file can't be read or cut.
 pub fn cut_torn_tail(segment: &Segment) -> io::Result<u64> {
     let bytes = fs::read(&segment.path)?;
-    let Some((_, entries_at)) = header(&bytes) else {
+    let Some((_, entries_at)) = parse_header(&bytes) else {
         // A damaged header keeps its records; one that was never complete has none.
         let has_entries = bytes.len() > MAGIC.len() + FRAME_HEAD_BYTES
-            && !read(&bytes, MAGIC.len(), 1).items.is_empty();
+            && !read_items(&bytes, MAGIC.len(), 1).items.is_empty();
         if has_entries {
             return Ok(0);
         }
         fs::remove_file(&segment.path)?;
         return Ok(bytes.len() as u64);
     };
-    let end = read(&bytes, entries_at, usize::MAX).end;
+    let end = read_items(&bytes, entries_at, usize::MAX).end;
     let torn = (bytes.len() - end) as u64;
     if torn > 0 {
         let file = fs::OpenOptions::new().write(true).open(&segment.path)?;
--- a/crates/usage-ledger/src/period.rs
+++ b/crates/usage-ledger/src/period.rs
@@ -17,12 +17,12 @@
 impl Period {
     /// Its name: the UTC time of its start, which no other period has.
     pub fn name(&self) -> String {
-        stamp(self.start_ms)
+        format_timestamp(self.start_ms)
     }
 }
 
 /// A time in Unix milliseconds as UTC text that sorts as the time does.
-pub fn stamp(ms: i64) -> String {
+pub fn format_timestamp(ms: i64) -> String {
     Timestamp::from_millisecond(ms).map_or_else(|_| ms.to_string(), |at| format!("{at:.3}"))
 }
 
--- a/crates/usage-ledger/src/reconcile.rs
+++ b/crates/usage-ledger/src/reconcile.rs
@@ -1,7 +1,7 @@
 //! Reconciles the ledger with the clients' own records of their requests.
 
 use crate::join::{Joiner, LogicalRequest, RecordedOutcome};
-use crate::period::{stamp, Calendar};
+use crate::period::{format_timestamp, Calendar};
 use crate::settle::JoinBounds;
 use crate::store::{Store, StoreError};
 use serde::{Deserialize, Serialize};
@@ -150,7 +150,7 @@
 ///
 /// # Errors
 /// The store can't be read.
-pub fn with_clients(
+pub fn reconcile_with_clients(
     store: &Store,
     calendar: &Calendar,
     bounds: JoinBounds,
@@ -258,7 +258,7 @@
             kind,
             tenant: key.tenant.clone(),
             class: key.class.clone(),
-            at: stamp(at),
+            at: format_timestamp(at),
             key: key.key.clone(),
             ledger: ledger.unwrap_or_default().to_string(),
             client: client.unwrap_or_default().to_string(),
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -88,7 +88,7 @@
             missing: &missing,
             now_ms,
         };
-        let statement = self.store.close(period, &terms)?;
+        let statement = self.store.close_period(period, &terms)?;
         log_closed(&statement, &missing);
         Ok(())
     }
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -1,6 +1,6 @@
 //! Sends the documents of the outbox, each until it is acknowledged, on a thread of its own.
 
-use super::{lock, now, POLL_INTERVAL};
+use super::{lock, unix_time_ms, POLL_INTERVAL};
 use crate::document::OutgoingDocument;
 use crate::export;
 use crate::settings::ExportTarget;
@@ -84,8 +84,8 @@
     document: &OutgoingDocument,
     retry_at: &mut HashMap<String, Instant>,
 ) -> Result<(), StoreError> {
-    let delivery = export::send(target, document);
-    store.record_delivery(&document.id, &delivery, now())?;
+    let delivery = export::deliver(target, document);
+    store.record_delivery(&document.id, &delivery, unix_time_ms())?;
     let Some(error) = delivery.error else {
         retry_at.remove(&document.id);
         return Ok(());
@@ -97,7 +97,7 @@
         error = error.to_string(),
         "document not acknowledged"
     );
-    let pause = export::wait(target.retry_delay, attempts);
+    let pause = export::retry_backoff(target.retry_delay, attempts);
     retry_at.insert(document.id.clone(), Instant::now() + pause);
     Ok(())
 }
--- a/crates/usage-ledger/src/settlement/mod.rs
+++ b/crates/usage-ledger/src/settlement/mod.rs
@@ -32,7 +32,7 @@
 }
 
 /// The time in Unix milliseconds.
-pub fn now() -> i64 {
+pub fn unix_time_ms() -> i64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_millis() as i64
 }
@@ -74,7 +74,7 @@
             }
             () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
-        tokio::task::block_in_place(|| closer.close_next(now()))?;
+        tokio::task::block_in_place(|| closer.close_next(unix_time_ms()))?;
     }
     collectors.stop();
     exporter.stop().await;
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -5,9 +5,9 @@
 
 use super::lines::LineRow;
 use super::queries::MemberStatus;
-use super::{carry_over, correction, digest, dirty, lines, outbox, Result, Store, StoreError};
+use super::{carry_over, correction, dirty, lines, outbox, sha256_hex, Result, Store, StoreError};
 use crate::document::Document;
-use crate::period::{stamp, Period};
+use crate::period::{format_timestamp, Period};
 use crate::rate::line_amount;
 use crate::settings::Price;
 use crate::settle::{adjustments, JoinBounds, LineCounts, LineKey};
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// It is closed already, or the store can't be written.
-    pub fn close(&mut self, period: Period, terms: &ClosingTerms<'_>) -> Result<Statement> {
+    pub fn close_period(&mut self, period: Period, terms: &ClosingTerms<'_>) -> Result<Statement> {
         let statuses = self.member_statuses()?;
         let names = self.names()?;
         let transaction = self.begin()?;
@@ -175,8 +175,8 @@
             .optional()?;
         Ok(Statement {
             period: self.period.name(),
-            period_end: stamp(self.period.end_ms),
-            closed_at: stamp(self.terms.now_ms),
+            period_end: format_timestamp(self.period.end_ms),
+            closed_at: format_timestamp(self.terms.now_ms),
             members: members
                 .map(|member| self.member_state(member, statuses))
                 .collect(),
@@ -193,7 +193,7 @@
         let status = statuses.iter().find(|status| status.member == member);
         MemberState {
             member: member.into(),
-            complete_until: status.map(|status| stamp(status.complete_until_ms)),
+            complete_until: status.map(|status| format_timestamp(status.complete_until_ms)),
             is_missing: self.terms.missing.iter().any(|missing| missing == member),
             lost_records: status.map_or(0, |status| status.lost_records),
             unclosed_runs: status.map_or(0, |status| status.unclosed_runs),
@@ -203,7 +203,7 @@
 
     fn insert_statement(&self, statement: &Statement) -> Result<()> {
         let body = serde_json::to_string(statement)?;
-        let hash = digest(body.as_bytes());
+        let hash = sha256_hex(body.as_bytes());
         self.db.execute(
             "INSERT INTO statement VALUES (?, ?, ?, ?)",
             params![self.period.start_ms, self.terms.now_ms, body, hash],
--- a/crates/usage-ledger/src/store/correction.rs
+++ b/crates/usage-ledger/src/store/correction.rs
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     /// There is one with this id already, or the store can't be written.
-    pub fn correct(
+    pub fn enter_correction(
         &mut self,
         correction: &CorrectionLine,
         period: Period,
--- a/crates/usage-ledger/src/store/mod.rs
+++ b/crates/usage-ledger/src/store/mod.rs
@@ -74,7 +74,7 @@
 }
 
 /// The SHA-256 of `bytes` in hexadecimal.
-pub fn digest(bytes: &[u8]) -> String {
+pub fn sha256_hex(bytes: &[u8]) -> String {
     hex::encode(Sha256::digest(bytes))
 }
 
--- a/crates/usage-ledger/src/store/outbox.rs
+++ b/crates/usage-ledger/src/store/outbox.rs
@@ -3,7 +3,7 @@
 //! Transaction boundary: a document is inserted in the transaction that made it. The result of a
 //! delivery is stored in a transaction of its own, after the receiver has answered.
 
-use super::{digest, Result, Store};
+use super::{sha256_hex, Result, Store};
 use crate::document::{Document, OutgoingDocument};
 use crate::export::Delivery;
 use crate::settings::ExportTarget;
@@ -85,7 +85,7 @@
     let body = serde_json::to_string(document)?;
     db.execute(
         "INSERT INTO outbox VALUES (?, ?, ?, ?, NULL, NULL, 0, NULL)",
-        params![document.id, now_ms, body, digest(body.as_bytes())],
+        params![document.id, now_ms, body, sha256_hex(body.as_bytes())],
     )?;
     Ok(())
 }
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn recorded(&self, member: &str, incarnation: u64) -> Result<BTreeMap<String, u64>> {
+    pub fn record_counts(&self, member: &str, incarnation: u64) -> Result<BTreeMap<String, u64>> {
         let mut select = self.db.prepare(
             "SELECT t.text || ' ' || c.text, count(*) FROM record r JOIN name t ON t.id = r.tenant
              JOIN name c ON c.id = r.class JOIN name m ON m.id = r.member
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -3,7 +3,7 @@
 //! Transaction boundary: none; it reads while others may write, so a period that closes meanwhile
 //! may be reported.
 
-use super::{carry_over, digest, lines, Result, Store};
+use super::{carry_over, lines, sha256_hex, Result, Store};
 use crate::period::Period;
 use crate::settle::{adjustments, JoinBounds};
 use crate::statement::Statement;
@@ -117,7 +117,7 @@
         let mut previous = String::new();
         for stored in self.store.statements()? {
             let statement = &stored.statement;
-            if digest(stored.body.as_bytes()) != stored.hash {
+            if sha256_hex(stored.body.as_bytes()) != stored.hash {
                 let period = statement.period.clone();
                 self.add_fault(VerificationFault::StatementChanged { period });
             }
@@ -154,7 +154,7 @@
             let id: String = row.get(0)?;
             let body: String = row.get(1)?;
             let hash: String = row.get(2)?;
-            if digest(body.as_bytes()) != hash {
+            if sha256_hex(body.as_bytes()) != hash {
                 self.add_fault(VerificationFault::DocumentChanged { id });
             }
             self.report.checked += 1;
--- a/crates/usage-ledger/src/writer/mod.rs
+++ b/crates/usage-ledger/src/writer/mod.rs
@@ -223,7 +223,7 @@
     }
 
     /// The sequence number up to which nothing is left to wait for.
-    pub fn written(&self) -> watch::Receiver<u64> {
+    pub fn written_sequence(&self) -> watch::Receiver<u64> {
         self.written.clone()
     }
 
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -2,7 +2,7 @@
 
 use super::error::AppendError;
 use super::{Disk, WriterCounters};
-use crate::log::{put_frame, segments, Segment, MAGIC};
+use crate::log::{append_frame, segments, Segment, MAGIC};
 use crate::settings::UsageLogSettings;
 use crate::wire::{entry::What, Entry, Header};
 use std::fs::{self, File, OpenOptions};
@@ -143,7 +143,7 @@
         }
         self.header.first_sequence = first_sequence;
         let mut bytes = MAGIC.to_vec();
-        put_frame(&mut bytes, &self.header);
+        append_frame(&mut bytes, &self.header);
         let segment = Segment::new(&self.directory, self.header.incarnation, first_sequence);
         let mut file = OpenOptions::new()
             .append(true)
@@ -169,7 +169,7 @@
         records: 0,
     };
     for entry in entries {
-        put_frame(&mut batch.bytes, &entry);
+        append_frame(&mut batch.bytes, &entry);
         if let Some(What::Record(record)) = &entry.what {
             batch.last_sequence = record.sequence;
             batch.records += 1;
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -64,7 +64,7 @@
         .join("00000000000000000007-00000000000000000001.log");
     fs::write(path, segment_bytes()).unwrap();
     let mut follower = LogFollower::new(folder.path(), LogPosition::default());
-    let batch = follower.next(10).unwrap().unwrap();
+    let batch = follower.next_batch(10).unwrap().unwrap();
     let header = Header {
         version: 1,
         mixer: "n0".into(),
@@ -84,7 +84,7 @@
         .collect();
     assert_eq!(entries, [What::Record(segment_record()), segment_mark()]);
     assert!(batch.damage.is_empty());
-    assert_eq!(follower.next(10).unwrap(), None);
+    assert_eq!(follower.next_batch(10).unwrap(), None);
 }
 
 #[test]
@@ -189,7 +189,7 @@
         missing: &["n1".to_string()],
         now_ms: 1_100_000,
     };
-    store.close(PERIOD, &terms).unwrap();
+    store.close_period(PERIOD, &terms).unwrap();
     store.statements().unwrap().pop().unwrap().body
 }
 
@@ -376,7 +376,9 @@
         reason: "reason".into(),
         author: "author".into(),
     };
-    store.correct(&correction, PERIOD, 1_200_000).unwrap();
+    store
+        .enter_correction(&correction, PERIOD, 1_200_000)
+        .unwrap();
     let bodies: Vec<String> = store
         .documents()
         .unwrap()
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -49,7 +49,7 @@
 
 /// Writes records one after another, each waited for, so that none finds the queue full.
 pub fn write(writer: &mut UsageLogWriter, sequences: std::ops::RangeInclusive<u64>) {
-    let mut written = writer.written();
+    let mut written = writer.written_sequence();
     for sequence in sequences {
         assert!(writer.try_enqueue(record(sequence)));
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -98,7 +98,7 @@
 pub fn follow(directory: &Path, after: LogPosition, max_entries: usize) -> Found {
     let mut follower = LogFollower::new(directory, after);
     let mut found = Found::default();
-    while let Some(batch) = follower.next(max_entries).unwrap() {
+    while let Some(batch) = follower.next_batch(max_entries).unwrap() {
         let incarnation = batch.header.as_ref().map_or(0, |header| header.incarnation);
         for entry in batch.entries {
             if let Some(What::Record(record)) = entry.what {
--- a/crates/usage-ledger/tests/log/reading.rs
+++ b/crates/usage-ledger/tests/log/reading.rs
@@ -11,9 +11,9 @@
     log_of(folder.path(), 1 << 20, 6);
     let segment = log::segments(folder.path()).unwrap().remove(0);
     let complete = fs::read(&segment.path).unwrap();
-    let (_, start) = log::header(&complete).unwrap();
+    let (_, start) = log::parse_header(&complete).unwrap();
     let ends: Vec<usize> = (1..=6)
-        .map(|n| log::read(&complete, start, n).end)
+        .map(|n| log::read_items(&complete, start, n).end)
         .collect();
     for length in 0..=complete.len() {
         fs::write(&segment.path, &complete[..length]).unwrap();
@@ -44,9 +44,9 @@
     log_of(folder.path(), 1 << 20, 8);
     let segment = log::segments(folder.path()).unwrap().remove(0);
     let complete = fs::read(&segment.path).unwrap();
-    let (_, start) = log::header(&complete).unwrap();
+    let (_, start) = log::parse_header(&complete).unwrap();
     let ends: Vec<usize> = std::iter::once(start)
-        .chain((1..=8).map(|n| log::read(&complete, start, n).end))
+        .chain((1..=8).map(|n| log::read_items(&complete, start, n).end))
         .collect();
     // A later segment: what is wrong at the end of this one is no write under way.
     let mut again =
@@ -81,7 +81,7 @@
     let mut bytes = complete.clone();
     bytes[start - 1] ^= 1;
     fs::write(&segment.path, &bytes).unwrap();
-    let items = log::read(&bytes, log::MAGIC.len(), 100).items;
+    let items = log::read_items(&bytes, log::MAGIC.len(), 100).items;
     assert_eq!(
         items
             .iter()
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -77,7 +77,11 @@
         .count() as u64;
     // The queue, and the batch that the writer has in hand.
     assert!((64..=64 + 1024).contains(&taken), "{taken}");
-    assert_eq!(*writer.written().borrow(), 0, "none is reported as written");
+    assert_eq!(
+        *writer.written_sequence().borrow(),
+        0,
+        "none is reported as written"
+    );
     drop(release);
     writer.close();
     let found = follow(folder.path(), LogPosition::default(), 4096);
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -25,14 +25,14 @@
     };
     assert!(harness
         .store
-        .correct(&correction("early", -3), period(0), FIRST)
+        .enter_correction(&correction("early", -3), period(0), FIRST)
         .unwrap()
         .is_none());
     let statement = harness.close(0, &[]);
     assert_eq!((statement.total, statement.corrections.len()), (7, 1));
     let credit = harness
         .store
-        .correct(&correction("late", -4), period(0), FIRST)
+        .enter_correction(&correction("late", -4), period(0), FIRST)
         .unwrap()
         .unwrap();
     let hash = harness.store.statements().unwrap().remove(0).hash;
@@ -51,7 +51,7 @@
     assert_eq!(
         harness
             .store
-            .correct(&correction("more", 4), period(0), FIRST)
+            .enter_correction(&correction("more", 4), period(0), FIRST)
             .unwrap()
             .unwrap()
             .kind,
@@ -60,7 +60,7 @@
     assert!(
         harness
             .store
-            .correct(&correction("late", -4), period(0), FIRST)
+            .enter_correction(&correction("late", -4), period(0), FIRST)
             .is_err(),
         "one of each id"
     );
@@ -97,7 +97,7 @@
         retry_delay: Duration::from_millis(1),
     };
     let waiting = harness.store.undelivered_documents(&to).unwrap();
-    assert_only_in_folder(&export::send(&to, &waiting[0]));
+    assert_only_in_folder(&export::deliver(&to, &waiting[0]));
     let bytes =
         |folder: &Path| std::fs::read(folder.join(format!("{}.json", waiting[0].id))).unwrap();
     let first = bytes(folder.path());
@@ -105,7 +105,7 @@
     harness.restart();
     let again = harness.store.undelivered_documents(&to).unwrap();
     assert_eq!(again, waiting);
-    let delivery = export::send(&to, &again[0]);
+    let delivery = export::deliver(&to, &again[0]);
     assert_only_in_folder(&delivery);
     harness
         .store
@@ -121,7 +121,7 @@
     assert!(harness.store.undelivered_documents(&to).unwrap().is_empty());
     let again = Duration::from_millis(10);
     assert_eq!(
-        [1, 2, 7, 99].map(|n| export::wait(again, n).as_millis()),
+        [1, 2, 7, 99].map(|n| export::retry_backoff(again, n).as_millis()),
         [10, 20, 640, 640]
     );
 }
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -77,7 +77,7 @@
             missing: &missing,
             now_ms: FIRST + 100 * PERIOD,
         };
-        self.store.close(period(n), &terms).unwrap()
+        self.store.close_period(period(n), &terms).unwrap()
     }
 
     pub fn assert_verified(&self) {
--- a/crates/usage-ledger/tests/store/reconciliation.rs
+++ b/crates/usage-ledger/tests/store/reconciliation.rs
@@ -4,7 +4,7 @@
     batch, calendar, complete_record, period, rejected, StoreHarness, BOUNDS, FIRST, PERIOD,
 };
 use usage_ledger::reconcile::{
-    with_clients, ClientRequest, DifferenceKind, RequestTotals, TotalKey,
+    reconcile_with_clients, ClientRequest, DifferenceKind, RequestTotals, TotalKey,
 };
 use usage_ledger::wire::entry::What;
 
@@ -37,7 +37,8 @@
         client_use(FIRST, "whole", 2),
     ];
     let range = FIRST..FIRST + 2 * PERIOD;
-    let reconciled = with_clients(&harness.store, &calendar(), BOUNDS, range, &clients).unwrap();
+    let reconciled =
+        reconcile_with_clients(&harness.store, &calendar(), BOUNDS, range, &clients).unwrap();
     let total = |n, pair| {
         let key = TotalKey {
             period: period(n).name(),
