--- a/crates/testkit/src/bin/bench-ledger/settlement.rs
+++ b/crates/testkit/src/bin/bench-ledger/settlement.rs
@@ -7,9 +7,9 @@
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
+use usage_ledger::join::JoinBounds;
 use usage_ledger::period::{Calendar, Period, PeriodLength};
 use usage_ledger::settings::Price;
-use usage_ledger::settle::JoinBounds;
 use usage_ledger::store::{ClosingTerms, Store};
 use usage_ledger::wire::{entry::What, Batch, Class, Entry, Header};
 
--- /dev/null
+++ b/crates/usage-ledger/src/closing_decision.rs
@@ -0,0 +1,60 @@
+//! When a period may close.
+//!
+//! Pure: no I/O and no clock.
+
+use crate::join::JoinBounds;
+use crate::period::Period;
+
+/// Up to when an aggregator's records are known.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MemberProgress {
+    /// The aggregator's name.
+    pub member: String,
+    /// Its records are complete before this time, in Unix milliseconds; `None` if it was never
+    /// heard of.
+    pub complete_until_ms: Option<i64>,
+}
+
+/// Whether a period may close.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ClosingDecision {
+    /// Not before these members are complete, or the grace period is over.
+    Wait(Vec<String>),
+    /// All records are known.
+    Complete,
+    /// The grace period is over; the records of these members are missing.
+    Incomplete(Vec<String>),
+}
+
+/// Whether `period` may close at `now_ms`, given the members that took part in it.
+///
+/// Times are in Unix milliseconds; `grace_ms` is a duration.
+pub fn decide_closing(
+    period: Period,
+    bounds: JoinBounds,
+    grace_ms: i64,
+    now_ms: i64,
+    members: &[MemberProgress],
+) -> ClosingDecision {
+    let until_ms = bounds.arrivals(period).end;
+    let missing: Vec<String> = members
+        .iter()
+        .filter(|member| {
+            member
+                .complete_until_ms
+                .is_none_or(|complete_until_ms| complete_until_ms < until_ms)
+        })
+        .map(|member| member.member.clone())
+        .collect();
+    if now_ms < until_ms {
+        // A member whose clock is ahead must not close a period for those that have yet to serve in
+        // it.
+        ClosingDecision::Wait(missing)
+    } else if missing.is_empty() {
+        ClosingDecision::Complete
+    } else if now_ms >= until_ms.saturating_add(grace_ms) {
+        ClosingDecision::Incomplete(missing)
+    } else {
+        ClosingDecision::Wait(missing)
+    }
+}
--- /dev/null
+++ b/crates/usage-ledger/src/join/record.rs
@@ -0,0 +1,106 @@
+//! Usage records as joining takes them.
+
+/// How a request ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum RecordedOutcome {
+    /// Answered completely.
+    Complete,
+    /// Answered with this share of the weight, in millionths.
+    Partial(u32),
+    /// Rejected.
+    Rejected,
+    /// Failed.
+    Failed,
+    /// Cancelled by the client.
+    Cancelled,
+}
+
+impl RecordedOutcome {
+    pub(super) fn is_answered(self) -> bool {
+        matches!(
+            self,
+            RecordedOutcome::Complete | RecordedOutcome::Partial(_)
+        )
+    }
+
+    /// The outcome of a logical request whose records ended like this and, later, like `other`: the
+    /// better one.
+    pub(super) fn better(self, other: RecordedOutcome) -> RecordedOutcome {
+        match (self, other) {
+            (RecordedOutcome::Complete, _) | (_, RecordedOutcome::Complete) => {
+                RecordedOutcome::Complete
+            }
+            (RecordedOutcome::Partial(left), RecordedOutcome::Partial(right)) => {
+                RecordedOutcome::Partial(left.max(right))
+            }
+            (RecordedOutcome::Partial(_), _) => self,
+            // None was answered: what the client was told last.
+            (_, later) => later,
+        }
+    }
+}
+
+/// Identifies one record for good; ids sort by arrival.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RecordId {
+    /// Arrival in Unix milliseconds.
+    pub arrived_at_ms: i64,
+    /// The aggregator, by number.
+    pub member: u32,
+    /// Its run.
+    pub incarnation: u64,
+    /// The record's number in the run.
+    pub sequence: u64,
+}
+
+/// One record of a request that an aggregator has served.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UsageRecord {
+    /// Arrival in Unix milliseconds, by its aggregator's clock.
+    pub arrived_at_ms: i64,
+    /// The aggregator, by number.
+    pub member: u32,
+    /// Its run.
+    pub incarnation: u64,
+    /// The record's number in the run.
+    pub sequence: u64,
+    /// The tenant, by number.
+    pub tenant: u32,
+    /// The class, by number.
+    pub class: u32,
+    /// How it ended.
+    pub outcome: RecordedOutcome,
+    /// Shards that were asked.
+    pub parts: u32,
+    /// Attempts at replicas.
+    pub attempts: u32,
+    /// Attempts at replicas of another zone.
+    pub cross_zone_attempts: u32,
+    /// The client marked it as a retry.
+    pub is_retry: bool,
+    /// The client's idempotency key or, where it sent none, the hash of the query.
+    pub key: u64,
+    /// Whether `key` is the idempotency key of the client.
+    pub has_idempotency_key: bool,
+    /// The longest that clients of the class wait over all their requests, in milliseconds.
+    pub client_timeout_ms: i64,
+    /// Whether its aggregator crashed soon afterwards, so that the reply may not have been sent.
+    pub reply_uncertain: bool,
+}
+
+impl UsageRecord {
+    /// The record's identity.
+    pub fn id(&self) -> RecordId {
+        RecordId {
+            arrived_at_ms: self.arrived_at_ms,
+            member: self.member,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+        }
+    }
+
+    /// Whether a retry without a key may be of this request.
+    pub(super) fn may_be_retried(&self) -> bool {
+        !self.outcome.is_answered() || self.reply_uncertain
+    }
+}
--- a/crates/usage-ledger/src/reconcile.rs
+++ b/crates/usage-ledger/src/reconcile.rs
@@ -1,8 +1,8 @@
 //! Reconciles the ledger with the clients' own records of their requests.
 
+use crate::join::JoinBounds;
 use crate::join::{Joiner, LogicalRequest, RecordedOutcome};
 use crate::period::{format_timestamp, Calendar};
-use crate::settle::JoinBounds;
 use crate::store::{Store, StoreError};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -173,7 +173,7 @@
         };
         reconciliation.add_ledger_request(key, request);
     };
-    let mut joiner = Joiner::new(bounds.skew_ms, bounds.horizon_ms);
+    let mut joiner = Joiner::new(bounds);
     for record in store.records(arrivals.start, arrivals.end)? {
         joiner.push(record, &mut add);
     }
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -1,8 +1,8 @@
 //! Settings of the settlement.
 
 use super::{EXPORT, MEMBER, PERIODS, PRICE, SETTLEMENT, TENANT};
+use crate::join::JoinBounds;
 use crate::period::{Calendar, PeriodLength};
-use crate::settle::JoinBounds;
 use ini_config::{Problems, Schema, Settings};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -1,9 +1,9 @@
 //! Takes batches into the store, and closes periods once they may close.
 
+use crate::closing_decision::{decide_closing, ClosingDecision, MemberProgress};
 use crate::log::LogPosition;
 use crate::period::Period;
 use crate::settings::{LedgerSettings, Member};
-use crate::settle::{decide_closing, ClosingDecision, MemberProgress};
 use crate::store::{ClosingTerms, Statement, Store, StoreError};
 use crate::wire::Batch;
 use std::collections::HashMap;
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -3,9 +3,9 @@
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
 use super::{records, Result};
-use crate::join::RecordId;
+use crate::join::{JoinBounds, RecordId};
 use crate::period::Period;
-use crate::settle::{CarryOver, JoinBounds, PeriodSettler, SettledPeriod};
+use crate::period_settler::{CarryOver, PeriodSettler, SettledPeriod};
 use rusqlite::{params, Connection};
 use std::collections::BTreeSet;
 
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -3,9 +3,9 @@
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
 use super::Result;
+use crate::join::JoinBounds;
 use crate::period::{Calendar, Period};
 use crate::settings::Price;
-use crate::settle::JoinBounds;
 use rusqlite::{Connection, OptionalExtension, Row};
 use std::collections::BTreeMap;
 
--- a/crates/usage-ledger/src/store/ingest.rs
+++ b/crates/usage-ledger/src/store/ingest.rs
@@ -6,8 +6,8 @@
 
 use super::uncertainty::{self, RunKey};
 use super::{dirty, records, NameKind, Result, Store};
+use crate::join::JoinBounds;
 use crate::period::Calendar;
-use crate::settle::JoinBounds;
 use crate::wire::{entry::What, Batch, Damage, Entry, Header, Mark, Record};
 use rusqlite::{params, CachedStatement, Connection, OptionalExtension};
 
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -3,9 +3,9 @@
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
 use super::Result;
+use crate::line_counts::{LineCounts, LineKey};
 use crate::period::Period;
 use crate::rate::UsageCounts;
-use crate::settle::{LineCounts, LineKey};
 use crate::statement::StatementLine;
 use rusqlite::{params_from_iter, Connection, Row};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -4,8 +4,9 @@
 //! may be reported.
 
 use super::{carry_over, lines, sha256_hex, Result, Store};
+use crate::join::JoinBounds;
+use crate::line_counts::adjustments;
 use crate::period::Period;
-use crate::settle::{adjustments, JoinBounds};
 use crate::statement::Statement;
 use std::collections::HashMap;
 
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -3,13 +3,14 @@
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
-use usage_ledger::join::{Joiner, LogicalRequest, RecordId, RecordedOutcome, UsageRecord};
+use usage_ledger::closing_decision::{decide_closing, ClosingDecision, MemberProgress};
+use usage_ledger::join::{
+    JoinBounds, Joiner, LogicalRequest, RecordId, RecordedOutcome, UsageRecord,
+};
+use usage_ledger::line_counts::{adjustments, LineCounts, LineKey};
 use usage_ledger::period::Period;
+use usage_ledger::period_settler::{CarryOver, PeriodSettler};
 use usage_ledger::rate::UsageCounts;
-use usage_ledger::settle::{
-    adjustments, decide_closing, CarryOver, ClosingDecision, JoinBounds, LineCounts, LineKey,
-    MemberProgress, PeriodSettler,
-};
 
 const SKEW: i64 = 20;
 const WINDOW: i64 = 100;
@@ -43,7 +44,7 @@
 fn join(mut records: Vec<UsageRecord>) -> Vec<LogicalRequest> {
     records.sort_by_key(UsageRecord::id);
     let mut requests = Vec::new();
-    let mut joiner = Joiner::new(SKEW, HORIZON);
+    let mut joiner = Joiner::new(BOUNDS);
     for record in records {
         joiner.push(record, &mut |request| requests.push(request));
     }
--- a/crates/usage-ledger/tests/store/delivery.rs
+++ b/crates/usage-ledger/tests/store/delivery.rs
@@ -90,7 +90,7 @@
 /// What all records count if they are joined at once.
 fn joined(harness: &StoreHarness) -> UsageCounts {
     let mut counts = UsageCounts::default();
-    let mut joiner = Joiner::new(BOUNDS.skew_ms, BOUNDS.horizon_ms);
+    let mut joiner = Joiner::new(BOUNDS);
     for record in harness.store.records(i64::MIN, i64::MAX).unwrap() {
         joiner.push(record, &mut |request| counts.add(&request));
     }
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
+use usage_ledger::join::JoinBounds;
 use usage_ledger::period::{Calendar, Period, PeriodLength};
 use usage_ledger::settings::Price;
-use usage_ledger::settle::JoinBounds;
 use usage_ledger::store::{ClosingTerms, IngestSummary, Statement, Store};
 use usage_ledger::wire::{entry::What, Batch, Class, Entry, Header, Mark, Outcome, Record};
 
