--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
-use usage_ledger::join::{RecordedOutcome, UsageRecord};
+use usage_ledger::join::UsageRecord;
 use usage_ledger::log::{LogFollower, LogPosition};
 use usage_ledger::period::format_timestamp;
 use usage_ledger::wire::{entry::What, Damage, Header, Record};
@@ -102,13 +102,6 @@
 
 fn stored_row<'a>(names: &'a HashMap<u32, String>, record: &UsageRecord) -> RecordRow<'a> {
     let name = |id: u32| names.get(&id).map(String::as_str);
-    let (outcome, share) = match record.outcome {
-        RecordedOutcome::Complete => ("whole", 0),
-        RecordedOutcome::Partial(share) => ("partial", share),
-        RecordedOutcome::Rejected => ("refused", 0),
-        RecordedOutcome::Failed => ("failed", 0),
-        RecordedOutcome::Cancelled => ("left", 0),
-    };
     RecordRow {
         arrived_ms: record.arrived_at_ms,
         mixer: name(record.member),
@@ -116,8 +109,8 @@
         sequence: record.sequence,
         tenant: name(record.tenant),
         class: name(record.class),
-        outcome: outcome.into(),
-        share,
+        outcome: record.outcome.published_name().into(),
+        share: record.outcome.share_millionths(),
         parts: record.parts,
         attempts: record.attempts,
         cross_zone_attempts: record.cross_zone_attempts,
--- a/crates/usage-ledger/src/join/record.rs
+++ b/crates/usage-ledger/src/join/record.rs
@@ -16,7 +16,27 @@
 }
 
 impl RecordedOutcome {
-    pub(super) fn is_answered(self) -> bool {
+    /// The published name, in CSV and in the clients' files.
+    pub fn published_name(self) -> &'static str {
+        match self {
+            RecordedOutcome::Complete => "whole",
+            RecordedOutcome::Partial(_) => "partial",
+            RecordedOutcome::Rejected => "refused",
+            RecordedOutcome::Failed => "failed",
+            RecordedOutcome::Cancelled => "left",
+        }
+    }
+
+    /// The share of a partial answer, in millionths; 0 otherwise.
+    pub fn share_millionths(self) -> u32 {
+        match self {
+            RecordedOutcome::Partial(share_millionths) => share_millionths,
+            _ => 0,
+        }
+    }
+
+    /// Whether the client received an answer, complete or partial.
+    pub fn is_answered(self) -> bool {
         matches!(
             self,
             RecordedOutcome::Complete | RecordedOutcome::Partial(_)
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -1,21 +1,13 @@
 //! Reading a log that is still being written, from any position on.
 
 use super::format::{parse_header, read_items, SegmentItem, MAGIC, MAX_HEADER_BYTES};
+use super::position::LogPosition;
 use super::segment::{segments, Segment};
 use crate::wire::{entry::What, Batch, Damage, Entry, Header};
 use std::fs::File;
 use std::io::{self, Read as _, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
 
-/// How far a log has been read: up to this record of this run.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LogPosition {
-    /// The run of the aggregator.
-    pub incarnation: u64,
-    /// The last record of the run that was read.
-    pub sequence: u64,
-}
-
 /// Bytes that are read at a time, unless a longer stretch is damaged.
 const CHUNK_BYTES: u64 = 256 * 1024;
 /// Room for the magic number and a frame's head before a segment's header, in bytes.
--- a/crates/usage-ledger/src/log/mod.rs
+++ b/crates/usage-ledger/src/log/mod.rs
@@ -7,10 +7,12 @@
 
 mod follower;
 mod format;
+mod position;
 mod segment;
 
-pub use follower::{LogFollower, LogPosition};
+pub use follower::LogFollower;
 pub use format::{
     append_frame, parse_header, read_items, SegmentContent, SegmentItem, MAGIC, VERSION,
 };
+pub use position::LogPosition;
 pub use segment::{cut_torn_tail, remove_settled, segments, Segment};
--- a/crates/usage-ledger/src/log/segment.rs
+++ b/crates/usage-ledger/src/log/segment.rs
@@ -1,7 +1,7 @@
 //! The files of a log.
 
 use super::format::{parse_header, read_items, FRAME_HEAD_BYTES, MAGIC};
-use super::LogPosition;
+use super::position::LogPosition;
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
--- /dev/null
+++ b/crates/usage-ledger/src/reconcile/comparison.rs
@@ -0,0 +1,158 @@
+//! The comparison of the two sides, request by request.
+
+use super::client_request::ClientRequest;
+use super::report::{
+    DifferenceKind, ReconciliationReport, RequestDifference, RequestTotals, TotalKey,
+};
+use crate::join::{JoinBounds, Joiner, LogicalRequest, RecordedOutcome};
+use crate::period::{format_timestamp, Calendar};
+use crate::store::{Store, StoreError};
+use std::collections::{BTreeMap, VecDeque};
+use std::ops::Range;
+
+/// Joins all records that arrived in a range of Unix milliseconds, and compares the logical
+/// requests with those that clients sent in it, one by one.
+///
+/// # Errors
+/// The store can't be read.
+pub fn reconcile_with_clients(
+    store: &Store,
+    calendar: &Calendar,
+    bounds: JoinBounds,
+    arrivals: Range<i64>,
+    clients: &[ClientRequest],
+) -> Result<ReconciliationReport, StoreError> {
+    let mut comparison = Comparison {
+        calendar,
+        report: ReconciliationReport::default(),
+        unmatched: BTreeMap::new(),
+    };
+    let names = store.names()?;
+    let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
+    let mut add = |request: LogicalRequest| {
+        let first = request.first();
+        let key = RequestKey {
+            tenant: name(first.tenant),
+            class: name(first.class),
+            key: format!("{:016x}", first.key),
+        };
+        comparison.add_ledger_request(key, request);
+    };
+    let mut joiner = Joiner::new(bounds);
+    for record in store.records(arrivals.start, arrivals.end)? {
+        joiner.push(record, &mut add);
+    }
+    joiner.finish(&mut add);
+    let clients = clients.iter();
+    let mut clients: Vec<&ClientRequest> = clients
+        .filter(|client| arrivals.contains(&client.at_ms))
+        .collect();
+    clients.sort_by_key(|client| client.at_ms);
+    Ok(comparison.match_clients(&clients))
+}
+
+/// What both sides know of a logical request.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RequestKey {
+    tenant: String,
+    class: String,
+    /// In hexadecimal.
+    key: String,
+}
+
+/// The state of a comparison.
+struct Comparison<'a> {
+    calendar: &'a Calendar,
+    report: ReconciliationReport,
+    /// Requests of the ledger that no client's request has been matched with, oldest first.
+    unmatched: BTreeMap<RequestKey, VecDeque<LogicalRequest>>,
+}
+
+impl Comparison<'_> {
+    fn total(&mut self, at: i64, key: &RequestKey) -> &mut RequestTotals {
+        let total = TotalKey {
+            period: self.calendar.at(at).name(),
+            tenant: key.tenant.clone(),
+            class: key.class.clone(),
+        };
+        self.report.totals.entry(total).or_default()
+    }
+
+    fn add_ledger_request(&mut self, key: RequestKey, request: LogicalRequest) {
+        let total = self.total(request.first().arrived_at_ms, &key);
+        total.ledger += 1;
+        total.ledger_answered += u64::from(request.outcome.is_answered());
+        self.unmatched.entry(key).or_default().push_back(request);
+    }
+
+    fn match_clients(mut self, clients: &[&ClientRequest]) -> ReconciliationReport {
+        for requests in self.unmatched.values_mut() {
+            let requests = requests.make_contiguous();
+            requests.sort_by_key(|request| request.first().id());
+        }
+        for client in clients {
+            self.match_client(client);
+        }
+        for (key, requests) in std::mem::take(&mut self.unmatched) {
+            for request in requests {
+                self.add_difference(
+                    DifferenceKind::OnlyInLedger,
+                    &key,
+                    request.first().arrived_at_ms,
+                    Some(request.outcome.published_name()),
+                    None,
+                );
+            }
+        }
+        self.report
+    }
+
+    fn match_client(&mut self, client: &ClientRequest) {
+        let key = RequestKey {
+            tenant: client.tenant.clone(),
+            class: client.class.clone(),
+            key: client.key.clone(),
+        };
+        let answered = client.is_answered();
+        let total = self.total(client.at_ms, &key);
+        total.client += 1;
+        total.client_answered += u64::from(answered);
+        let request = self.unmatched.get_mut(&key).and_then(VecDeque::pop_front);
+        let ledger_outcome = request.map(|request| request.outcome);
+        let kind = match ledger_outcome {
+            None => DifferenceKind::OnlyAtClient,
+            Some(outcome) if outcomes_match(outcome, client) => return,
+            Some(_) => DifferenceKind::OutcomeDiffers,
+        };
+        let ledger_name = ledger_outcome.map(RecordedOutcome::published_name);
+        self.add_difference(kind, &key, client.at_ms, ledger_name, Some(&client.outcome));
+    }
+
+    fn add_difference(
+        &mut self,
+        kind: DifferenceKind,
+        key: &RequestKey,
+        at: i64,
+        ledger: Option<&str>,
+        client: Option<&str>,
+    ) {
+        self.report.differences.push(RequestDifference {
+            kind,
+            tenant: key.tenant.clone(),
+            class: key.class.clone(),
+            at: format_timestamp(at),
+            key: key.key.clone(),
+            ledger: ledger.unwrap_or_default().to_string(),
+            client: client.unwrap_or_default().to_string(),
+        });
+    }
+}
+
+/// Whether both sides have the same answer, or neither has one.
+fn outcomes_match(ledger: RecordedOutcome, client: &ClientRequest) -> bool {
+    if ledger.is_answered() {
+        ledger.published_name() == client.outcome
+    } else {
+        !client.is_answered()
+    }
+}
