--- a/crates/usage-ledger/src/settlement/collector.rs
+++ b/crates/usage-ledger/src/settlement/collector.rs
@@ -1,18 +1,16 @@
-//! Follows the logs of members, each in a task of its own.
+//! Follows the log of one member.
 
-use super::lock;
+use super::lock::lock;
 use crate::log::LogPosition;
-use crate::settings::{LedgerSettings, Member};
+use crate::settings::LedgerSettings;
 use crate::store::{Store, StoreError};
 use crate::wire::usage_log_client::UsageLogClient;
 use crate::wire::{AcknowledgeRequest, Batch, FollowRequest};
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
-use tokio::task::AbortHandle;
 use tokio::time::timeout;
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Status, Streaming};
@@ -73,85 +71,18 @@
     NotStored,
 }
 
-struct FollowedMember {
-    address: SocketAddr,
-    task: AbortHandle,
-}
-
-/// The tasks that follow members.
-pub(super) struct Collectors {
-    store_path: PathBuf,
-    times: Arc<Mutex<CollectionTimes>>,
-    batches: mpsc::Sender<CollectedBatch>,
-    followed: BTreeMap<String, FollowedMember>,
-}
-
-impl Collectors {
-    pub(super) fn new(
-        store_path: PathBuf,
-        times: CollectionTimes,
-        batches: mpsc::Sender<CollectedBatch>,
-    ) -> Collectors {
-        Collectors {
-            store_path,
-            times: Arc::new(Mutex::new(times)),
-            batches,
-            followed: BTreeMap::new(),
-        }
-    }
-
-    pub(super) fn reload(&self, times: CollectionTimes) {
-        *lock(&self.times) = times;
-    }
-
-    /// Follows these members, and no others.
-    pub(super) fn follow(&mut self, members: &BTreeMap<String, Member>) {
-        self.followed.retain(|name, followed| {
-            let member = members.get(name);
-            let stays = member.is_some_and(|member| member.address == followed.address);
-            if !stays {
-                followed.task.abort();
-            }
-            stays
-        });
-        for (name, member) in members {
-            if self.followed.contains_key(name) {
-                continue;
-            }
-            let collector = Collector {
-                member: name.clone(),
-                address: member.address,
-                store_path: self.store_path.clone(),
-                times: self.times.clone(),
-                batches: self.batches.clone(),
-            };
-            let followed = FollowedMember {
-                address: member.address,
-                task: tokio::spawn(collector.run()).abort_handle(),
-            };
-            self.followed.insert(name.clone(), followed);
-        }
-    }
-
-    pub(super) fn stop(&self) {
-        for followed in self.followed.values() {
-            followed.task.abort();
-        }
-    }
-}
-
 /// Follows one member.
-struct Collector {
-    member: String,
-    address: SocketAddr,
-    store_path: PathBuf,
-    times: Arc<Mutex<CollectionTimes>>,
-    batches: mpsc::Sender<CollectedBatch>,
+pub(super) struct Collector {
+    pub(super) member: String,
+    pub(super) address: SocketAddr,
+    pub(super) store_path: PathBuf,
+    pub(super) times: Arc<Mutex<CollectionTimes>>,
+    pub(super) batches: mpsc::Sender<CollectedBatch>,
 }
 
 impl Collector {
     /// Follows the member until the task is aborted, with exponential backoff after failures.
-    async fn run(self) {
+    pub(super) async fn run(self) {
         let mut failures: u32 = 0;
         loop {
             let started = Instant::now();
--- /dev/null
+++ b/crates/usage-ledger/src/settlement/collectors.rs
@@ -0,0 +1,78 @@
+//! The tasks that follow members, one a member.
+
+use super::collector::{CollectedBatch, CollectionTimes, Collector};
+use super::lock::lock;
+use crate::settings::Member;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::{Arc, Mutex};
+use tokio::sync::mpsc;
+use tokio::task::AbortHandle;
+
+struct FollowedMember {
+    address: SocketAddr,
+    task: AbortHandle,
+}
+
+/// The tasks that follow members.
+pub(super) struct Collectors {
+    store_path: PathBuf,
+    times: Arc<Mutex<CollectionTimes>>,
+    batches: mpsc::Sender<CollectedBatch>,
+    followed: BTreeMap<String, FollowedMember>,
+}
+
+impl Collectors {
+    pub(super) fn new(
+        store_path: PathBuf,
+        times: CollectionTimes,
+        batches: mpsc::Sender<CollectedBatch>,
+    ) -> Collectors {
+        Collectors {
+            store_path,
+            times: Arc::new(Mutex::new(times)),
+            batches,
+            followed: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn reload(&self, times: CollectionTimes) {
+        *lock(&self.times) = times;
+    }
+
+    /// Follows these members, and no others.
+    pub(super) fn follow(&mut self, members: &BTreeMap<String, Member>) {
+        self.followed.retain(|name, followed| {
+            let member = members.get(name);
+            let stays = member.is_some_and(|member| member.address == followed.address);
+            if !stays {
+                followed.task.abort();
+            }
+            stays
+        });
+        for (name, member) in members {
+            if self.followed.contains_key(name) {
+                continue;
+            }
+            let collector = Collector {
+                member: name.clone(),
+                address: member.address,
+                store_path: self.store_path.clone(),
+                times: self.times.clone(),
+                batches: self.batches.clone(),
+            };
+            let followed = FollowedMember {
+                address: member.address,
+                task: tokio::spawn(collector.run()).abort_handle(),
+            };
+            self.followed.insert(name.clone(), followed);
+        }
+    }
+
+    pub(super) fn stop(&self) {
+        for followed in self.followed.values() {
+            followed.task.abort();
+        }
+    }
+}
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -1,6 +1,7 @@
 //! Sends the documents of the outbox, each until it is acknowledged, on a thread of its own.
 
-use super::{lock, unix_time_ms, POLL_INTERVAL};
+use super::clock::unix_time_ms;
+use super::lock::lock;
 use crate::document::OutgoingDocument;
 use crate::export;
 use crate::settings::ExportTarget;
@@ -10,7 +11,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
-use std::time::Instant;
+use std::time::{Duration, Instant};
+
+/// Interval at which the exporter looks for documents to send.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the thread is told.
 struct Shared {
--- /dev/null
+++ b/crates/usage-ledger/src/settlement/lock.rs
@@ -0,0 +1,8 @@
+//! Access to data that the settlement's threads and tasks share.
+
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// Locks a mutex whose data is valid whatever became of other threads that held it.
+pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- /dev/null
+++ b/crates/usage-ledger/src/settlement/service.rs
@@ -0,0 +1,64 @@
+//! The loop that writes the store and closes periods.
+
+use super::clock::unix_time_ms;
+use super::closer::PeriodCloser;
+use super::collector::{CollectedBatch, CollectionTimes};
+use super::collectors::Collectors;
+use super::exporter::Exporter;
+use crate::settings::LedgerSettings;
+use crate::store::{Store, StoreError};
+use std::path::PathBuf;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// Batches that may wait for the store, from all members together.
+const MAX_QUEUED_BATCHES: usize = 8;
+/// Interval at which the settlement looks for periods to close.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// What an operator tells a running settlement.
+pub enum SettlementSignal {
+    /// These settings are in force from now on.
+    Reload(Box<LedgerSettings>),
+    /// End in order.
+    Shutdown,
+}
+
+/// Runs the settlement until it is told to shut down.
+///
+/// # Errors
+/// The store can't be used.
+pub async fn serve(
+    path: PathBuf,
+    settings: LedgerSettings,
+    mut signals: mpsc::Receiver<SettlementSignal>,
+) -> Result<(), StoreError> {
+    let store = Store::open(&path)?;
+    let exporter = Exporter::start(path.clone(), settings.export.clone());
+    let (sender, mut batches) = mpsc::channel(MAX_QUEUED_BATCHES);
+    let mut collectors = Collectors::new(path, CollectionTimes::of(&settings), sender);
+    let mut closer = PeriodCloser::new(store, settings);
+    loop {
+        collectors.follow(&closer.settings.members);
+        tokio::select! {
+            biased;
+            signal = signals.recv() => match signal {
+                Some(SettlementSignal::Reload(next)) => {
+                    exporter.reload(next.export.clone());
+                    collectors.reload(CollectionTimes::of(&next));
+                    closer.reload(*next);
+                }
+                Some(SettlementSignal::Shutdown) | None => break,
+            },
+            Some(CollectedBatch { member, batch, stored }) = batches.recv() => {
+                let position = tokio::task::block_in_place(|| closer.ingest(&member, &batch))?;
+                let _ = stored.send(position);
+            }
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
+        }
+        tokio::task::block_in_place(|| closer.close_next(unix_time_ms()))?;
+    }
+    collectors.stop();
+    exporter.stop().await;
+    Ok(())
+}
--- /dev/null
+++ b/crates/usage-ledger/src/writer/start.rs
@@ -0,0 +1,118 @@
+//! Starting a writer.
+
+use super::counters::WriterCounters;
+use super::disk::{Disk, FileSystem};
+use super::error::StartError;
+use super::handle::UsageLogWriter;
+use super::run_tables::RunTables;
+use super::thread::WriterThread;
+use crate::log::{cut_torn_tail, segments, Segment};
+use crate::settings::UsageLogSettings;
+use std::fs::{self, File, OpenOptions};
+use std::io;
+use std::path::Path;
+use std::sync::mpsc::sync_channel;
+use std::sync::Arc;
+use tokio::sync::watch;
+
+/// Nanoseconds in a millisecond.
+const NANOSECONDS_PER_MS: u64 = 1_000_000;
+
+/// Opens the log for one more run, starts its writer and, where the settings ask for it, offers the
+/// log for collection. A partial write that the run before has left is cut off.
+///
+/// `now` is the time in Unix nanoseconds.
+///
+/// # Errors
+/// The directory can't be used, another aggregator uses it, or the address can't be listened on.
+pub fn start(
+    settings: &UsageLogSettings,
+    tables: RunTables,
+    now: u64,
+) -> Result<UsageLogWriter, StartError> {
+    let mut writer = start_on(FileSystem, settings, tables, now)?;
+    if let Some(address) = settings.listen_address {
+        let bound_address = crate::collect::listen(address, settings.directory.clone())?;
+        writer.collection_address = Some(bound_address);
+    }
+    Ok(writer)
+}
+
+/// As [`start`], on any disk and without a listener.
+///
+/// # Errors
+/// As [`start`].
+pub fn start_on(
+    disk: impl Disk,
+    settings: &UsageLogSettings,
+    tables: RunTables,
+    now: u64,
+) -> Result<UsageLogWriter, StartError> {
+    let directory = &settings.directory;
+    let at_directory = |source: io::Error| StartError::Directory {
+        directory: directory.clone(),
+        source,
+    };
+    fs::create_dir_all(directory).map_err(at_directory)?;
+    let lock = lock(directory)?;
+    let existing = segments(directory).map_err(at_directory)?;
+    if let Some(last) = existing.last() {
+        repair(last).map_err(at_directory)?;
+    }
+    let incarnation = next_incarnation(now, existing.last());
+    let (queue, entries) = sync_channel(settings.queue_entries);
+    let (publish_written, written) = watch::channel(0);
+    let counts = Arc::<WriterCounters>::default();
+    let header = tables.into_header(incarnation);
+    let thread = WriterThread::new(disk, lock, settings, header, publish_written, &counts);
+    let thread = std::thread::Builder::new()
+        .name("usage log".into())
+        .spawn(move || thread.run(&entries))
+        .map_err(StartError::Thread)?;
+    tracing::info!(directory = %directory.display(), incarnation, "usage log opened");
+    Ok(UsageLogWriter {
+        queue: Some(queue),
+        written,
+        counts,
+        max_reply_delay: settings.max_reply_delay,
+        collection_address: None,
+        thread: Some(thread),
+    })
+}
+
+/// Takes the lock that allows one writer to each log.
+fn lock(directory: &Path) -> Result<File, StartError> {
+    let lock = OpenOptions::new()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(directory.join("lock"))
+        .map_err(|source| StartError::Directory {
+            directory: directory.into(),
+            source,
+        })?;
+    match lock.try_lock() {
+        Ok(()) => Ok(lock),
+        Err(_) => Err(StartError::Locked {
+            directory: directory.into(),
+        }),
+    }
+}
+
+fn repair(last: &Segment) -> io::Result<()> {
+    let torn = cut_torn_tail(last)?;
+    if torn > 0 {
+        tracing::warn!(
+            segment = last.name(),
+            bytes = torn,
+            "a partial record at the end of the log was cut off"
+        );
+    }
+    Ok(())
+}
+
+/// Later than that of any run before, also where the clock has stepped back.
+fn next_incarnation(now_ns: u64, last: Option<&Segment>) -> u64 {
+    let last = last.map_or(0, |segment| segment.incarnation);
+    (now_ns / NANOSECONDS_PER_MS).max(last + 1)
+}
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -1,7 +1,8 @@
 //! The thread that writes a usage log.
 
+use super::counters::WriterCounters;
+use super::disk::Disk;
 use super::error::AppendError;
-use super::{Disk, WriterCounters};
 use crate::log::{append_frame, segments, Segment, MAGIC};
 use crate::settings::UsageLogSettings;
 use crate::wire::{entry::What, Entry, Header};
