--- a/crates/aggregator/src/cli/ledger/correct.rs
+++ b/crates/aggregator/src/cli/ledger/correct.rs
@@ -4,7 +4,8 @@
 use crate::cli::output;
 use usage_ledger::period::Period;
 use usage_ledger::settlement;
-use usage_ledger::store::{sha256_hex, CorrectionLine};
+use usage_ledger::statement::CorrectionLine;
+use usage_ledger::store::sha256_hex;
 
 /// Characters of a generated correction id.
 const GENERATED_ID_LENGTH: usize = 16;
--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -4,10 +4,11 @@
 use crate::cli::output::{FormatArguments, Report};
 use serde_json::json;
 use std::time::{Duration, Instant};
+use usage_ledger::document::OutgoingDocument;
 use usage_ledger::export;
 use usage_ledger::settings::ExportTarget;
 use usage_ledger::settlement;
-use usage_ledger::store::{OutgoingDocument, Store};
+use usage_ledger::store::Store;
 
 const COLUMNS: [&str; 5] = ["document", "in_folder", "posted", "attempts", "error"];
 
--- a/crates/aggregator/src/cli/ledger/periods.rs
+++ b/crates/aggregator/src/cli/ledger/periods.rs
@@ -4,7 +4,8 @@
 use crate::cli::output::{OutputFormat, Report};
 use serde_json::{json, Value};
 use usage_ledger::rate::UsageCounts;
-use usage_ledger::store::{Statement, StatementLine, StoredStatement};
+use usage_ledger::statement::{Statement, StatementLine};
+use usage_ledger::store::StoredStatement;
 
 const COLUMNS: [&str; 9] = [
     "period",
--- a/crates/aggregator/src/cli/ledger/statement.rs
+++ b/crates/aggregator/src/cli/ledger/statement.rs
@@ -4,7 +4,7 @@
 use crate::cli::output::{self, FormatArguments, OutputError, OutputFormat, Report};
 use serde_json::{json, Value};
 use usage_ledger::rate::UsageCounts;
-use usage_ledger::store::{CorrectionLine, MemberState, Statement, StatementLine, TenantTotal};
+use usage_ledger::statement::{CorrectionLine, MemberState, Statement, StatementLine, TenantTotal};
 
 /// The arguments of `ledger statement`.
 #[derive(clap::Args)]
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -4,7 +4,8 @@
 use crate::log::LogPosition;
 use crate::period::Period;
 use crate::settings::{LedgerSettings, Member};
-use crate::store::{ClosingTerms, Statement, Store, StoreError};
+use crate::statement::Statement;
+use crate::store::{ClosingTerms, Store, StoreError};
 use crate::wire::Batch;
 use std::collections::HashMap;
 
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -2,7 +2,8 @@
 //!
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
-use super::{records, Result};
+use super::error::Result;
+use super::records;
 use crate::join::{JoinBounds, RecordId};
 use crate::period::Period;
 use crate::period_settler::{CarryOver, PeriodSettler, SettledPeriod};
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -3,9 +3,12 @@
 //! Transaction boundary: one transaction a period holds its statement and lines, the adjustments of
 //! earlier periods, the corrections that stand in it, and the documents for the outbox.
 
+use super::database::Store;
+use super::error::{Result, StoreError};
+use super::hash::sha256_hex;
 use super::lines::LineRow;
 use super::queries::MemberStatus;
-use super::{carry_over, correction, dirty, lines, outbox, sha256_hex, Result, Store, StoreError};
+use super::{carry_over, correction, dirty, lines, outbox};
 use crate::document::Document;
 use crate::join::JoinBounds;
 use crate::line_counts::{adjustments, LineCounts, LineKey};
--- a/crates/usage-ledger/src/store/correction.rs
+++ b/crates/usage-ledger/src/store/correction.rs
@@ -3,7 +3,9 @@
 //! Transaction boundary: one transaction a correction holds it and, if its period is closed, the
 //! credit or debit in the outbox.
 
-use super::{outbox, Result, Store, StoreError};
+use super::database::Store;
+use super::error::{Result, StoreError};
+use super::outbox;
 use crate::document::Document;
 use crate::period::Period;
 use crate::statement::CorrectionLine;
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -2,7 +2,7 @@
 //!
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
-use super::Result;
+use super::error::Result;
 use crate::join::JoinBounds;
 use crate::period::{Calendar, Period};
 use crate::settings::Price;
--- a/crates/usage-ledger/src/store/ingest.rs
+++ b/crates/usage-ledger/src/store/ingest.rs
@@ -4,8 +4,10 @@
 //! position, and the closed periods that the records make dirty. A batch that arrives again changes
 //! nothing. Numbers for new names are committed before it; an unused one does no harm.
 
+use super::database::{NameKind, Store};
+use super::error::Result;
 use super::uncertainty::{self, RunKey};
-use super::{dirty, records, NameKind, Result, Store};
+use super::{dirty, records};
 use crate::join::JoinBounds;
 use crate::period::Calendar;
 use crate::wire::{entry::What, Batch, Damage, Entry, Header, Mark, Record};
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -2,7 +2,7 @@
 //!
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
-use super::Result;
+use super::error::Result;
 use crate::line_counts::{LineCounts, LineKey};
 use crate::period::Period;
 use crate::rate::UsageCounts;
--- a/crates/usage-ledger/src/store/outbox.rs
+++ b/crates/usage-ledger/src/store/outbox.rs
@@ -3,7 +3,9 @@
 //! Transaction boundary: a document is inserted in the transaction that made it. The result of a
 //! delivery is stored in a transaction of its own, after the receiver has answered.
 
-use super::{sha256_hex, Result, Store};
+use super::database::Store;
+use super::error::Result;
+use super::hash::sha256_hex;
 use crate::document::{Document, OutgoingDocument};
 use crate::export::Delivery;
 use crate::settings::ExportTarget;
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -2,7 +2,8 @@
 //!
 //! Transaction boundary: none; each method reads one consistent snapshot.
 
-use super::{Result, Store};
+use super::database::Store;
+use super::error::Result;
 use crate::log::LogPosition;
 use crate::period::{Calendar, Period};
 use crate::statement::Statement;
--- a/crates/usage-ledger/src/store/records.rs
+++ b/crates/usage-ledger/src/store/records.rs
@@ -3,8 +3,9 @@
 //! Transaction boundary: none of its own; it runs in the caller's transaction or, outside of one,
 //! reads one consistent snapshot a query.
 
+use super::database::Store;
+use super::error::Result;
 use super::uncertainty::{self, RunKey};
-use super::{Result, Store};
 use crate::join::{RecordedOutcome, UsageRecord};
 use crate::wire::{Outcome as WireOutcome, Record};
 use rusqlite::{params, Connection, Row};
--- a/crates/usage-ledger/src/store/schema.rs
+++ b/crates/usage-ledger/src/store/schema.rs
@@ -3,7 +3,7 @@
 //! Transaction boundary: [`migrate`] applies all missing versions in one immediate transaction, so
 //! that of two processes that open a store the second finds it migrated.
 
-use super::{Result, StoreError};
+use super::error::{Result, StoreError};
 use rusqlite::{Connection, TransactionBehavior};
 
 /// The schema's versions, each made from the one before; never changed once they are released.
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -3,7 +3,7 @@
 //!
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
-use super::Result;
+use super::error::Result;
 use crate::join::JoinBounds;
 use rusqlite::{params, Connection};
 use std::collections::{BTreeSet, HashMap};
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -3,7 +3,10 @@
 //! Transaction boundary: none; it reads while others may write, so a period that closes meanwhile
 //! may be reported.
 
-use super::{carry_over, lines, sha256_hex, Result, Store};
+use super::database::Store;
+use super::error::Result;
+use super::hash::sha256_hex;
+use super::{carry_over, lines};
 use crate::join::JoinBounds;
 use crate::line_counts::adjustments;
 use crate::period::Period;
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -12,7 +12,8 @@
 use usage_ledger::period::{Calendar, PeriodLength};
 use usage_ledger::settings::{ExportTarget, LedgerSettings, Member, Price, UsageLogSettings};
 use usage_ledger::settlement::{self, SettlementSignal};
-use usage_ledger::store::{Statement, Store, StoreError};
+use usage_ledger::statement::Statement;
+use usage_ledger::store::{Store, StoreError};
 use usage_ledger::wire::{entry::What, Mark, Outcome, Record};
 use usage_ledger::writer::{self, RunClass, RunTables, UsageLogWriter};
 
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -6,7 +6,7 @@
 use usage_ledger::document::Document;
 use usage_ledger::export::{self, Delivery};
 use usage_ledger::settings::ExportTarget;
-use usage_ledger::store::CorrectionLine;
+use usage_ledger::statement::CorrectionLine;
 use usage_ledger::wire::entry::What;
 
 #[test]
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -5,7 +5,8 @@
 use usage_ledger::join::JoinBounds;
 use usage_ledger::period::{Calendar, Period, PeriodLength};
 use usage_ledger::settings::Price;
-use usage_ledger::store::{ClosingTerms, IngestSummary, Statement, Store};
+use usage_ledger::statement::Statement;
+use usage_ledger::store::{ClosingTerms, IngestSummary, Store};
 use usage_ledger::wire::{entry::What, Batch, Class, Entry, Header, Mark, Outcome, Record};
 
 pub const BOUNDS: JoinBounds = JoinBounds {
