--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -104,11 +104,11 @@
     let name = |id: u32| names.get(&id).map(String::as_str);
     RecordRow {
         arrived_ms: record.arrived_at_ms,
-        mixer: name(record.member),
+        mixer: name(record.member_id),
         incarnation: record.incarnation,
         sequence: record.sequence,
-        tenant: name(record.tenant),
-        class: name(record.class),
+        tenant: name(record.tenant_id),
+        class: name(record.class_id),
         outcome: record.outcome.published_name().into(),
         share: record.outcome.share_millionths(),
         parts: record.parts,
--- a/crates/usage-ledger/src/join/joiner.rs
+++ b/crates/usage-ledger/src/join/joiner.rs
@@ -8,8 +8,8 @@
 /// What records have in common that may belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GroupKey {
-    tenant: u32,
-    class: u32,
+    tenant_id: u32,
+    class_id: u32,
     key: u64,
     has_idempotency_key: bool,
 }
@@ -17,8 +17,8 @@
 impl GroupKey {
     fn of(record: &UsageRecord) -> GroupKey {
         GroupKey {
-            tenant: record.tenant,
-            class: record.class,
+            tenant_id: record.tenant_id,
+            class_id: record.class_id,
             key: record.key,
             has_idempotency_key: record.has_idempotency_key,
         }
--- a/crates/usage-ledger/src/join/record.rs
+++ b/crates/usage-ledger/src/join/record.rs
@@ -65,8 +65,8 @@
 pub struct RecordId {
     /// Arrival in Unix milliseconds.
     pub arrived_at_ms: i64,
-    /// The aggregator, by number.
-    pub member: u32,
+    /// The number of the aggregator in the store.
+    pub member_id: u32,
     /// Its run.
     pub incarnation: u64,
     /// The record's number in the run.
@@ -78,16 +78,16 @@
 pub struct UsageRecord {
     /// Arrival in Unix milliseconds, by its aggregator's clock.
     pub arrived_at_ms: i64,
-    /// The aggregator, by number.
-    pub member: u32,
+    /// The number of the aggregator in the store.
+    pub member_id: u32,
     /// Its run.
     pub incarnation: u64,
     /// The record's number in the run.
     pub sequence: u64,
-    /// The tenant, by number.
-    pub tenant: u32,
-    /// The class, by number.
-    pub class: u32,
+    /// The number of the tenant in the store.
+    pub tenant_id: u32,
+    /// The number of the class in the store.
+    pub class_id: u32,
     /// How it ended.
     pub outcome: RecordedOutcome,
     /// Shards that were asked.
@@ -113,7 +113,7 @@
     pub fn id(&self) -> RecordId {
         RecordId {
             arrived_at_ms: self.arrived_at_ms,
-            member: self.member,
+            member_id: self.member_id,
             incarnation: self.incarnation,
             sequence: self.sequence,
         }
--- a/crates/usage-ledger/src/line_counts.rs
+++ b/crates/usage-ledger/src/line_counts.rs
@@ -8,10 +8,10 @@
 /// What a line counts: the usage of one tenant in one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LineKey {
-    /// The tenant, by number.
-    pub tenant: u32,
-    /// The class, by number.
-    pub class: u32,
+    /// The number of the tenant in the store.
+    pub tenant_id: u32,
+    /// The number of the class in the store.
+    pub class_id: u32,
 }
 
 /// The lines of a period.
--- a/crates/usage-ledger/src/period_settler.rs
+++ b/crates/usage-ledger/src/period_settler.rs
@@ -98,8 +98,8 @@
             return;
         }
         let key = LineKey {
-            tenant: first.tenant,
-            class: first.class,
+            tenant_id: first.tenant_id,
+            class_id: first.class_id,
         };
         lines.entry(key).or_default().add(request);
         let records = request.records.iter();
--- a/crates/usage-ledger/src/reconcile/comparison.rs
+++ b/crates/usage-ledger/src/reconcile/comparison.rs
@@ -32,8 +32,8 @@
     let mut add = |request: LogicalRequest| {
         let first = request.first();
         let key = RequestKey {
-            tenant: name(first.tenant),
-            class: name(first.class),
+            tenant: name(first.tenant_id),
+            class: name(first.class_id),
             key: format!("{:016x}", first.key),
         };
         comparison.add_ledger_request(key, request);
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -69,7 +69,7 @@
     let ids = select.query_map([period], |row| {
         Ok(RecordId {
             arrived_at_ms: row.get(0)?,
-            member: row.get(1)?,
+            member_id: row.get(1)?,
             incarnation: row.get(2)?,
             sequence: row.get(3)?,
         })
@@ -90,7 +90,7 @@
         insert.execute(params![
             period,
             id.arrived_at_ms,
-            id.member,
+            id.member_id,
             id.incarnation as i64,
             id.sequence as i64
         ])?;
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -159,7 +159,7 @@
     }
 
     fn price(&self, prices: &BTreeMap<String, Price>, key: LineKey) -> Option<Price> {
-        let class = self.names.get(&key.class).map_or("", String::as_str);
+        let class = self.names.get(&key.class_id).map_or("", String::as_str);
         prices.get(class).copied()
     }
 
--- a/crates/usage-ledger/src/store/ingest/batch.rs
+++ b/crates/usage-ledger/src/store/ingest/batch.rs
@@ -39,8 +39,8 @@
         let ids = HeaderIds::of(self, member, header)?;
         let run = ids.run;
         let transaction = self.begin()?;
-        insert_damage(&transaction, run.member, &batch.damage)?;
-        let tails_before = uncertainty::uncertain_tails(&transaction, Some(run.member))?;
+        insert_damage(&transaction, run.member_id, &batch.damage)?;
+        let tails_before = uncertainty::uncertain_tails(&transaction, Some(run.member_id))?;
         let mut ingestion = Ingestion {
             db: &transaction,
             calendar,
@@ -53,7 +53,7 @@
         ingestion.insert_entries(&batch.entries)?;
         let ingested = ingestion.ingested;
         ingestion.progress.save(&transaction, run)?;
-        let tails_after = uncertainty::uncertain_tails(&transaction, Some(run.member))?;
+        let tails_after = uncertainty::uncertain_tails(&transaction, Some(run.member_id))?;
         uncertainty::mark_changed_tails(&transaction, &tails_before, &tails_after, bounds)?;
         transaction.commit()?;
         Ok(ingested)
@@ -108,10 +108,10 @@
         let class = self.ids.class(record);
         let inserted = insert.execute(params![
             record.arrived_ms as i64,
-            run.member,
+            run.member_id,
             run.incarnation as i64,
             record.sequence as i64,
-            self.ids.tenant(record),
+            self.ids.tenant_id(record),
             class.id,
             record.outcome,
             record.share,
@@ -126,12 +126,12 @@
     }
 }
 
-fn insert_damage(db: &Connection, member: u32, damage: &[Damage]) -> Result<()> {
+fn insert_damage(db: &Connection, member_id: u32, damage: &[Damage]) -> Result<()> {
     for stretch in damage {
         db.execute(
             "INSERT OR IGNORE INTO damage VALUES (?, ?, ?, ?)",
             params![
-                member,
+                member_id,
                 stretch.segment,
                 stretch.from as i64,
                 stretch.to as i64
--- a/crates/usage-ledger/src/store/ingest/header_ids.rs
+++ b/crates/usage-ledger/src/store/ingest/header_ids.rs
@@ -12,7 +12,7 @@
 
 /// A class in the store.
 #[derive(Clone, Copy)]
-pub(super) struct ClassId {
+pub(super) struct StoredClass {
     pub(super) id: u32,
     pub(super) client_timeout_ms: i64,
 }
@@ -20,52 +20,52 @@
 /// The numbers that a header's names have in the store.
 pub(super) struct HeaderIds {
     pub(super) run: RunKey,
-    tenants: Vec<u32>,
-    default_tenant: u32,
-    classes: Vec<ClassId>,
-    unknown_class: ClassId,
+    tenant_ids: Vec<u32>,
+    default_tenant_id: u32,
+    classes: Vec<StoredClass>,
+    unknown_class: StoredClass,
 }
 
 impl HeaderIds {
     /// Looks up the names of a header; new names are added to the store.
     pub(super) fn of(store: &mut Store, member: &str, header: &Header) -> Result<HeaderIds> {
-        let member = store.name_id(NameKind::Member, member)?;
-        let mut tenants = Vec::new();
+        let member_id = store.name_id(NameKind::Member, member)?;
+        let mut tenant_ids = Vec::new();
         for tenant in &header.tenants {
-            tenants.push(store.name_id(NameKind::Tenant, tenant)?);
+            tenant_ids.push(store.name_id(NameKind::Tenant, tenant)?);
         }
-        let default_tenant = store.name_id(NameKind::Tenant, DEFAULT_TENANT)?;
+        let default_tenant_id = store.name_id(NameKind::Tenant, DEFAULT_TENANT)?;
         let mut classes = Vec::new();
         for class in &header.classes {
-            classes.push(ClassId {
+            classes.push(StoredClass {
                 id: store.name_id(NameKind::Class, &class.name)?,
                 client_timeout_ms: class.give_up_ms as i64,
             });
         }
-        let unknown_class = ClassId {
+        let unknown_class = StoredClass {
             id: store.name_id(NameKind::Class, UNKNOWN_CLASS)?,
             client_timeout_ms: 0,
         };
         Ok(HeaderIds {
             run: RunKey {
-                member,
+                member_id,
                 incarnation: header.incarnation,
             },
-            tenants,
-            default_tenant,
+            tenant_ids,
+            default_tenant_id,
             classes,
             unknown_class,
         })
     }
 
     /// The tenant of a record.
-    pub(super) fn tenant(&self, record: &Record) -> u32 {
-        let tenant = self.tenants.get(record.tenant as usize);
-        tenant.copied().unwrap_or(self.default_tenant)
+    pub(super) fn tenant_id(&self, record: &Record) -> u32 {
+        let tenant = self.tenant_ids.get(record.tenant as usize);
+        tenant.copied().unwrap_or(self.default_tenant_id)
     }
 
     /// The class of a record.
-    pub(super) fn class(&self, record: &Record) -> ClassId {
+    pub(super) fn class(&self, record: &Record) -> StoredClass {
         let class = self.classes.get(record.class as usize);
         class.copied().unwrap_or(self.unknown_class)
     }
--- a/crates/usage-ledger/src/store/ingest/run_progress.rs
+++ b/crates/usage-ledger/src/store/ingest/run_progress.rs
@@ -23,15 +23,19 @@
     pub(super) fn load(db: &Connection, run: RunKey) -> Result<RunProgress> {
         let select =
             "SELECT sequence, complete, marked, ended, lost FROM position WHERE member = ? AND incarnation = ?";
-        let stored = db.query_row(select, params![run.member, run.incarnation as i64], |row| {
-            Ok(RunProgress {
-                sequence: row.get(0)?,
-                complete_until_ms: row.get(1)?,
-                marked: row.get(2)?,
-                ended: row.get(3)?,
-                lost_records: row.get(4)?,
-            })
-        });
+        let stored = db.query_row(
+            select,
+            params![run.member_id, run.incarnation as i64],
+            |row| {
+                Ok(RunProgress {
+                    sequence: row.get(0)?,
+                    complete_until_ms: row.get(1)?,
+                    marked: row.get(2)?,
+                    ended: row.get(3)?,
+                    lost_records: row.get(4)?,
+                })
+            },
+        );
         Ok(stored.optional()?.unwrap_or(RunProgress {
             sequence: 0,
             complete_until_ms: i64::MIN,
@@ -45,7 +49,7 @@
         db.execute(
             "INSERT OR REPLACE INTO position VALUES (?, ?, ?, ?, ?, ?, ?)",
             params![
-                run.member,
+                run.member_id,
                 run.incarnation as i64,
                 self.sequence,
                 self.complete_until_ms,
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -28,8 +28,8 @@
     pub(super) fn with_names(&self, names: &HashMap<u32, String>) -> StatementLine {
         let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
         StatementLine {
-            tenant: name(self.key.tenant),
-            class: name(self.key.class),
+            tenant: name(self.key.tenant_id),
+            class: name(self.key.class_id),
             period: self.period.name(),
             is_adjustment: self.is_adjustment,
             counts: self.counts,
@@ -43,8 +43,8 @@
         let mut values = vec![
             statement.start_ms,
             self.period.start_ms,
-            i64::from(self.key.tenant),
-            i64::from(self.key.class),
+            i64::from(self.key.tenant_id),
+            i64::from(self.key.class_id),
         ];
         values.extend(self.counts.values());
         values.push(self.amount);
@@ -74,8 +74,8 @@
     let mut stated = StatedUsage::default();
     while let Some(row) = rows.next()? {
         let key = LineKey {
-            tenant: row.get(0)?,
-            class: row.get(1)?,
+            tenant_id: row.get(0)?,
+            class_id: row.get(1)?,
         };
         stated.lines.insert(key, read_counts(row)?);
         stated.amounts.insert(key, row.get(14)?);
--- a/crates/usage-ledger/src/store/records.rs
+++ b/crates/usage-ledger/src/store/records.rs
@@ -56,7 +56,7 @@
     while let Some(row) = rows.next()? {
         let mut record = read_record(row)?;
         let run = RunKey {
-            member: record.member,
+            member_id: record.member_id,
             incarnation: record.incarnation,
         };
         let tail = uncertain.get(&run);
@@ -72,11 +72,11 @@
     let key: i64 = row.get(12)?;
     Ok(UsageRecord {
         arrived_at_ms: row.get(0)?,
-        member: row.get(1)?,
+        member_id: row.get(1)?,
         incarnation: row.get(2)?,
         sequence: row.get(3)?,
-        tenant: row.get(4)?,
-        class: row.get(5)?,
+        tenant_id: row.get(4)?,
+        class_id: row.get(5)?,
         outcome: outcome(row.get(6)?, row.get(7)?),
         parts: row.get(8)?,
         attempts: row.get(9)?,
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -11,7 +11,7 @@
 /// One run of an aggregator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct RunKey {
-    pub(super) member: u32,
+    pub(super) member_id: u32,
     pub(super) incarnation: u64,
 }
 
@@ -28,14 +28,14 @@
 
 /// The uncertain tails of all members or of one: a later run of the member has begun, and this one
 /// never said that it ended.
-pub(super) fn uncertain_tails(db: &Connection, member: Option<u32>) -> Result<UncertainTails> {
+pub(super) fn uncertain_tails(db: &Connection, member_id: Option<u32>) -> Result<UncertainTails> {
     let mut select = db.prepare_cached(
         "SELECT member, incarnation, marked, complete FROM position p WHERE NOT ended AND member = coalesce(?, member)
            AND EXISTS (SELECT 1 FROM position o WHERE o.member = p.member AND o.incarnation > p.incarnation)",
     )?;
-    let tails = select.query_map([member], |row| {
+    let tails = select.query_map([member_id], |row| {
         let run = RunKey {
-            member: row.get(0)?,
+            member_id: row.get(0)?,
             incarnation: row.get(1)?,
         };
         let tail = UncertainTail {
@@ -78,7 +78,7 @@
         "UPDATE period SET dirty = 1 WHERE end + ?6 > ?4 AND EXISTS (SELECT 1 FROM record
            WHERE at >= max(start - ?5, ?4) AND at < end + ?6 AND member = ?1 AND incarnation = ?2 AND sequence > ?3)",
         params![
-            run.member,
+            run.member_id,
             run.incarnation as i64,
             tail.after_sequence as i64,
             tail.since_ms,
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -188,8 +188,8 @@
         for (key, counts) in adjustments(&settled.lines, &stated.lines) {
             self.add_fault(VerificationFault::RecordsDiffer {
                 period: period.name(),
-                tenant: names.get(&key.tenant).cloned(),
-                class: names.get(&key.class).cloned(),
+                tenant: names.get(&key.tenant_id).cloned(),
+                class: names.get(&key.class_id).cloned(),
                 requests: counts.requests,
             });
         }
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -24,11 +24,11 @@
 fn first_record(arrived_at_ms: i64, sequence: u64) -> UsageRecord {
     UsageRecord {
         arrived_at_ms,
-        member: 1,
+        member_id: 1,
         incarnation: 1,
         sequence,
-        tenant: 1,
-        class: 1,
+        tenant_id: 1,
+        class_id: 1,
         outcome: RecordedOutcome::Rejected,
         parts: 2,
         attempts: 3,
@@ -69,8 +69,8 @@
     for retry in records.iter().filter(|record| !is_first(record)) {
         let group = |record: &UsageRecord| {
             (
-                record.tenant,
-                record.class,
+                record.tenant_id,
+                record.class_id,
                 record.key,
                 record.has_idempotency_key,
             )
@@ -134,8 +134,8 @@
     let record = |(at, member, tenant, key, is_retry, outcome, dice)| {
         let keyed = dice == 0;
         UsageRecord {
-            member,
-            tenant,
+            member_id: member,
+            tenant_id: tenant,
             key: key * 2 + u64::from(keyed),
             has_idempotency_key: keyed,
             is_retry,
@@ -200,7 +200,7 @@
         let mut expected: BTreeMap<i64, LineCounts> = BTreeMap::new();
         for request in join(records.clone()) {
             let first = request.first();
-            let key = LineKey { tenant: first.tenant, class: first.class };
+            let key = LineKey { tenant_id: first.tenant_id, class_id: first.class_id };
             let lines = expected.entry(first.arrived_at_ms.div_euclid(PERIOD)).or_default();
             lines.entry(key).or_default().add(&request);
         }
@@ -309,7 +309,7 @@
         keyed(40, 2, RecordedOutcome::Partial(700_000)),
         keyed(HORIZON, 3, RecordedOutcome::Rejected),
         UsageRecord {
-            tenant: 2,
+            tenant_id: 2,
             ..keyed(10, 4, RecordedOutcome::Complete)
         },
     ];
--- a/crates/usage-ledger/tests/period.rs
+++ b/crates/usage-ledger/tests/period.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn periods_follow_each_other_without_gap_also_where_an_hour_is_repeated_or_skipped() {
+fn periods_are_contiguous_where_an_hour_is_repeated_or_skipped() {
     let zone = |name| TimeZone::get(name).unwrap();
     let calendars = [
         (
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn members_that_a_reload_adds_are_followed_and_a_log_of_another_name_is_not_taken() {
+fn a_reload_adds_members_and_a_log_of_another_name_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let mut writers = [
         start_log(&folder.path().join("log-0"), "n0"),
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -10,7 +10,7 @@
 use usage_ledger::wire::entry::What;
 
 #[test]
-fn a_correction_joins_an_open_statement_or_becomes_a_document_that_names_the_closed_one() {
+fn a_correction_joins_an_open_statement_or_becomes_a_document() {
     let mut harness = StoreHarness::new();
     harness.ingest(
         "n0",
