--- a/crates/aggregator/src/cli/ledger/context.rs
+++ b/crates/aggregator/src/cli/ledger/context.rs
@@ -62,7 +62,7 @@
         let period = stored
             .into_iter()
             .find(|period| period.start_ms == start_ms)
-            .unwrap_or_else(|| self.settings.calendar.at(start_ms));
+            .unwrap_or_else(|| self.settings.calendar.period_at(start_ms));
         if period.start_ms != start_ms {
             return Err(LedgerError::NotAPeriodStart {
                 time: time.into(),
--- a/crates/aggregator/src/cli/ledger/reconcile.rs
+++ b/crates/aggregator/src/cli/ledger/reconcile.rs
@@ -47,7 +47,7 @@
     if let Some(path) = &arguments.clients {
         let reconciled = compare_with_clients(context, &store, path)?;
         print_client_comparison(&reconciled, arguments.format.format)?;
-        differences += reconciled.unequal() + reconciled.differences.len();
+        differences += reconciled.unequal_totals() + reconciled.differences.len();
     }
     let statuses = store.member_statuses()?;
     for argument in &arguments.counters {
@@ -97,8 +97,8 @@
             json!(key.period),
             json!(key.tenant),
             json!(key.class),
-            json!(pair.ledger),
-            json!(pair.client),
+            json!(pair.ledger_requests),
+            json!(pair.client_requests),
             json!(pair.ledger_answered),
             json!(pair.client_answered),
             json!(pair.is_equal()),
@@ -116,8 +116,8 @@
             json!(difference.class),
             json!(difference.at),
             json!(difference.key),
-            json!(difference.ledger),
-            json!(difference.client),
+            json!(difference.ledger_outcome),
+            json!(difference.client_outcome),
         ]);
     }
     Ok(differences.print(format)?)
--- a/crates/usage-ledger/src/closing_decision.rs
+++ b/crates/usage-ledger/src/closing_decision.rs
@@ -5,20 +5,20 @@
 use crate::join::JoinBounds;
 use crate::period::Period;
 
-/// Up to when an aggregator's records are known.
+/// Up to which time the records of an aggregator are known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
     /// The aggregator's name.
     pub member: String,
-    /// Its records are complete before this time, in Unix milliseconds; `None` if it was never
-    /// heard of.
+    /// Its records are complete before this time, in Unix milliseconds; `None` if no record of it
+    /// was ever collected.
     pub complete_until_ms: Option<i64>,
 }
 
 /// Whether a period may close.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClosingDecision {
-    /// Not before these members are complete, or the grace period is over.
+    /// It waits for the records of these members, until the grace period is over.
     Wait(Vec<String>),
     /// All records are known.
     Complete,
@@ -47,8 +47,7 @@
         .map(|member| member.member.clone())
         .collect();
     if now_ms < until_ms {
-        // A member whose clock is ahead must not close a period for those that have yet to serve in
-        // it.
+        // A member whose clock is ahead must not close a period in which others still serve.
         ClosingDecision::Wait(missing)
     } else if missing.is_empty() {
         ClosingDecision::Complete
--- a/crates/usage-ledger/src/collect.rs
+++ b/crates/usage-ledger/src/collect.rs
@@ -1,4 +1,4 @@
-//! Collection over gRPC: each aggregator offers its usage log, and the settlement follows it.
+//! The gRPC service by which an aggregator offers its usage log; the settlement is its client.
 
 use crate::log::{self, LogFollower, LogPosition};
 use crate::wire::usage_log_server::{UsageLog, UsageLogServer};
@@ -13,13 +13,13 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status};
 
-/// The most entries of one message.
+/// The largest number of entries in one message.
 const MAX_BATCH_ENTRIES: usize = 4096;
-/// Messages that may wait for a slow collector; until it takes them, its log is read no further.
+/// Messages that may wait for a slow collector; the log is not read further while they wait.
 const MAX_QUEUED_MESSAGES: usize = 4;
-/// Interval at which a log that has nothing new is polled.
+/// Interval at which a log without new entries is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Polls without anything new after which an empty message shows that the aggregator is alive.
+/// Number of polls without new entries after which an empty message is sent as a heartbeat.
 const HEARTBEAT_POLLS: u32 = 50;
 
 /// Why a log could not be offered for collection.
@@ -30,7 +30,7 @@
     Bind {
         /// The address of the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// The listener, its runtime or its thread can't be set up.
@@ -98,7 +98,7 @@
     }
 }
 
-/// Sends batches until the collector is gone or the log can't be read.
+/// Sends batches until the collector disconnects or the log can't be read.
 async fn send_batches(mut follower: LogFollower, sender: mpsc::Sender<Result<Batch, Status>>) {
     let mut idle_polls = 0;
     loop {
@@ -134,8 +134,8 @@
     }
 }
 
-/// Offers a log for collection, on a thread of its own that ends with the process. Returns the
-/// address that it listens on: with a port that the system has chosen where `address` has port 0.
+/// Offers a log for collection, on a thread that runs until the process ends. Returns the bound
+/// address, whose port is chosen by the system if `address` has port 0.
 ///
 /// # Errors
 /// The address can't be listened on.
--- a/crates/usage-ledger/src/document.rs
+++ b/crates/usage-ledger/src/document.rs
@@ -1,4 +1,4 @@
-//! Documents: what one tenant is sent, each with an id of its own that never changes.
+//! Documents: what a tenant receives. Each has an id that never changes.
 //!
 //! Documents are exported as JSON; the names and the order of the fields are part of that format.
 
@@ -6,10 +6,10 @@
 use crate::statement::{CorrectionLine, Statement, StatementLine, TenantTotal};
 use serde::{Deserialize, Serialize};
 
-/// What one tenant is sent.
+/// A document for one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// Its identity, for good.
+    /// The permanent id of the document.
     pub id: String,
     /// `statement`, `credit` or `debit`.
     pub kind: String,
@@ -17,7 +17,7 @@
     pub tenant: String,
     /// The period of the statement, or of the statement that is corrected.
     pub period: String,
-    /// Micro-units; a credit's is below zero.
+    /// Micro-units; negative for a credit.
     pub amount: i64,
     /// The statement's lines for the tenant.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -65,18 +65,18 @@
     pub id: String,
     /// The document as JSON.
     pub body: String,
-    /// It is in the export folder.
+    /// Whether it is in the export folder.
     pub in_folder: bool,
-    /// The receiver has acknowledged it.
+    /// Whether the receiver has acknowledged it.
     pub posted: bool,
-    /// How often it was sent.
+    /// The number of attempts to send it.
     pub attempts: u32,
-    /// Why the last attempt failed; `None` if it did not.
+    /// The error of the last attempt; `None` if it succeeded.
     pub error: Option<String>,
 }
 
 impl Document {
-    /// One for each tenant that a statement mentions.
+    /// The documents of a statement, one per tenant.
     pub fn of_statement(statement: &Statement) -> Vec<Document> {
         let documents = statement.tenants.iter();
         documents
@@ -142,7 +142,7 @@
     )
 }
 
-/// `text` with all characters escaped that may not stand in a file's name.
+/// `text` with all characters escaped that are not allowed in file names.
 fn file_name_part(text: &str) -> String {
     let escape = |character: char| {
         if character.is_ascii_alphanumeric() || "-_.".contains(character) {
--- a/crates/usage-ledger/src/export.rs
+++ b/crates/usage-ledger/src/export.rs
@@ -1,8 +1,8 @@
-//! Export of documents, to a folder and to a receiver.
+//! Export of documents to a folder and to a receiver.
 //!
-//! A document is put into the outbox in the transaction that made it. It is sent until the receiver
-//! has acknowledged it, always under the same id and as the same bytes, so that a receiver that
-//! keeps one of each id ends up with each once, whatever became of its acknowledgements.
+//! A document is put into the outbox in the transaction that made it. It is sent with the same id
+//! and the same bytes until the receiver has acknowledged it. A receiver that stores one document
+//! per id therefore has each document once, even if acknowledgements were lost.
 
 use crate::document::OutgoingDocument;
 use crate::settings::ExportTarget;
@@ -11,38 +11,38 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The most doublings of the pause between two attempts.
+/// The maximum number of doublings of the retry delay.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// The receiver's answer for a document that it has already.
+/// The HTTP status for a document that the receiver already has.
 const STATUS_CONFLICT: u16 = 409;
 
 /// Why a document was not delivered.
 #[derive(Debug, thiserror::Error)]
 pub enum DeliveryError {
-    /// It can't be written to the folder.
+    /// The folder can't be written.
     #[error("{0}")]
     Folder(#[from] io::Error),
     /// The receiver did not accept it.
     #[error("the receiver answers {0}")]
     Rejected(ureq::http::StatusCode),
-    /// The receiver did not answer; it may have the document all the same.
+    /// The receiver did not respond; it may have received the document.
     #[error("{0}")]
     Transport(#[from] ureq::Error),
 }
 
-/// What one attempt to send a document came to.
+/// The result of one attempt to send a document.
 #[derive(Debug, Default)]
 pub struct Delivery {
-    /// The attempt has put it into the folder.
+    /// This attempt has written it to the folder.
     pub in_folder: bool,
-    /// The receiver has acknowledged it to this attempt.
+    /// The receiver has acknowledged this attempt.
     pub posted: bool,
-    /// The first failure; `None` if the document is now wherever it should be.
+    /// The first failure; `None` if the document has reached all destinations.
     pub error: Option<DeliveryError>,
 }
 
 impl Delivery {
-    /// Takes the result for one target. True if the document is there now.
+    /// Keeps the first error. True if the result is a success.
     fn record_result(&mut self, result: Result<(), DeliveryError>) -> bool {
         match result {
             Ok(()) => true,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Puts a document into a folder: completely or not at all, and once.
+/// Writes a document to a folder, atomically, by a rename.
 ///
 /// # Errors
 /// The folder can't be written.
@@ -70,11 +70,11 @@
     Ok(())
 }
 
-/// Posts a document; done once the receiver answers with a 2xx, or with a 409 for one that it has
-/// already.
+/// Posts a document. It is delivered if the receiver responds with a 2xx status, or with 409, which
+/// means that it already has the document.
 ///
 /// # Errors
-/// The receiver did not say so; it may have the document all the same.
+/// The receiver rejected it, or did not respond; it may have received the document all the same.
 fn post(url: &str, timeout: Duration, document: &OutgoingDocument) -> Result<(), DeliveryError> {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
@@ -92,13 +92,13 @@
     Err(DeliveryError::Rejected(status))
 }
 
-/// Exponential backoff: the pause before a document that has failed `attempts` times is sent again.
+/// The pause after `attempts` failed attempts: exponential backoff.
 pub fn retry_backoff(retry_delay: Duration, attempts: u32) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
     retry_delay * 2u32.pow(doublings)
 }
 
-/// Sends one document to each target that it has not reached yet.
+/// Sends a document to each destination that it has not reached.
 pub fn deliver(target: &ExportTarget, document: &OutgoingDocument) -> Delivery {
     let mut delivery = Delivery::default();
     if let Some(folder) = target.folder.as_ref().filter(|_| !document.in_folder) {
--- a/crates/usage-ledger/src/join/joiner.rs
+++ b/crates/usage-ledger/src/join/joiner.rs
@@ -5,7 +5,7 @@
 use super::record::{RecordId, UsageRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// What records have in common that may belong together.
+/// The properties that all records of a logical request share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GroupKey {
     tenant_id: u32,
@@ -25,25 +25,25 @@
     }
 }
 
-/// When a logical request can't be joined any more. Sorts by time.
+/// The time after which a logical request can't be joined any more. Deadlines sort by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     /// Unix milliseconds.
     expires_at_ms: i64,
-    /// The request's first record.
+    /// The first record of the request.
     first: RecordId,
 }
 
-/// Joins records that come in the order of [`UsageRecord::id`], and holds only those that may yet
-/// be joined.
+/// Joins records that are pushed in the order of [`UsageRecord::id`]. It keeps only the logical
+/// requests that may still be joined.
 #[derive(Debug)]
 pub struct Joiner {
     bounds: JoinBounds,
     open: HashMap<GroupKey, Vec<LogicalRequest>>,
     deadlines: BTreeMap<Deadline, GroupKey>,
-    /// Retries that wait until no earlier record can come any more.
+    /// Retries that are not joined yet, because a record that arrived before them may still follow.
     retries: VecDeque<UsageRecord>,
-    /// Retries that are ambiguous because of records that came before all that are pushed here.
+    /// Retries that are ambiguous because of records that are not pushed here.
     ambiguous_before: BTreeSet<RecordId>,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// As [`Joiner::new`], with retries that are already known to be ambiguous.
+    /// As [`Joiner::new`]; the retries in `ambiguous` count as ambiguous in any case.
     pub fn with_ambiguous(bounds: JoinBounds, ambiguous: BTreeSet<RecordId>) -> Joiner {
         Joiner {
             ambiguous_before: ambiguous,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes the next record. Logical requests that are complete by now are handed to `done`.
+    /// Takes the next record. Calls `done` with each logical request that can't change any more.
     pub fn push(&mut self, record: UsageRecord, done: &mut impl FnMut(LogicalRequest)) {
         self.advance(record.arrived_at_ms, done);
         if record.is_retry || record.has_idempotency_key {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Hands on all that is left: no more records come.
+    /// Calls `done` with all remaining logical requests, after the last record.
     pub fn finish(&mut self, done: &mut impl FnMut(LogicalRequest)) {
         self.advance(i64::MAX, done);
     }
@@ -123,7 +123,7 @@
         self.close_before(oldest_waiting_ms, done);
     }
 
-    /// Hands on the logical requests that nothing at or after `now_ms` can join.
+    /// Calls `done` with the logical requests that no record at or after `now_ms` can join.
     fn close_before(&mut self, now_ms: i64, done: &mut impl FnMut(LogicalRequest)) {
         while let Some(entry) = self.deadlines.first_entry() {
             if entry.key().expires_at_ms >= now_ms {
@@ -144,48 +144,91 @@
     }
 
     fn join_retry(&mut self, retry: UsageRecord) {
-        let skew_ms = self.bounds.skew_ms;
-        let window_ms = self.window_ms(&retry);
-        let requests = self.open.entry(GroupKey::of(&retry)).or_default();
-        let in_window = |request: &LogicalRequest| {
-            request.first().arrived_at_ms >= retry.arrived_at_ms.saturating_sub(window_ms + skew_ms)
-                && request.last().arrived_at_ms <= retry.arrived_at_ms.saturating_add(skew_ms)
-        };
         if retry.has_idempotency_key {
-            // The key identifies the logical request: all its records belong to it, in whatever
-            // order they ended.
-            return match requests.iter_mut().find(|request| in_window(request)) {
-                Some(request) => request.join(retry, JoinCertainty::Certain),
-                None => self.open_request(retry, JoinCertainty::Certain),
-            };
+            self.join_by_idempotency_key(retry);
+        } else {
+            self.join_by_query(retry);
+        }
+    }
+
+    /// The key identifies the logical request: all its records belong to it, in any order of their
+    /// outcomes.
+    fn join_by_idempotency_key(&mut self, retry: UsageRecord) {
+        let reach = self.reach(&retry);
+        let requests = self.open.entry(GroupKey::of(&retry)).or_default();
+        match requests.iter_mut().find(|request| reach.contains(request)) {
+            Some(request) => request.join(retry, JoinCertainty::Certain),
+            None => self.open_request(retry, JoinCertainty::Certain),
         }
+    }
+
+    fn join_by_query(&mut self, retry: UsageRecord) {
+        let reach = self.reach(&retry);
+        let known_ambiguous = self.ambiguous_before.contains(&retry.id());
+        let requests = self.open.entry(GroupKey::of(&retry)).or_default();
         let candidates: Vec<usize> = (0..requests.len())
-            .filter(|index| {
-                in_window(&requests[*index]) && requests[*index].last().may_be_retried()
-            })
+            .filter(|index| reach.contains(&requests[*index]))
+            .filter(|index| requests[*index].last().may_be_retried())
             .collect();
-        // Records that were not answered come before uncertain ones, and those before the retry
-        // before those that only seem to be after it.
-        let rank = |index: &usize| {
-            let last = requests[*index].last();
-            (
-                last.outcome.is_answered(),
-                last.arrived_at_ms > retry.arrived_at_ms,
-                last.id(),
-            )
-        };
-        let best = candidates.iter().copied().min_by_key(rank);
-        let known_ambiguous = self.ambiguous_before.contains(&retry.id());
-        match best {
+        let rank = |index: &usize| CandidateRank::of(&requests[*index], &retry);
+        match candidates.iter().copied().min_by_key(rank) {
             Some(best) => {
                 let is_ambiguous = known_ambiguous || candidates.len() > 1;
                 requests[best].join(retry, JoinCertainty::from_ambiguity(is_ambiguous));
             }
             None => {
-                let was_answered = requests.iter().any(in_window);
+                let was_answered = requests.iter().any(|request| reach.contains(request));
                 let is_ambiguous = known_ambiguous || was_answered;
                 self.open_request(retry, JoinCertainty::from_ambiguity(is_ambiguous));
             }
         }
     }
+
+    /// The logical requests that a retry may join, by time.
+    fn reach(&self, retry: &UsageRecord) -> RetryReach {
+        let skew_ms = self.bounds.skew_ms;
+        let longest_wait_ms = self.window_ms(retry) + skew_ms;
+        RetryReach {
+            earliest_first_ms: retry.arrived_at_ms.saturating_sub(longest_wait_ms),
+            latest_last_ms: retry.arrived_at_ms.saturating_add(skew_ms),
+        }
+    }
+}
+
+/// The arrival times of the logical requests that a retry may join.
+#[derive(Clone, Copy, Debug)]
+struct RetryReach {
+    /// The earliest arrival of the first record, in Unix milliseconds.
+    earliest_first_ms: i64,
+    /// The latest arrival of the last record, in Unix milliseconds.
+    latest_last_ms: i64,
+}
+
+impl RetryReach {
+    fn contains(&self, request: &LogicalRequest) -> bool {
+        request.first().arrived_at_ms >= self.earliest_first_ms
+            && request.last().arrived_at_ms <= self.latest_last_ms
+    }
+}
+
+/// The order in which logical requests are considered for a retry; the lowest rank is joined.
+///
+/// Requests that were not answered rank before uncertain ones. Of those, requests that arrived
+/// before the retry rank before those that only seem to have arrived after it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CandidateRank {
+    is_answered: bool,
+    is_after_retry: bool,
+    last: RecordId,
+}
+
+impl CandidateRank {
+    fn of(request: &LogicalRequest, retry: &UsageRecord) -> CandidateRank {
+        let last = request.last();
+        CandidateRank {
+            is_answered: last.outcome.is_answered(),
+            is_after_retry: last.arrived_at_ms > retry.arrived_at_ms,
+            last: last.id(),
+        }
+    }
 }
--- a/crates/usage-ledger/src/join/logical_request.rs
+++ b/crates/usage-ledger/src/join/logical_request.rs
@@ -5,12 +5,12 @@
 /// A first request together with its retries: the unit that is billed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogicalRequest {
-    /// Its records, in the order in which they were joined; there is at least one.
+    /// Its records in the order in which they were joined; at least one.
     pub records: Vec<UsageRecord>,
     /// The best outcome of its records.
     pub outcome: RecordedOutcome,
-    /// Of its records, the retries that could have joined another record, or answered ones only: a
-    /// different reading would count otherwise.
+    /// The retries among its records that could have been joined in another way, which would have
+    /// changed the counts.
     pub ambiguous: Vec<RecordId>,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The first request, or the earliest known.
+    /// The first request, or the earliest one that has a record.
     pub fn first(&self) -> &UsageRecord {
         &self.records[0]
     }
--- a/crates/usage-ledger/src/join/mod.rs
+++ b/crates/usage-ledger/src/join/mod.rs
@@ -1,18 +1,19 @@
 //! Joins usage records into logical requests: a client's first request together with its retries.
 //!
-//! Records go in by the order of their arrival, logical requests come out. A first request begins a
-//! logical request. A record marked as a retry joins an earlier one, at most one retry to each
-//! record:
-//! - by the client's own idempotency key, whatever became of the earlier requests;
-//! - else by tenant, class and the hash of the query, within the class's client timeout of the
-//!   first request, to the record that has waited for longest among those that were not answered. A
-//!   record whose answer may never have left, for its aggregator died right after, counts as not
-//!   answered, but comes last.
+//! A [`Joiner`] takes records in the order of their arrival and returns logical requests. A first
+//! request starts a logical request. A record that is marked as a retry joins an earlier record,
+//! and each record is joined by at most one retry:
+//! - With an idempotency key, the retry joins the logical request that has the same key, whatever
+//!   the outcome of its records.
+//! - Without one, it joins a record of the same tenant, class and query hash that was not answered,
+//!   if its first request is no older than the client timeout of the class. Of several such records
+//!   it joins the oldest. A record whose reply may not have been sent, because its aggregator
+//!   crashed, counts as not answered, but is joined only if there is no other.
 //!
-//! A retry that finds nothing to join is a logical request of its own: its first request never
-//! arrived anywhere, or its record was lost with an aggregator. The clocks of two aggregators may
-//! differ by the `skew_ms` of [`Joiner::new`], so a retry may seem to arrive that much earlier than
-//! its first request.
+//! A retry that matches no record starts a logical request of its own: its first request did not
+//! arrive, or the record of that request was lost with an aggregator. The clocks of two aggregators
+//! may differ by [`JoinBounds::skew_ms`], so a retry may seem to arrive that much earlier than its
+//! first request.
 //!
 //! Pure: no I/O and no clock.
 
--- a/crates/usage-ledger/src/join/record.rs
+++ b/crates/usage-ledger/src/join/record.rs
@@ -1,11 +1,11 @@
-//! Usage records as joining takes them.
+//! Usage records as the input of joining.
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordedOutcome {
     /// Answered completely.
     Complete,
-    /// Answered with this share of the weight, in millionths.
+    /// Answered in part, with this share of the weight in millionths.
     Partial(u32),
     /// Rejected.
     Rejected,
@@ -43,10 +43,9 @@
         )
     }
 
-    /// The outcome of a logical request whose records ended like this and, later, like `other`: the
-    /// better one.
-    pub(super) fn better(self, other: RecordedOutcome) -> RecordedOutcome {
-        match (self, other) {
+    /// The better of two outcomes, where `later` is that of the later record.
+    pub(super) fn better(self, later: RecordedOutcome) -> RecordedOutcome {
+        match (self, later) {
             (RecordedOutcome::Complete, _) | (_, RecordedOutcome::Complete) => {
                 RecordedOutcome::Complete
             }
@@ -54,35 +53,35 @@
                 RecordedOutcome::Partial(left.max(right))
             }
             (RecordedOutcome::Partial(_), _) => self,
-            // None was answered: what the client was told last.
+            // Neither was answered: the last response counts.
             (_, later) => later,
         }
     }
 }
 
-/// Identifies one record for good; ids sort by arrival.
+/// The permanent id of a record. Ids sort by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RecordId {
     /// Arrival in Unix milliseconds.
     pub arrived_at_ms: i64,
     /// The number of the aggregator in the store.
     pub member_id: u32,
-    /// Its run.
+    /// The run of the aggregator.
     pub incarnation: u64,
-    /// The record's number in the run.
+    /// The sequence number of the record in the run.
     pub sequence: u64,
 }
 
-/// One record of a request that an aggregator has served.
+/// A request that an aggregator has served, with its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageRecord {
     /// Arrival in Unix milliseconds, by its aggregator's clock.
     pub arrived_at_ms: i64,
     /// The number of the aggregator in the store.
     pub member_id: u32,
-    /// Its run.
+    /// The run of the aggregator.
     pub incarnation: u64,
-    /// The record's number in the run.
+    /// The sequence number of the record in the run.
     pub sequence: u64,
     /// The number of the tenant in the store.
     pub tenant_id: u32,
@@ -90,7 +89,7 @@
     pub class_id: u32,
     /// How it ended.
     pub outcome: RecordedOutcome,
-    /// Shards that were asked.
+    /// Shards that were queried.
     pub parts: u32,
     /// Attempts at replicas.
     pub attempts: u32,
@@ -98,18 +97,18 @@
     pub cross_zone_attempts: u32,
     /// The client marked it as a retry.
     pub is_retry: bool,
-    /// The client's idempotency key or, where it sent none, the hash of the query.
+    /// The idempotency key of the client or, if it sent none, the hash of the query.
     pub key: u64,
     /// Whether `key` is the idempotency key of the client.
     pub has_idempotency_key: bool,
-    /// The longest that clients of the class wait over all their requests, in milliseconds.
+    /// The client timeout of the class over all attempts of the client, in milliseconds.
     pub client_timeout_ms: i64,
     /// Whether its aggregator crashed soon afterwards, so that the reply may not have been sent.
     pub reply_uncertain: bool,
 }
 
 impl UsageRecord {
-    /// The record's identity.
+    /// The id of the record.
     pub fn id(&self) -> RecordId {
         RecordId {
             arrived_at_ms: self.arrived_at_ms,
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Whether a retry without a key may be of this request.
+    /// Whether a retry without an idempotency key may belong to this request.
     pub(super) fn may_be_retried(&self) -> bool {
         !self.outcome.is_answered() || self.reply_uncertain
     }
--- a/crates/usage-ledger/src/lib.rs
+++ b/crates/usage-ledger/src/lib.rs
@@ -1,10 +1,19 @@
-//! The usage ledger: what each aggregator logs of the requests it served, and how that is
-//! collected, joined, settled, corrected and exported.
+//! The usage ledger: what each aggregator logs of the requests that it served, and how these logs
+//! are collected, joined, settled, corrected and exported.
 //!
-//! [`join`], [`rate`], [`line_counts`], [`closing_decision`], [`period_settler`] and [`period`] are
-//! pure: no I/O and no clock. The rest moves bytes: [`log`] and [`writer`] at the aggregator, [`collect`] between aggregator and settlement,
-//! [`store`], [`settlement`] and [`export`] at the settlement. A [`statement`] is what a closed
-//! period came to, a [`document`] what one tenant is sent of it.
+//! The rules are pure, without I/O and clock:
+//! - [`join`]: which records belong to one logical request.
+//! - [`period`]: the billing periods.
+//! - [`closing_decision`]: when a period may close.
+//! - [`period_settler`] and [`line_counts`]: what a period counts, and what late records change.
+//! - [`rate`]: the price of what is counted.
+//!
+//! At the aggregator, [`writer`] writes the usage log in the format of [`log`], and [`collect`]
+//! serves it over gRPC. The settlement is a process of its own: [`settlement`] follows the logs of
+//! all aggregators, [`store`] keeps records and statements, and [`export`] sends documents.
+//!
+//! A [`statement`] is the result of a closed period, a [`document`] the part of it that one tenant
+//! receives. [`reconcile`] compares the ledger with the clients' own records.
 
 pub mod closing_decision;
 pub mod collect;
@@ -23,8 +32,8 @@
 pub mod store;
 pub mod writer;
 
-/// What crosses process boundaries, as `proto/usage.proto` defines it.
+/// The messages between processes and in segments, generated from `proto/usage.proto`.
 pub mod wire {
-    #![allow(missing_docs)]
+    #![allow(missing_docs, reason = "generated code")]
     tonic::include_proto!("cottonhill.usage.v1");
 }
--- a/crates/usage-ledger/src/line_counts.rs
+++ b/crates/usage-ledger/src/line_counts.rs
@@ -5,7 +5,7 @@
 use crate::rate::UsageCounts;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a line counts: the usage of one tenant in one class.
+/// Identifies a line: the usage of one tenant in one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LineKey {
     /// The number of the tenant in the store.
@@ -17,8 +17,7 @@
 /// The lines of a period.
 pub type LineCounts = BTreeMap<LineKey, UsageCounts>;
 
-/// What has to be put right of a closed period: what it comes to now, less what statements have
-/// counted so far.
+/// The adjustments of a closed period: its present counts minus those of all statements so far.
 pub fn adjustments(now: &LineCounts, stated: &LineCounts) -> LineCounts {
     let keys: BTreeSet<LineKey> = now.keys().chain(stated.keys()).copied().collect();
     let counts = |lines: &LineCounts, key: &LineKey| lines.get(key).copied().unwrap_or_default();
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -1,4 +1,4 @@
-//! Reading a log that is still being written, from any position on.
+//! Reads a log that is still being written, from any position on.
 
 use super::format::{parse_header, read_items, SegmentItem, MAGIC, MAX_HEADER_BYTES};
 use super::position::LogPosition;
@@ -8,9 +8,9 @@
 use std::io::{self, Read as _, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
 
-/// Bytes that are read at a time, unless a longer stretch is damaged.
+/// Number of bytes that are read at a time, unless more bytes in a row are damaged.
 const CHUNK_BYTES: u64 = 256 * 1024;
-/// Room for the magic number and a frame's head before a segment's header, in bytes.
+/// Upper bound of the length of magic number and frame head, which precede the header, in bytes.
 const HEADER_MARGIN_BYTES: u64 = 64;
 
 /// The header of a segment, and the offset of its first entry.
@@ -27,26 +27,26 @@
 struct OpenSegment {
     segment: Segment,
     header: Option<Header>,
-    /// Where to go on reading.
+    /// Offset of the next byte to read.
     offset: u64,
 }
 
-/// What one read of an open segment found.
+/// The result of one read of an open segment.
 struct Chunk {
     entries: Vec<Entry>,
     damage: Vec<Damage>,
     /// Offset up to which the segment has been read.
     end: u64,
-    /// Bytes after `end` that are no frame, or not yet a complete one.
+    /// Number of bytes after `end`, where there is no complete frame.
     unread: u64,
 }
 
-/// What one step through the log came to.
+/// The result of one step through the log.
 enum Step {
     Batch(Batch),
-    /// Nothing to deliver yet, but there is more to read.
+    /// Nothing to deliver, but there is more to read.
     Advanced,
-    /// Everything that was written has been read.
+    /// All of the log has been read.
     CaughtUp,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl LogFollower {
-    /// A follower that delivers what comes after a position in the log in `directory`.
+    /// A follower that delivers the entries after a position of the log in `directory`.
     pub fn new(directory: &Path, after: LogPosition) -> LogFollower {
         LogFollower {
             directory: directory.into(),
@@ -91,8 +91,7 @@
     }
 
     fn step(&mut self, mut open: OpenSegment, max_entries: usize) -> io::Result<Step> {
-        // Looked up before reading: if there is a later segment by now, this one has grown for the
-        // last time.
+        // Looked up before reading: once there is a later segment, this one does not grow any more.
         let later = self.segment_after(&open.segment)?;
         let chunk = self.read_chunk(&open, max_entries)?;
         let advanced = chunk.end > open.offset;
@@ -107,7 +106,7 @@
             }));
         }
         if advanced {
-            // All that was read stands before the position.
+            // All entries that were read precede the position.
             self.open = Some(open);
             return Ok(Step::Advanced);
         }
@@ -119,7 +118,7 @@
         if chunk.unread == 0 {
             return Ok(Step::Advanced);
         }
-        // A tail that is no frame, and nothing will follow it.
+        // Unreadable bytes at the end of a segment that does not grow any more.
         let damage = Damage {
             segment: open.segment.name(),
             from: chunk.end,
@@ -132,7 +131,7 @@
         }))
     }
 
-    /// The segment that holds the position: the last that does not begin after it.
+    /// The segment with the position: the last one that does not begin after it.
     fn first_segment(&self) -> io::Result<Option<Segment>> {
         let segments = segments(&self.directory)?;
         let from = (self.after.incarnation, self.after.sequence + 1);
@@ -159,7 +158,7 @@
         })
     }
 
-    /// Names hold for a whole run: if a header can't be read, any other segment of it will do.
+    /// The names of a run are the same in all of its segments: any readable header of the run.
     fn header_of_run(&self, incarnation: u64) -> io::Result<Option<Header>> {
         let segments = segments(&self.directory)?;
         let header = segments
@@ -174,7 +173,7 @@
         file.seek(SeekFrom::Start(open.offset))?;
         let mut bytes = Vec::new();
         let mut wanted = CHUNK_BYTES;
-        // A damaged stretch may be longer than a chunk: then more is needed to get past it.
+        // If a whole chunk is damaged, a longer one is read to find the next frame.
         let found = loop {
             let missing = wanted - bytes.len() as u64;
             let got = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
@@ -204,11 +203,11 @@
         Ok(chunk)
     }
 
-    /// Whether an entry stands before the position.
+    /// Whether an entry precedes the position, or is at it.
     fn is_delivered(&self, segment: &Segment, entry: &Entry) -> bool {
         let sequence = match &entry.what {
             Some(What::Record(record)) => record.sequence,
-            // A mark comes after the record that it names.
+            // A mark follows the record that it names.
             Some(What::Mark(mark)) => mark.sequence + 1,
             None => 0,
         };
--- a/crates/usage-ledger/src/log/format.rs
+++ b/crates/usage-ledger/src/log/format.rs
@@ -8,7 +8,7 @@
 use crate::wire::{Entry, Header};
 use prost::Message;
 
-/// The first bytes of each segment: the format's name and version.
+/// The first bytes of each segment: name and version of the format.
 pub const MAGIC: &[u8; 8] = b"CTHLUSE\x01";
 /// The version that a header states.
 pub const VERSION: u32 = 1;
@@ -26,7 +26,7 @@
     let start = out.len();
     let length_at = start + WORD_BYTES;
     out.extend_from_slice(&[0; FRAME_HEAD_BYTES]);
-    // A vector takes any length, so this can't fail.
+    // Encoding fails only if the buffer is too small, and a vector grows.
     let _ = body.encode(out);
     let length = (out.len() - start - FRAME_HEAD_BYTES) as u32;
     out[length_at..length_at + WORD_BYTES].copy_from_slice(&length.to_le_bytes());
@@ -56,21 +56,21 @@
     (crc32fast::hash(covered) == checksum).then_some(Frame { body, end })
 }
 
-/// One finding in a segment.
+/// An entry, or bytes that are no entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SegmentItem {
     /// An entry that could be read.
     Entry(Entry),
-    /// Bytes from one offset up to another that are no frames, though frames follow.
+    /// The bytes from one offset up to another are no frames, but a frame follows them.
     Damage(u64, u64),
 }
 
-/// What [`read_items`] found in a segment's bytes.
+/// The result of [`read_items`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SegmentContent {
     /// Entries and damage, in the order of the segment.
     pub items: Vec<SegmentItem>,
-    /// Offset up to which the bytes were read; what follows is no frame, or not yet a complete one.
+    /// Offset up to which the bytes were read. No complete frame follows it.
     pub end: usize,
 }
 
@@ -81,8 +81,8 @@
     Some((Header::decode(frame.body).ok()?, MAGIC.len() + frame.end))
 }
 
-/// Reads at most `max_items` items from offset `at` on, skipping what can't be read up to the next
-/// frame that can.
+/// Reads at most `max_items` items from offset `at` on. Unreadable bytes are skipped up to the next
+/// valid frame.
 pub fn read_items(bytes: &[u8], at: usize, max_items: usize) -> SegmentContent {
     let mut read = SegmentContent {
         items: Vec::new(),
@@ -94,7 +94,7 @@
             read.end = end;
             continue;
         }
-        // Where a length is damaged the next frame may begin anywhere.
+        // If a length is damaged, the next frame may begin at any offset.
         let mut candidates = read.end + 1..bytes.len();
         let Some(next) = candidates.find(|at| entry(bytes, *at).is_some()) else {
             break;
--- a/crates/usage-ledger/src/log/mod.rs
+++ b/crates/usage-ledger/src/log/mod.rs
@@ -1,9 +1,11 @@
 //! The usage log of one aggregator: a directory of append-only segments.
 //!
-//! [`append_frame`] and [`read_items`] define the frames, [`segments`] lists the files of a log, and a
-//! [`LogFollower`] reads a log that is still being written. Reading tolerates any damage:
-//! unreadable bytes are reported as a range, and all entries around them are still found. The
-//! [`writer`](crate::writer) module writes the log.
+//! This module defines the format of segments, and reads them: [`append_frame`] and [`read_items`]
+//! define the frames, [`segments`] lists the files of a log, and a [`LogFollower`] reads a log that
+//! is still being written. [`writer`](crate::writer) writes a log.
+//!
+//! Reading tolerates any damage: unreadable bytes are reported as a range, and all entries around
+//! them are still found.
 
 mod follower;
 mod format;
--- a/crates/usage-ledger/src/log/segment.rs
+++ b/crates/usage-ledger/src/log/segment.rs
@@ -1,4 +1,4 @@
-//! The files of a log.
+//! The files of a log, and their removal and repair.
 
 use super::format::{parse_header, read_items, FRAME_HEAD_BYTES, MAGIC};
 use super::position::LogPosition;
@@ -13,7 +13,7 @@
     pub incarnation: u64,
     /// No record in it has a smaller sequence number.
     pub first_sequence: u64,
-    /// Where it is.
+    /// The path of the file.
     pub path: PathBuf,
 }
 
@@ -38,13 +38,13 @@
         })
     }
 
-    /// The file's name.
+    /// The name of the file.
     pub fn name(&self) -> String {
         let name = self.path.file_name().unwrap_or_default();
         name.to_string_lossy().into_owned()
     }
 
-    /// Whether all records up to `settled` include all of this segment, given the one after it.
+    /// Whether no record of this segment comes after `settled`; `next` is the following segment.
     fn is_settled(&self, next: &Segment, settled: LogPosition) -> bool {
         if next.incarnation != self.incarnation {
             return settled.incarnation > self.incarnation;
@@ -77,7 +77,7 @@
 pub fn cut_torn_tail(segment: &Segment) -> io::Result<u64> {
     let bytes = fs::read(&segment.path)?;
     let Some((_, entries_at)) = parse_header(&bytes) else {
-        // A damaged header keeps its records; one that was never complete has none.
+        // Records may follow a damaged header, but not one that was never written completely.
         let has_entries = bytes.len() > MAGIC.len() + FRAME_HEAD_BYTES
             && !read_items(&bytes, MAGIC.len(), 1).items.is_empty();
         if has_entries {
@@ -95,8 +95,8 @@
     Ok(torn)
 }
 
-/// Removes the segments that hold nothing after `settled`, except the last one. Returns how many
-/// were removed.
+/// Removes the segments without records after `settled`, except the last segment. Returns the
+/// number of removed segments.
 ///
 /// # Errors
 /// The directory can't be read, or a segment can't be removed.
--- a/crates/usage-ledger/src/period.rs
+++ b/crates/usage-ledger/src/period.rs
@@ -1,4 +1,4 @@
-//! Billing periods: half-open spans of UTC, whatever calendar they follow.
+//! Billing periods: half-open ranges of UTC time, by a calendar.
 //!
 //! Pure: no clock is read here.
 
@@ -15,13 +15,13 @@
 }
 
 impl Period {
-    /// Its name: the UTC time of its start, which no other period has.
+    /// The name of the period: the UTC time of its start, which is unique.
     pub fn name(&self) -> String {
         format_timestamp(self.start_ms)
     }
 }
 
-/// A time in Unix milliseconds as UTC text that sorts as the time does.
+/// A time in Unix milliseconds as UTC text. The texts sort like the times.
 pub fn format_timestamp(ms: i64) -> String {
     Timestamp::from_millisecond(ms).map_or_else(|_| ms.to_string(), |at| format!("{at:.3}"))
 }
@@ -29,7 +29,7 @@
 /// The length of a period.
 #[derive(Clone, Debug)]
 pub enum PeriodLength {
-    /// As many milliseconds, counted from the start of 1970.
+    /// A fixed number of milliseconds; the first period starts with the year 1970.
     Milliseconds(i64),
     /// A civil day: 23 or 25 hours long where the clocks change.
     CivilDay(TimeZone),
@@ -37,13 +37,13 @@
     CivilMonth(TimeZone),
 }
 
-/// Cuts time into periods without gap or overlap.
+/// Divides time into periods without gap or overlap.
 #[derive(Clone, Debug)]
 pub struct Calendar(pub PeriodLength);
 
 impl Calendar {
     /// The period that holds a time in Unix milliseconds.
-    pub fn at(&self, ms: i64) -> Period {
+    pub fn period_at(&self, ms: i64) -> Period {
         match &self.0 {
             PeriodLength::Milliseconds(length) => {
                 let start = ms.div_euclid(*length) * length;
@@ -60,8 +60,8 @@
     }
 
     /// The period that follows.
-    pub fn after(&self, period: Period) -> Period {
-        self.at(period.end_ms)
+    pub fn period_after(&self, period: Period) -> Period {
+        self.period_at(period.end_ms)
     }
 }
 
@@ -91,7 +91,7 @@
 }
 
 fn civil_day(at: Zoned) -> Result<CivilSpan, jiff::Error> {
-    // Rounding takes the day's own first instant, also where midnight does not exist.
+    // Rounding returns the first instant of the day, also where midnight does not exist.
     let floor = ZonedRound::new().smallest(Unit::Day).mode(RoundMode::Floor);
     let start = at.round(floor)?;
     let next = start.checked_add(1.day())?.start_of_day()?;
--- a/crates/usage-ledger/src/period_settler.rs
+++ b/crates/usage-ledger/src/period_settler.rs
@@ -7,31 +7,31 @@
 use crate::period::Period;
 use std::collections::BTreeSet;
 
-/// What settling one period tells the settling of the next.
+/// The results of settling one period that settling the next one depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CarryOver {
-    /// Records near or past the period's end that belong to its logical requests, and to none of
-    /// the next period's.
+    /// Records near or after the end of the period that belong to its logical requests, and so to
+    /// none of the next period.
     pub carried: BTreeSet<RecordId>,
     /// Retries of later requests that could have joined a request of this period.
     pub ambiguous_retries: BTreeSet<RecordId>,
 }
 
-/// What a period comes to.
+/// The result of settling a period.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettledPeriod {
     /// Its counts.
     pub lines: LineCounts,
-    /// What the next period has to know.
+    /// What the next period depends on.
     pub carry_over: CarryOver,
-    /// First records of logical requests with an ambiguous join.
+    /// The first records of logical requests with an ambiguous join.
     pub ambiguous: Vec<RecordId>,
 }
 
 /// Settles one period.
 ///
 /// Takes the records that arrived in the range of [`JoinBounds::arrivals`], in the order of
-/// [`UsageRecord::id`], and ignores those that the period before has carried over.
+/// [`UsageRecord::id`], and ignores those that the previous period has carried over.
 pub struct PeriodSettler {
     carried_in: BTreeSet<RecordId>,
     joiner: Joiner,
@@ -41,15 +41,17 @@
 /// Counts the logical requests of one period.
 struct PeriodCount {
     period: Period,
-    /// From here on, in Unix milliseconds, a record may also be read for the next period.
+    /// Records that arrive from this time on may also be read for the next period, in Unix
+    /// milliseconds.
     carry_from_ms: i64,
-    /// Up to here, in Unix milliseconds, a retry may be of a request of this period.
+    /// Retries that arrive up to this time may belong to a request of this period, in Unix
+    /// milliseconds.
     retry_until_ms: i64,
     settled: SettledPeriod,
 }
 
 impl PeriodSettler {
-    /// Begins to settle `period`, after the period before has told what it carries over.
+    /// Starts to settle `period`; `before` is what the previous period carries over.
     pub fn new(period: Period, bounds: JoinBounds, before: CarryOver) -> PeriodSettler {
         PeriodSettler {
             carried_in: before.carried,
@@ -75,7 +77,7 @@
         self.joiner.push(record, &mut |request| count.add(&request));
     }
 
-    /// What the period comes to: no more records come.
+    /// The result, after the last record.
     pub fn finish(mut self) -> SettledPeriod {
         let count = &mut self.count;
         self.joiner.finish(&mut |request| count.add(&request));
--- a/crates/usage-ledger/src/rate.rs
+++ b/crates/usage-ledger/src/rate.rs
@@ -1,8 +1,9 @@
-//! What usage costs, in whole micro-units.
+//! The price of usage, in integral micro-units.
 //!
-//! A line counts the usage of one tenant and class in one period. Complete answers cost their price
-//! each; partial ones cost their price times the sum of their shares, rounded **once a line**, half
-//! a micro-unit up. Rejected, failed and cancelled requests are free, and counted.
+//! A line counts the usage of one tenant and class in one period. Each complete answer costs the
+//! price of complete answers. Partial answers cost the price of partial answers times the sum of
+//! their shares, rounded once per line, with half a micro-unit rounded up. Rejected, failed and
+//! cancelled requests are counted and free.
 //!
 //! Pure: no I/O and no clock.
 
@@ -11,13 +12,12 @@
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub};
 
-/// What a line counts.
+/// The counts of a line.
 ///
-/// Every count adds up, so the difference of two counts is one, too. The serialized names are part
-/// of the format of statements.
+/// Counts can be added and subtracted. The serialized names are part of the format of statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageCounts {
-    /// Logical requests, whatever became of them.
+    /// Logical requests with any outcome.
     #[serde(rename = "uses")]
     pub requests: i64,
     /// Answered completely.
@@ -25,7 +25,7 @@
     pub complete: i64,
     /// Answered in part.
     pub partial: i64,
-    /// The shares of all partial answers together, in millionths.
+    /// The sum of the shares of all partial answers, in millionths.
     #[serde(rename = "share")]
     pub share_millionths: i64,
     /// Rejected.
@@ -39,14 +39,14 @@
     /// Records: first requests and retries.
     #[serde(rename = "tries")]
     pub records: i64,
-    /// Shards that were asked.
+    /// Shards that were queried.
     pub parts: i64,
     /// Attempts at replicas.
     pub attempts: i64,
     /// Attempts at replicas of another zone.
     #[serde(rename = "crossed")]
     pub cross_zone_attempts: i64,
-    /// Logical requests whose records might have been joined in another way.
+    /// Logical requests whose records could have been joined in another way.
     pub ambiguous: i64,
 }
 
@@ -154,7 +154,7 @@
     }
 }
 
-/// A complete answer's share, in the unit of shares.
+/// The share of a complete answer, in millionths.
 const MILLIONTHS: i128 = 1_000_000;
 
 /// The amount of a line in micro-units.
@@ -165,7 +165,7 @@
     i64::try_from(complete.saturating_add(partial)).unwrap_or(i64::MAX)
 }
 
-/// Answered requests past a tenant's allowance.
+/// The answered requests beyond the allowance of a tenant.
 pub fn requests_over_allowance(answered: i64, allowance: Option<u64>) -> i64 {
     let Some(allowance) = allowance else {
         return 0;
--- a/crates/usage-ledger/src/reconcile/client_request.rs
+++ b/crates/usage-ledger/src/reconcile/client_request.rs
@@ -1,8 +1,8 @@
-//! The clients' own records of their requests.
+//! The rows of the files in which clients record their requests.
 
 use serde::{Deserialize, Serialize};
 
-/// One logical request as a client recorded it: a row of its file.
+/// One logical request as a client has recorded it. The field names are the columns of the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientRequest {
     /// When the first request was sent, in Unix milliseconds.
@@ -14,9 +14,9 @@
     /// A published name of an outcome; any name other than `whole` and `partial` stands for a
     /// request that was not answered.
     pub outcome: String,
-    /// How many requests the client made, with retries.
+    /// The number of requests that the client sent, including retries.
     pub tries: u32,
-    /// The key that joins its requests, in hexadecimal.
+    /// The idempotency key or the hash of the query, in hexadecimal.
     pub key: String,
 }
 
--- a/crates/usage-ledger/src/reconcile/comparison.rs
+++ b/crates/usage-ledger/src/reconcile/comparison.rs
@@ -51,7 +51,7 @@
     Ok(comparison.match_clients(&clients))
 }
 
-/// What both sides know of a logical request.
+/// The properties of a logical request that both sides have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     tenant: String,
@@ -64,14 +64,14 @@
 struct Comparison<'a> {
     calendar: &'a Calendar,
     report: ReconciliationReport,
-    /// Requests of the ledger that no client's request has been matched with, oldest first.
+    /// Requests of the ledger that no request of a client was matched with, oldest first.
     unmatched: BTreeMap<RequestKey, VecDeque<LogicalRequest>>,
 }
 
 impl Comparison<'_> {
-    fn total(&mut self, at: i64, key: &RequestKey) -> &mut RequestTotals {
+    fn total(&mut self, at_ms: i64, key: &RequestKey) -> &mut RequestTotals {
         let total = TotalKey {
-            period: self.calendar.at(at).name(),
+            period: self.calendar.period_at(at_ms).name(),
             tenant: key.tenant.clone(),
             class: key.class.clone(),
         };
@@ -80,7 +80,7 @@
 
     fn add_ledger_request(&mut self, key: RequestKey, request: LogicalRequest) {
         let total = self.total(request.first().arrived_at_ms, &key);
-        total.ledger += 1;
+        total.ledger_requests += 1;
         total.ledger_answered += u64::from(request.outcome.is_answered());
         self.unmatched.entry(key).or_default().push_back(request);
     }
@@ -115,7 +115,7 @@
         };
         let answered = client.is_answered();
         let total = self.total(client.at_ms, &key);
-        total.client += 1;
+        total.client_requests += 1;
         total.client_answered += u64::from(answered);
         let request = self.unmatched.get_mut(&key).and_then(VecDeque::pop_front);
         let ledger_outcome = request.map(|request| request.outcome);
@@ -132,18 +132,18 @@
         &mut self,
         kind: DifferenceKind,
         key: &RequestKey,
-        at: i64,
-        ledger: Option<&str>,
-        client: Option<&str>,
+        at_ms: i64,
+        ledger_outcome: Option<&str>,
+        client_outcome: Option<&str>,
     ) {
         self.report.differences.push(RequestDifference {
             kind,
             tenant: key.tenant.clone(),
             class: key.class.clone(),
-            at: format_timestamp(at),
+            at: format_timestamp(at_ms),
             key: key.key.clone(),
-            ledger: ledger.unwrap_or_default().to_string(),
-            client: client.unwrap_or_default().to_string(),
+            ledger_outcome: ledger_outcome.unwrap_or_default().to_string(),
+            client_outcome: client_outcome.unwrap_or_default().to_string(),
         });
     }
 }
--- a/crates/usage-ledger/src/reconcile/report.rs
+++ b/crates/usage-ledger/src/reconcile/report.rs
@@ -1,4 +1,4 @@
-//! What a reconciliation reports.
+//! The report of a reconciliation.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -24,7 +24,7 @@
     }
 }
 
-/// What only one side has, or what differs.
+/// A logical request on which the two sides differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestDifference {
     /// How the sides differ.
@@ -38,12 +38,12 @@
     /// The key, in hexadecimal.
     pub key: String,
     /// The ledger's outcome; empty if it has none.
-    pub ledger: String,
+    pub ledger_outcome: String,
     /// The client's outcome; empty if it has none.
-    pub client: String,
+    pub client_outcome: String,
 }
 
-/// What a total counts: the logical requests of one tenant and class in one period.
+/// Identifies a total: the logical requests of one tenant and class in one period.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TotalKey {
     /// The period's name.
@@ -54,23 +54,23 @@
     pub class: String,
 }
 
-/// Logical requests of one tenant and class in one period, on both sides.
+/// The number of logical requests of one tenant and class in one period, on both sides.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// All that the ledger has.
-    pub ledger: u64,
-    /// All that the clients have.
-    pub client: u64,
-    /// Those answered, by the ledger.
+    /// Requests in the ledger.
+    pub ledger_requests: u64,
+    /// Requests in the files of the clients.
+    pub client_requests: u64,
+    /// Answered requests in the ledger.
     pub ledger_answered: u64,
-    /// Those answered, by the clients.
+    /// Answered requests in the files of the clients.
     pub client_answered: u64,
 }
 
 impl RequestTotals {
-    /// Whether both sides have as many requests, and as many answered ones.
+    /// Whether both sides have the same number of requests and of answered requests.
     pub fn is_equal(&self) -> bool {
-        self.ledger == self.client && self.ledger_answered == self.client_answered
+        self.ledger_requests == self.client_requests && self.ledger_answered == self.client_answered
     }
 }
 
@@ -84,8 +84,8 @@
 }
 
 impl ReconciliationReport {
-    /// How many totals differ.
-    pub fn unequal(&self) -> usize {
+    /// The number of totals that differ.
+    pub fn unequal_totals(&self) -> usize {
         self.totals.values().filter(|pair| !pair.is_equal()).count()
     }
 }
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -1,4 +1,4 @@
-//! Takes batches into the store, and closes periods once they may close.
+//! Writes batches into the store, and closes periods.
 
 use crate::closing_decision::{decide_closing, ClosingDecision, MemberProgress};
 use crate::log::LogPosition;
@@ -16,11 +16,11 @@
     missing: Vec<String>,
 }
 
-/// The store with the settings in force.
+/// The store, with the settings in force.
 pub(super) struct PeriodCloser {
     store: Store,
     pub(super) settings: LedgerSettings,
-    /// What was last logged as waiting, so that it is logged once.
+    /// The waiting period that was logged last; it is not logged again.
     waiting: Option<WaitingPeriod>,
 }
 
@@ -33,13 +33,14 @@
         }
     }
 
-    /// Puts other settings in force; the calendar and the store stay what they were at the start.
+    /// Applies other settings. The calendar and the store can't change at run time.
     pub(super) fn reload(&mut self, next: LedgerSettings) {
         let calendar = self.settings.calendar.clone();
         self.settings = LedgerSettings { calendar, ..next };
     }
 
-    /// Takes a batch into the store. Returns up to where the member's log is in the store.
+    /// Writes a batch into the store. Returns the position up to which the store has the log of the
+    /// member.
     pub(super) fn ingest(
         &mut self,
         member: &str,
@@ -94,7 +95,7 @@
         Ok(())
     }
 
-    /// How far the records of the members that took part in a period are known.
+    /// Up to which time the records of the members that took part in a period are known.
     fn progress(&self, period: Period) -> Result<Vec<MemberProgress>, StoreError> {
         let statuses = self.store.member_statuses()?.into_iter();
         let complete_until_ms: HashMap<String, i64> = statuses
--- a/crates/usage-ledger/src/settlement/collector.rs
+++ b/crates/usage-ledger/src/settlement/collector.rs
@@ -15,27 +15,27 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Status, Streaming};
 
-/// The least interval at which an aggregator is told what it may remove.
+/// The shortest interval between two acknowledgements to a member.
 const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest message of a member, in bytes.
+/// The maximum length of a message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// The most doublings of the pause before a member is asked again.
+/// The maximum number of doublings of the retry delay.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// A batch from a member.
 pub(super) struct CollectedBatch {
     pub(super) member: String,
     pub(super) batch: Batch,
-    /// Where to say up to what the member's log is in the store.
+    /// Receives the position up to which the log of the member is in the store.
     pub(super) stored: oneshot::Sender<LogPosition>,
 }
 
-/// Times that collection goes by.
+/// The times of collection, from the settings.
 #[derive(Clone, Copy)]
 pub(super) struct CollectionTimes {
-    /// The first pause before a member that failed is asked again.
+    /// The pause before the first retry after a failure.
     retry_delay: Duration,
-    /// A member that says nothing for so long is asked anew.
+    /// The connection is renewed if no message arrives for this time.
     idle_timeout: Duration,
 }
 
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The store alone knows how far it got, whatever became of this process before.
+    /// The position in the store, which is valid also after a crash of this process.
     async fn stored_position(&self) -> Result<LogPosition, CollectError> {
         let path = self.store_path.clone();
         let member = self.member.clone();
@@ -139,7 +139,7 @@
         Ok(tokio::task::spawn_blocking(position).await??)
     }
 
-    /// The next message; `None` if it only shows that the member is alive.
+    /// The next message; `None` for a heartbeat.
     async fn next_batch(
         &self,
         stream: &mut Streaming<Batch>,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Waits until a batch is in the store.
+    /// Waits until a batch is in the store. Returns the new position.
     async fn store(&self, batch: Batch) -> Result<LogPosition, CollectError> {
         let (stored, position) = oneshot::channel();
         let collected = CollectedBatch {
@@ -174,7 +174,7 @@
     }
 }
 
-/// Tells an aggregator what of its log it may remove.
+/// Tells a member up to which position it may remove its log.
 async fn acknowledge(
     client: &mut UsageLogClient<Channel>,
     position: LogPosition,
--- a/crates/usage-ledger/src/settlement/collectors.rs
+++ b/crates/usage-ledger/src/settlement/collectors.rs
@@ -1,4 +1,4 @@
-//! The tasks that follow members, one a member.
+//! The tasks that follow members, one per member.
 
 use super::collector::{CollectedBatch, CollectionTimes, Collector};
 use super::lock::lock;
@@ -10,6 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
+/// A member that is followed, and the task that does so.
 struct FollowedMember {
     address: SocketAddr,
     task: AbortHandle,
@@ -41,7 +42,7 @@
         *lock(&self.times) = times;
     }
 
-    /// Follows these members, and no others.
+    /// Starts and aborts tasks so that exactly these members are followed.
     pub(super) fn follow(&mut self, members: &BTreeMap<String, Member>) {
         self.followed.retain(|name, followed| {
             let member = members.get(name);
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -1,4 +1,4 @@
-//! Sends the documents of the outbox, each until it is acknowledged, on a thread of its own.
+//! The thread that sends the documents in the outbox, each until it is acknowledged.
 
 use super::clock::unix_time_ms;
 use super::lock::lock;
@@ -16,7 +16,7 @@
 /// Interval at which the exporter looks for documents to send.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the thread is told.
+/// The state that the thread shares with its handle.
 struct Shared {
     target: Mutex<ExportTarget>,
     stopping: AtomicBool,
@@ -28,7 +28,7 @@
     }
 }
 
-/// The running exporter.
+/// The handle of the running thread.
 pub(super) struct Exporter {
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
@@ -64,7 +64,7 @@
 
 fn run(store_path: &Path, shared: &Shared) -> Result<(), StoreError> {
     let store = Store::open(store_path)?;
-    // When documents that have failed are sent again, by id.
+    // The times of the next attempts for documents that have failed, by document id.
     let mut retry_at: HashMap<String, Instant> = HashMap::new();
     while !shared.is_stopping() {
         let target = lock(&shared.target).clone();
--- a/crates/usage-ledger/src/settlement/lock.rs
+++ b/crates/usage-ledger/src/settlement/lock.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex whose data is valid whatever became of other threads that held it.
+/// Locks a mutex whose data is valid even if a thread has panicked while it held the lock.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/usage-ledger/src/settlement/service.rs
+++ b/crates/usage-ledger/src/settlement/service.rs
@@ -16,15 +16,15 @@
 /// Interval at which the settlement looks for periods to close.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an operator tells a running settlement.
+/// A signal of an operator to the running settlement.
 pub enum SettlementSignal {
-    /// These settings are in force from now on.
+    /// Apply these settings.
     Reload(Box<LedgerSettings>),
-    /// End in order.
+    /// Shut down gracefully.
     Shutdown,
 }
 
-/// Runs the settlement until it is told to shut down.
+/// Runs the settlement until it receives [`SettlementSignal::Shutdown`] or all senders are gone.
 ///
 /// # Errors
 /// The store can't be used.
--- a/crates/usage-ledger/src/statement.rs
+++ b/crates/usage-ledger/src/statement.rs
@@ -1,4 +1,4 @@
-//! Statements: what a closed period came to.
+//! Statements: the results of closed periods.
 //!
 //! Statements are stored and exported as JSON; the names and the order of the fields are part of
 //! that format.
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How amounts are rounded, as statements say it.
+/// The rounding rule, as text in statements.
 pub(crate) const ROUNDING: &str = "once a line, half a micro-unit up";
 
 /// One line of a statement.
@@ -17,17 +17,18 @@
     pub tenant: String,
     /// The class's name.
     pub class: String,
-    /// The period it counts: the statement's own, or an earlier one that late records have changed.
+    /// The name of the period that it counts: that of the statement, or an earlier one that late
+    /// records have changed.
     pub period: String,
     /// Whether it adjusts an earlier period.
     #[serde(rename = "adjusts")]
     pub is_adjustment: bool,
-    /// What it counts.
+    /// The counts of the line.
     #[serde(flatten)]
     pub counts: UsageCounts,
     /// Micro-units.
     pub amount: i64,
-    /// The class has no price; it is counted and free.
+    /// Whether the class has no price; it is counted and free.
     #[serde(
         rename = "unpriced",
         default,
@@ -36,22 +37,22 @@
     pub is_unpriced: bool,
 }
 
-/// A correction that an operator has made.
+/// A correction that an operator has entered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CorrectionLine {
-    /// The operator's id for it; there is one of each.
+    /// The id, unique among all corrections.
     pub id: String,
     /// The tenant's name.
     pub tenant: String,
-    /// Micro-units; below zero in the tenant's favour.
+    /// Micro-units; negative in favour of the tenant.
     pub amount: i64,
-    /// Why it was made.
+    /// The reason for it.
     pub reason: String,
-    /// Who made it.
+    /// The operator who made it.
     pub author: String,
 }
 
-/// One tenant's part of a statement.
+/// The totals of one tenant in a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantTotal {
     /// The tenant's name.
@@ -60,22 +61,22 @@
     pub answered: i64,
     /// The tenant's allowance; `None` if it has none.
     pub allowance: Option<u64>,
-    /// Answered requests past the allowance.
+    /// Answered requests beyond the allowance.
     #[serde(rename = "over")]
     pub over_allowance: i64,
-    /// Micro-units, with adjustments and corrections.
+    /// Micro-units, including adjustments and corrections.
     pub amount: i64,
 }
 
-/// How complete a member's records were when a period closed.
+/// How complete the records of a member were when a period closed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberState {
     /// The aggregator's name.
     pub member: String,
-    /// Its records are complete up to this time; `None` if it was never heard of.
+    /// Its records were complete up to this time; `None` if no record of it was ever collected.
     #[serde(rename = "complete")]
     pub complete_until: Option<String>,
-    /// It was not complete: the period closed without the rest.
+    /// Whether the period was closed without some of its records.
     #[serde(rename = "missing")]
     pub is_missing: bool,
     /// Records that were never written.
@@ -84,12 +85,12 @@
     /// Runs that ended without a closing mark.
     #[serde(rename = "died")]
     pub unclosed_runs: i64,
-    /// Stretches of its log that can't be read.
+    /// Ranges of its log that can't be read.
     #[serde(rename = "damaged")]
     pub damaged_ranges: i64,
 }
 
-/// What a closed period came to. It never changes.
+/// The result of a closed period. It never changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Statement {
     /// The period's name: its start.
@@ -117,14 +118,14 @@
     pub previous_hash: String,
 }
 
-/// Sums while lines and corrections are added up.
+/// The sums of one tenant.
 #[derive(Default)]
 struct TenantSum {
     answered: i64,
     amount: i64,
 }
 
-/// The totals of the tenants that lines or corrections mention.
+/// The totals of all tenants that have lines or corrections.
 pub(crate) fn tenant_totals(
     lines: &[StatementLine],
     corrections: &[CorrectionLine],
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -41,7 +41,7 @@
 }
 
 fn insert_missing_period(db: &Connection, at: i64, calendar: &Calendar) -> Result<()> {
-    let period = calendar.at(at);
+    let period = calendar.period_at(at);
     // Not over its neighbours, should the calendar have been another then.
     let after = "SELECT min(start) FROM period WHERE start > ?";
     let after: Option<i64> = db.query_row(after, [at], |row| row.get(0))?;
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -137,7 +137,7 @@
         let last_end = "SELECT max(end) FROM period WHERE start IN (SELECT period FROM statement)";
         let last_end: Option<i64> = self.db.query_row(last_end, [], |row| row.get(0))?;
         if let Some(start) = last_end {
-            let end = calendar.at(start).end_ms;
+            let end = calendar.period_at(start).end_ms;
             return Ok(Some(Period {
                 start_ms: start,
                 end_ms: end,
@@ -145,7 +145,7 @@
         }
         let first_arrival = "SELECT min(at) FROM record";
         let first_arrival: Option<i64> = self.db.query_row(first_arrival, [], |row| row.get(0))?;
-        Ok(first_arrival.map(|at| calendar.at(at)))
+        Ok(first_arrival.map(|at| calendar.period_at(at)))
     }
 
     /// All statements, oldest first.
--- a/crates/usage-ledger/src/writer/counters.rs
+++ b/crates/usage-ledger/src/writer/counters.rs
@@ -5,10 +5,10 @@
 /// Counters of records.
 #[derive(Debug, Default)]
 pub struct WriterCounters {
-    /// Written to the log.
+    /// Records that were written to the log.
     pub written_records: AtomicU64,
-    /// Never written: the queue was full, or the disk could not be written.
+    /// Records that were not written: the queue was full, or a write failed.
     pub lost_records: AtomicU64,
-    /// Answers that left before their record was written.
+    /// Replies that were sent before their record was written.
     pub unrecorded_replies: AtomicU64,
 }
--- a/crates/usage-ledger/src/writer/disk.rs
+++ b/crates/usage-ledger/src/writer/disk.rs
@@ -3,12 +3,12 @@
 use std::fs::File;
 use std::io::{self, Write};
 
-/// How bytes reach a segment; tests replace it by one that fails.
+/// Appends bytes to segments. Tests replace it by an implementation that fails.
 pub trait Disk: Send + 'static {
     /// Appends `bytes` to a segment.
     ///
     /// # Errors
-    /// Not all of `bytes` could be written; the caller cuts off what was.
+    /// Not all of `bytes` could be written; the caller cuts off the part that was.
     fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
 }
 
--- a/crates/usage-ledger/src/writer/error.rs
+++ b/crates/usage-ledger/src/writer/error.rs
@@ -1,4 +1,4 @@
-//! Why a usage log could not be opened, or not be written for a while.
+//! Errors of opening and writing a usage log.
 
 use crate::collect::ListenError;
 use std::io;
@@ -12,7 +12,7 @@
     Directory {
         /// The log's directory.
         directory: PathBuf,
-        /// What failed there.
+        /// The error of the system.
         source: io::Error,
     },
     /// Another process has locked the log.
@@ -32,13 +32,13 @@
 /// Why records could not be written.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AppendError {
-    /// The last attempt failed a moment ago; the disk is not asked again yet.
+    /// The last write failed less than the retry interval ago.
     #[error("it could not be a moment ago")]
     Backoff,
     /// One more segment would exceed the limit of the settings.
     #[error("it holds as much as it may; nothing of it has been settled")]
     CapacityExceeded,
-    /// The disk failed.
+    /// A write failed.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
--- a/crates/usage-ledger/src/writer/handle.rs
+++ b/crates/usage-ledger/src/writer/handle.rs
@@ -15,7 +15,7 @@
 /// Interval at which [`UsageLogWriter::close`] looks whether the thread has ended.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The aggregator's end of the queue.
+/// The handle of a running writer.
 pub struct UsageLogWriter {
     pub(super) queue: Option<SyncSender<Entry>>,
     pub(super) written: watch::Receiver<u64>,
@@ -39,12 +39,12 @@
         &self.counts
     }
 
-    /// The sequence number up to which nothing is left to wait for.
+    /// The sequence number of the last record that was written or lost.
     pub fn written_sequence(&self) -> watch::Receiver<u64> {
         self.written.clone()
     }
 
-    /// The longest that a reply waits for its record.
+    /// The longest time that a reply waits for its record to be written.
     pub fn max_reply_delay(&self) -> Duration {
         self.max_reply_delay
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Counts an answer that left before its record was written.
+    /// Counts a reply that was sent before its record was written.
     pub fn count_unrecorded_reply(&self) {
         let late = self
             .counts
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Ends the writer once all queued entries are written, or after a bounded time.
+    /// Ends the writer after it has written all queued entries, or after a timeout.
     pub fn close(&mut self) {
         self.queue = None;
         let Some(thread) = self.thread.take() else {
--- a/crates/usage-ledger/src/writer/mod.rs
+++ b/crates/usage-ledger/src/writer/mod.rs
@@ -1,9 +1,9 @@
 //! The writer of an aggregator's usage log.
 //!
-//! Records go through a bounded queue to a thread of their own, so that no disk can delay an
-//! answer: a record that finds the queue full is dropped and counted. The thread writes whole
-//! batches, starts a new segment where the last one is full, and publishes the sequence number up
-//! to which nothing is left to wait for.
+//! Records pass through a bounded queue to a thread, so that a slow disk does not delay replies. If
+//! the queue is full, a record is dropped and counted. The thread writes the queued records in
+//! batches, starts a new segment when the last one is full, and publishes the sequence number of
+//! the last record that was written or lost. The format is defined in [`log`](crate::log).
 
 mod counters;
 mod disk;
--- a/crates/usage-ledger/src/writer/start.rs
+++ b/crates/usage-ledger/src/writer/start.rs
@@ -18,13 +18,13 @@
 /// Nanoseconds in a millisecond.
 const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
-/// Opens the log for one more run, starts its writer and, where the settings ask for it, offers the
-/// log for collection. A partial write that the run before has left is cut off.
+/// Opens the log for a new run and starts its writer. If the settings have a listen address, the
+/// log is offered for collection there. A partial write at the end of the log is cut off.
 ///
 /// `now` is the time in Unix nanoseconds.
 ///
 /// # Errors
-/// The directory can't be used, another aggregator uses it, or the address can't be listened on.
+/// The directory can't be used or is locked by another process, or the address can't be bound.
 pub fn start(
     settings: &UsageLogSettings,
     tables: RunTables,
@@ -38,7 +38,7 @@
     Ok(writer)
 }
 
-/// As [`start`], on any disk and without a listener.
+/// As [`start`], on any [`Disk`] and without a listener.
 ///
 /// # Errors
 /// As [`start`].
@@ -80,7 +80,7 @@
     })
 }
 
-/// Takes the lock that allows one writer to each log.
+/// Locks the log, so that it has one writer at a time.
 fn lock(directory: &Path) -> Result<File, StartError> {
     let lock = OpenOptions::new()
         .create(true)
@@ -111,7 +111,8 @@
     Ok(())
 }
 
-/// Later than that of any run before, also where the clock has stepped back.
+/// The incarnation of the new run: later than that of any earlier run, even if the clock has
+/// stepped back.
 fn next_incarnation(now_ns: u64, last: Option<&Segment>) -> u64 {
     let last = last.map_or(0, |segment| segment.incarnation);
     (now_ns / NANOSECONDS_PER_MS).max(last + 1)
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -14,11 +14,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// The most entries of one write.
+/// The largest number of entries in one write.
 const MAX_BATCH_ENTRIES: usize = 1024;
-/// Pause after a failed write: in between, records are lost at once and nothing waits.
+/// Pause after a failed write. Records during the pause are counted as lost without an attempt.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the thread waits for an entry before it looks again.
+/// The longest wait for an entry until the thread polls the queue again.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The segment that is being written.
@@ -38,10 +38,10 @@
     records: u64,
 }
 
-/// State of the thread.
+/// The state of the thread.
 pub(super) struct WriterThread<D> {
     disk: D,
-    /// Held for as long as the log is written.
+    /// The lock on the log, held while the thread runs.
     _lock: File,
     directory: PathBuf,
     segment_bytes: u64,
@@ -50,7 +50,7 @@
     open: Option<OpenSegment>,
     publish_written: watch::Sender<u64>,
     counts: Arc<WriterCounters>,
-    /// When the last write failed; `None` once one has succeeded again.
+    /// When the last write failed; `None` if it succeeded.
     failed_at: Option<Instant>,
 }
 
@@ -107,7 +107,7 @@
         counter.fetch_add(batch.records, Ordering::Relaxed);
     }
 
-    /// Writes a batch, into a new segment where the last one is full.
+    /// Writes a batch, into a new segment if the last one is full.
     fn append(&mut self, batch: &EncodedBatch) -> Result<(), AppendError> {
         let failed_recently = |at: Instant| at.elapsed() < RETRY_INTERVAL;
         if self.failed_at.is_some_and(failed_recently) {
@@ -119,8 +119,8 @@
             None => self.create_segment(batch.first_sequence)?,
         };
         if let Err(error) = self.disk.append(&mut segment.file, &batch.bytes) {
-            // Half a frame in the middle would read as damage: back to the last complete one, or
-            // leave the segment as it is and go on in another.
+            // A partial frame between others would be read as damage. Cut it off; if that fails,
+            // continue in another segment.
             if segment.file.set_len(segment.length).is_ok() {
                 self.open = Some(segment);
             }
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -465,7 +465,7 @@
         (ledger.horizon_ms, ledger.skew_ms, ledger.grace_ms),
         (20_000, 1_000, 600_000)
     );
-    assert_eq!(ledger.calendar.at(3_600_000).end_ms, 7_200_000);
+    assert_eq!(ledger.calendar.period_at(3_600_000).end_ms, 7_200_000);
     let member = &ledger.members["n0"];
     assert_eq!(
         (member.from_ms, member.until_ms),
@@ -504,7 +504,7 @@
         (ledger.horizon_ms, ledger.skew_ms, ledger.grace_ms),
         (30_000, 2_000, 3_600_000)
     );
-    assert_eq!(ledger.calendar.at(0).end_ms, 31 * 86_400_000);
+    assert_eq!(ledger.calendar.period_at(0).end_ms, 31 * 86_400_000);
     assert_eq!(
         (ledger.export.timeout, ledger.export.retry_delay),
         (Duration::from_secs(5), Duration::from_millis(500))
--- a/crates/usage-ledger/tests/period.rs
+++ b/crates/usage-ledger/tests/period.rs
@@ -32,13 +32,13 @@
         ),
     ];
     for (calendar, from, longest, shortest) in calendars {
-        let mut period = calendar.at(ms(from));
+        let mut period = calendar.period_at(ms(from));
         let mut hours = Vec::new();
         for _ in 0..200 {
-            assert_eq!(calendar.at(period.start_ms), period);
-            assert_eq!(calendar.at(period.end_ms - 1), period);
+            assert_eq!(calendar.period_at(period.start_ms), period);
+            assert_eq!(calendar.period_at(period.end_ms - 1), period);
             hours.push((period.end_ms - period.start_ms) / 3_600_000);
-            let next = calendar.after(period);
+            let next = calendar.period_after(period);
             assert_eq!(next.start_ms, period.end_ms);
             period = next;
         }
@@ -50,11 +50,11 @@
     // Both hours between two and three belong to the one day.
     let berlin = Calendar(PeriodLength::CivilDay(zone("Europe/Berlin")));
     assert_eq!(
-        berlin.at(ms("2026-10-25T00:30:00Z")),
-        berlin.at(ms("2026-10-25T01:30:00Z"))
+        berlin.period_at(ms("2026-10-25T00:30:00Z")),
+        berlin.period_at(ms("2026-10-25T01:30:00Z"))
     );
     assert_eq!(
-        Calendar(PeriodLength::Milliseconds(5000)).at(12_345),
+        Calendar(PeriodLength::Milliseconds(5000)).period_at(12_345),
         Period {
             start_ms: 10_000,
             end_ms: 15_000
--- a/crates/usage-ledger/tests/store/reconciliation.rs
+++ b/crates/usage-ledger/tests/store/reconciliation.rs
@@ -51,8 +51,8 @@
         total(
             0,
             RequestTotals {
-                ledger: 3,
-                client: 2,
+                ledger_requests: 3,
+                client_requests: 2,
                 ledger_answered: 2,
                 client_answered: 2,
             },
@@ -60,20 +60,23 @@
         total(
             1,
             RequestTotals {
-                ledger: 1,
-                client: 1,
+                ledger_requests: 1,
+                client_requests: 1,
                 ledger_answered: 1,
                 client_answered: 1,
             },
         ),
     ];
     assert_eq!(reconciled.totals, totals.into());
-    assert_eq!(reconciled.unequal(), 1);
+    assert_eq!(reconciled.unequal_totals(), 1);
     let differences: Vec<_> = reconciled
         .differences
         .iter()
         .map(|difference| {
-            let outcomes = (difference.ledger.as_str(), difference.client.as_str());
+            let outcomes = (
+                difference.ledger_outcome.as_str(),
+                difference.client_outcome.as_str(),
+            );
             (difference.kind, difference.key.as_str(), outcomes)
         })
         .collect();
