--- a/crates/ini-config/src/suggestion.rs
+++ b/crates/ini-config/src/suggestion.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Jaro-Winkler similarity, from 0 to 1, above which one name is taken for a misspelling of the other.
+/// Jaro-Winkler similarity, from 0 to 1, above which one name counts as a misspelling of another.
 const MIN_SIMILARITY: f64 = 0.7;
 
 /// The valid names that may have been meant by an unknown one.
--- a/crates/opensearch-gateway/src/server/mod.rs
+++ b/crates/opensearch-gateway/src/server/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The way of a search, by files of this folder:
 //!
-//! 1. `listener.rs` accepts the connection, `connection.rs` serves it, `http.rs` handles one request
-//!    and `router.rs` finds its handler.
+//! 1. `listener.rs` accepts the connection, `connection.rs` serves it, `http.rs` handles one
+//!    request and `router.rs` finds its handler.
 //! 2. `search.rs` parses the body; `multi_search.rs` runs several searches.
 //! 3. `execution.rs` makes a [`QueryRequest`] of the search: the index determines the class,
 //!    `tenant.rs` the tenant, and `shard_selection.rs` the parts. [`InternalClient::send_query`]
--- a/crates/opensearch-gateway/src/server/multi_search.rs
+++ b/crates/opensearch-gateway/src/server/multi_search.rs
@@ -1,8 +1,8 @@
 //! `_msearch`: several searches in one request.
 //!
-//! The body has two lines for each search: its header and its body. A few searches run at a time, and
-//! the response has them in their order. A search that fails is answered with its error and does not
-//! affect the others.
+//! The body has two lines for each search: its header and its body. A few searches run at a time,
+//! and the response has them in their order. A search that fails is answered with its error and
+//! does not affect the others.
 
 use super::context::{RequestContext, ALL_INDICES};
 use super::parameters::UrlParameters;
--- a/crates/opensearch-gateway/src/server/router.rs
+++ b/crates/opensearch-gateway/src/server/router.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use hyper::{Method, Uri};
 
-/// Calls the handler of a request and serializes its result. Returns the body of the successful response.
+/// Calls the handler of a request and serializes its result, the body of the successful response.
 pub(super) async fn dispatch(
     context: &RequestContext,
     method: &Method,
