--- a/crates/aggregator/src/settings/log.rs
+++ b/crates/aggregator/src/settings/log.rs
@@ -58,7 +58,7 @@
 impl LogSettings {
     /// Reads the section. A level in the environment takes precedence over the file's.
     pub fn read(settings: &Settings) -> Result<LogSettings, SettingsError> {
-        let format = settings.of(&SCHEMA, SECTION.name, "").text("format");
+        let format = settings.section(&SCHEMA, SECTION.name).text("format");
         Ok(LogSettings {
             filter: read_filter(settings)?,
             format: match format {
@@ -70,7 +70,7 @@
 }
 
 fn read_filter(settings: &Settings) -> Result<Targets, SettingsError> {
-    let values = settings.of(&SCHEMA, SECTION.name, "");
+    let values = settings.section(&SCHEMA, SECTION.name);
     let environment_level = environment_level();
     let level = environment_level
         .as_deref()
@@ -85,9 +85,7 @@
         .parse()
         .map_err(|error| {
             let reason = format!("'{directives}' does not do: {error}");
-            settings
-                .problem(SECTION.name, "", "targets", &reason)
-                .into()
+            values.problem("targets", reason).into()
         })
 }
 
--- a/crates/ini-config/src/schema.rs
+++ b/crates/ini-config/src/schema.rs
@@ -92,3 +92,12 @@
         self.0.iter().find(|section| section.name == name)
     }
 }
+
+/// A section's header without its brackets. `name` is empty where the section has none.
+pub(crate) fn header(section: &str, name: &str) -> String {
+    if name.is_empty() {
+        section.to_string()
+    } else {
+        format!("{section} {name}")
+    }
+}
--- a/crates/ini-config/src/section_values.rs
+++ b/crates/ini-config/src/section_values.rs
@@ -1,8 +1,10 @@
 //! Typed access to the values of one section.
 
 use crate::file_values::FileValues;
+use crate::problem::{Problem, ProblemKind, Problems};
 use crate::quantity::{parse_bytes, parse_time};
-use crate::schema::Section;
+use crate::schema::{header, Section};
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -12,31 +14,20 @@
 /// or of another kind.
 #[derive(Clone, Copy)]
 pub struct SectionValues<'a> {
-    values: &'a FileValues,
-    /// None if the schema has no such section: all its keys are unset.
-    section: Option<&'static Section>,
+    pub(crate) file: &'a str,
+    pub(crate) values: &'a FileValues,
+    pub(crate) section: &'a str,
     /// The name of a named section, else empty.
-    name: &'a str,
+    pub(crate) name: &'a str,
+    /// None if the schema has no such section: all its keys are unset.
+    pub(crate) schema: Option<&'static Section>,
 }
 
 impl<'a> SectionValues<'a> {
-    pub(crate) fn new(
-        values: &'a FileValues,
-        section: Option<&'static Section>,
-        name: &'a str,
-    ) -> SectionValues<'a> {
-        SectionValues {
-            values,
-            section,
-            name,
-        }
-    }
-
     /// The value of a key as text; `None` if it is unset or empty.
     pub fn text(&self, key: &str) -> Option<&'a str> {
-        let section = self.section?;
-        let key = section.key(key)?;
-        let source = self.values.get(section.name, self.name, key.name);
+        let key = self.schema?.key(key)?;
+        let source = self.values.get(self.section, self.name, key.name);
         source
             .map(|value| value.text.as_str())
             .or(key.default)
@@ -67,4 +58,23 @@
     pub fn address(&self, key: &str) -> Option<SocketAddr> {
         self.text(key)?.parse().ok()
     }
+
+    /// A problem with the value of a key that only the program that uses it can detect.
+    ///
+    /// It has the line of the value or, where the file does not set it, of its named section.
+    pub fn problem(&self, key: &str, reason: impl Display) -> Problems {
+        let value = self.values.get(self.section, self.name, key);
+        let line = value
+            .map(|value| value.line)
+            .or_else(|| self.values.header_line(self.section, self.name));
+        Problems(vec![Problem {
+            file: self.file.into(),
+            line,
+            kind: ProblemKind::Rejected {
+                header: header(self.section, self.name),
+                key: key.into(),
+                reason: reason.to_string(),
+            },
+        }])
+    }
 }
--- a/crates/ini-config/src/settings.rs
+++ b/crates/ini-config/src/settings.rs
@@ -2,8 +2,8 @@
 
 use crate::file_values::FileValues;
 use crate::parser;
-use crate::problem::{Problem, ProblemKind, Problems};
-use crate::schema::{Key, Schema, Section};
+use crate::problem::Problems;
+use crate::schema::{header, Key, Schema, Section};
 use crate::section_values::SectionValues;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -64,25 +64,6 @@
         })
     }
 
-    /// A problem with one value that only the program that uses it can detect.
-    ///
-    /// It carries the line of the value or, where the file does not set it, of its named section.
-    pub fn problem(&self, section: &str, name: &str, key: &str, reason: &str) -> Problems {
-        let value = self.values.get(section, name, key);
-        let line = value
-            .map(|value| value.line)
-            .or_else(|| self.values.header_line(section, name));
-        Problems(vec![Problem {
-            file: self.file.clone(),
-            line,
-            kind: ProblemKind::Rejected {
-                header: header(section, name),
-                key: key.into(),
-                reason: reason.into(),
-            },
-        }])
-    }
-
     /// The names with which a named section appears, in alphabetical order.
     pub fn names(&self, section: &str) -> Vec<&str> {
         self.values.section_names(section)
@@ -147,10 +128,25 @@
         values
     }
 
-    /// The values of one section, with the defaults of `schema`. `name` is empty where the section
-    /// has none.
-    pub fn of<'a>(&'a self, schema: &Schema, section: &str, name: &'a str) -> SectionValues<'a> {
-        SectionValues::new(&self.values, schema.section(section), name)
+    /// The values of a section, with the defaults of `schema`.
+    pub fn section<'a>(&'a self, schema: &Schema, section: &'a str) -> SectionValues<'a> {
+        self.named_section(schema, section, NO_NAME)
+    }
+
+    /// The values of the section `[section name]`, with the defaults of `schema`.
+    pub fn named_section<'a>(
+        &'a self,
+        schema: &Schema,
+        section: &'a str,
+        name: &'a str,
+    ) -> SectionValues<'a> {
+        SectionValues {
+            file: &self.file,
+            values: &self.values,
+            section,
+            name,
+            schema: schema.section(section),
+        }
     }
 }
 
@@ -160,12 +156,3 @@
     section: String,
     key: &'static str,
 }
-
-/// A section's header without its brackets.
-fn header(section: &str, name: &str) -> String {
-    if name.is_empty() {
-        section.to_string()
-    } else {
-        format!("{section} {name}")
-    }
-}
--- a/crates/ini-config/tests/settings.rs
+++ b/crates/ini-config/tests/settings.rs
@@ -48,7 +48,7 @@
         [member n1]\n\
         address = [::1]:7001\n";
     let settings = Settings::read(&SCHEMA, "file.ini", text).unwrap();
-    let log = settings.of(&SCHEMA, "log", "");
+    let log = settings.section(&SCHEMA, "log");
     assert_eq!(log.text("directory"), Some("/var/lib/log"));
     assert_eq!(log.time("flush"), Some(Duration::from_secs(2)));
     assert_eq!(log.bytes("segment"), Some(4096));
@@ -56,7 +56,11 @@
     assert_eq!(log.text("every"), Some("daily"));
     assert!(log.flag("colour"));
     assert_eq!(settings.names("member"), ["n0", "n1"]);
-    let address = |name| settings.of(&SCHEMA, "member", name).address("address");
+    let address = |name| {
+        settings
+            .named_section(&SCHEMA, "member", name)
+            .address("address")
+    };
     assert_eq!(address("n0"), Some("127.0.0.1:7000".parse().unwrap()));
     assert_eq!(address("n1"), Some("[::1]:7001".parse().unwrap()));
     assert_eq!(address("n2"), None);
@@ -131,7 +135,10 @@
 fn a_rejected_value_carries_its_line_or_that_of_its_section() {
     let text = "[log]\nqueue = 5\n[member n0]\n";
     let settings = Settings::read(&SCHEMA, "file.ini", text).unwrap();
-    let reject = |section, name, key| settings.problem(section, name, key, "is wrong").to_string();
+    let reject = |section, name, key| {
+        let section = settings.named_section(&SCHEMA, section, name);
+        section.problem(key, "is wrong").to_string()
+    };
     assert_eq!(
         reject("log", "", "queue"),
         "file.ini:2: [log] queue: is wrong"
--- a/crates/opensearch-gateway/src/settings/index.rs
+++ b/crates/opensearch-gateway/src/settings/index.rs
@@ -1,8 +1,8 @@
 //! `[index NAME]`: an index with its class, shards and weights.
 
 use super::schema::INDEX_SECTION;
-use super::section::SectionReader;
-use ini_config::{Problems, Schema, Settings};
+use super::section::required_text;
+use ini_config::{Problems, Schema, SectionValues, Settings};
 use std::collections::BTreeMap;
 
 /// Tolerance on the sum of weights, as operators write them with few digits.
@@ -57,22 +57,22 @@
 ) -> Result<BTreeMap<String, IndexSettings>, Problems> {
     let mut indices = BTreeMap::new();
     for name in settings.names(INDEX_SECTION.name) {
-        let section = SectionReader::new(settings, schema, &INDEX_SECTION, name);
+        let section = settings.named_section(schema, INDEX_SECTION.name, name);
         indices.insert(name.to_string(), read_index(&section, name)?);
     }
     Ok(indices)
 }
 
-fn read_index(section: &SectionReader, name: &str) -> Result<IndexSettings, Problems> {
+fn read_index(section: &SectionValues, name: &str) -> Result<IndexSettings, Problems> {
     if !is_valid_index_name(name) {
         let reason = "an index's name has small letters, digits, '-', '_' and '.'";
-        return Err(section.error("class", reason));
+        return Err(section.problem("class", reason));
     }
-    let class = section.required_text("class")?.to_string();
-    let shards = section.required_text("shards")?;
-    let shards = parse_shards(shards).map_err(|error| section.error("shards", error))?;
-    let weights = read_weights(section.values.text("weights"), shards.len())
-        .map_err(|error| section.error("weights", error))?;
+    let class = required_text(section, "class")?.to_string();
+    let shards = required_text(section, "shards")?;
+    let shards = parse_shards(shards).map_err(|error| section.problem("shards", error))?;
+    let weights = read_weights(section.text("weights"), shards.len())
+        .map_err(|error| section.problem("weights", error))?;
     let shards = shards.into_iter().zip(weights);
     Ok(IndexSettings {
         class,
--- a/crates/opensearch-gateway/src/settings/mod.rs
+++ b/crates/opensearch-gateway/src/settings/mod.rs
@@ -11,9 +11,9 @@
 
 use crate::networks::{parse_networks, NetworkSet, TenantNetworks};
 use crate::tls::TlsFiles;
-use ini_config::{Problems, Schema, Settings};
+use ini_config::{Problems, Schema, SectionValues, Settings};
 use schema::{DEFAULT_CLUSTER_NAME, DEFAULT_TENANT_HEADER};
-use section::SectionReader;
+use section::{path, required};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -56,37 +56,36 @@
     /// # Errors
     /// A value is missing, can't be used, or contradicts another one.
     pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<Self>, Problems> {
-        let section = SectionReader::new(settings, schema, &GATEWAY_SECTION, "");
-        let values = section.values;
-        let Some(listen) = values.address("listen") else {
+        let section = settings.section(schema, GATEWAY_SECTION.name);
+        let Some(listen) = section.address("listen") else {
             return Ok(None);
         };
         let indices = index::read_indices(settings, schema)?;
         if indices.is_empty() {
-            return Err(section.error("listen", "there is no [index NAME] to search"));
+            return Err(section.problem("listen", "there is no [index NAME] to search"));
         }
         let tenant_source = read_tenant_source(&section);
         let tls = read_tls_files(&section)?;
         check_client_ca(&section, tenant_source, tls.as_ref())?;
         let trusted_proxies = read_trusted_proxies(&section)?;
         let tenant_networks = read_tenant_networks(settings, schema, &section, tenant_source)?;
-        let max_connections = section.required("connections", values.count("connections"))?;
-        let max_body_bytes = section.required("body", values.bytes("body"))?;
-        let max_answer_bytes = section.required("answer", values.bytes("answer"))?;
+        let max_connections = required(&section, "connections", section.count("connections"))?;
+        let max_body_bytes = required(&section, "body", section.bytes("body"))?;
+        let max_answer_bytes = required(&section, "answer", section.bytes("answer"))?;
         // A key that is set to an empty text counts as unset, also where the schema has a default.
-        let cluster_name = values.text("cluster").unwrap_or(DEFAULT_CLUSTER_NAME);
-        let tenant_header = values.text("tenant-header");
+        let cluster_name = section.text("cluster").unwrap_or(DEFAULT_CLUSTER_NAME);
+        let tenant_header = section.text("tenant-header");
         Ok(Some(GatewaySettings {
             listen,
             max_connections: max_connections as usize,
             max_body_bytes: max_body_bytes as usize,
             max_answer_bytes: max_answer_bytes as usize,
-            idle_timeout: section.required("idle", values.time("idle"))?,
+            idle_timeout: required(&section, "idle", section.time("idle"))?,
             cluster_name: cluster_name.to_string(),
             tenant_header: tenant_header
                 .unwrap_or(DEFAULT_TENANT_HEADER)
                 .to_ascii_lowercase(),
-            default_tenant: values.text("tenant").map(str::to_string),
+            default_tenant: section.text("tenant").map(str::to_string),
             tenant_source,
             tls,
             trusted_proxies,
@@ -96,10 +95,10 @@
     }
 }
 
-fn read_tls_files(section: &SectionReader) -> Result<Option<TlsFiles>, Problems> {
-    let certificate = section.path("certificate");
-    let key = section.path("key");
-    let client_ca = section.path("client-ca");
+fn read_tls_files(section: &SectionValues) -> Result<Option<TlsFiles>, Problems> {
+    let certificate = path(section, "certificate");
+    let key = path(section, "key");
+    let client_ca = path(section, "client-ca");
     match (certificate, key, client_ca) {
         (Some(certificate), Some(key), client_ca) => Ok(Some(TlsFiles {
             certificate,
@@ -107,28 +106,28 @@
             client_ca,
         })),
         (None, None, None) => Ok(None),
-        (Some(_), None, _) => Err(section.error("certificate", "needs 'key'")),
-        (None, Some(_), _) => Err(section.error("key", "needs 'certificate'")),
-        (None, None, Some(_)) => Err(section.error("client-ca", "needs 'certificate' and 'key'")),
+        (Some(_), None, _) => Err(section.problem("certificate", "needs 'key'")),
+        (None, Some(_), _) => Err(section.problem("key", "needs 'certificate'")),
+        (None, None, Some(_)) => Err(section.problem("client-ca", "needs 'certificate' and 'key'")),
     }
 }
 
 /// Tenants can be determined by certificates only if clients' certificates are verified.
 fn check_client_ca(
-    section: &SectionReader,
+    section: &SectionValues,
     tenant_source: TenantSource,
     tls: Option<&TlsFiles>,
 ) -> Result<(), Problems> {
     let has_client_ca = tls.is_some_and(|tls| tls.client_ca.is_some());
     if tenant_source == TenantSource::Certificate && !has_client_ca {
         let reason = "goes by certificates, and there is no 'client-ca'";
-        return Err(section.error("tenant-by", reason));
+        return Err(section.problem("tenant-by", reason));
     }
     Ok(())
 }
 
-fn read_trusted_proxies(section: &SectionReader) -> Result<NetworkSet, Problems> {
-    let proxies = section.values.text("proxies").unwrap_or_default();
-    let proxies = parse_networks(proxies).map_err(|error| section.error("proxies", error))?;
+fn read_trusted_proxies(section: &SectionValues) -> Result<NetworkSet, Problems> {
+    let proxies = section.text("proxies").unwrap_or_default();
+    let proxies = parse_networks(proxies).map_err(|error| section.problem("proxies", error))?;
     Ok(proxies.into_iter().collect())
 }
--- a/crates/opensearch-gateway/src/settings/tenant.rs
+++ b/crates/opensearch-gateway/src/settings/tenant.rs
@@ -3,9 +3,9 @@
 use super::schema::{
     NETWORK_SECTION, TENANT_BY_CERTIFICATE, TENANT_BY_HEADER_OR_NETWORK, TENANT_BY_NETWORK,
 };
-use super::section::SectionReader;
+use super::section::required_text;
 use crate::networks::{parse_networks, TenantNetworks};
-use ini_config::{Problems, Schema, Settings};
+use ini_config::{Problems, Schema, SectionValues, Settings};
 use ipnet::IpNet;
 
 /// What determines the tenant of a request.
@@ -28,8 +28,8 @@
 }
 
 /// Reads `tenant-by`.
-pub(super) fn read_tenant_source(section: &SectionReader) -> TenantSource {
-    match section.values.text("tenant-by") {
+pub(super) fn read_tenant_source(section: &SectionValues) -> TenantSource {
+    match section.text("tenant-by") {
         Some(TENANT_BY_NETWORK) => TenantSource::Network,
         Some(TENANT_BY_HEADER_OR_NETWORK) => TenantSource::HeaderOrNetwork,
         Some(TENANT_BY_CERTIFICATE) => TenantSource::Certificate,
@@ -41,27 +41,27 @@
 struct TenantNetworkRule<'a> {
     network: IpNet,
     tenant: &'a str,
-    section: SectionReader<'a>,
+    section: SectionValues<'a>,
 }
 
 /// Reads all sections `[network NAME]`, which are an error where the tenant source ignores them.
 pub(super) fn read_tenant_networks(
     settings: &Settings,
     schema: &Schema,
-    gateway_section: &SectionReader,
+    gateway_section: &SectionValues,
     tenant_source: TenantSource,
 ) -> Result<TenantNetworks, Problems> {
     let mut rules = Vec::new();
     for name in settings.names(NETWORK_SECTION.name) {
-        let section = SectionReader::new(settings, schema, &NETWORK_SECTION, name);
+        let section = settings.named_section(schema, NETWORK_SECTION.name, name);
         if !tenant_source.uses_networks() {
             let reason = "is never used, as [opensearch] tenant-by does not go by networks";
-            return Err(section.error("tenant", reason));
+            return Err(section.problem("tenant", reason));
         }
-        let tenant = section.required_text("tenant")?;
-        let prefixes = section.required_text("prefixes")?;
+        let tenant = required_text(&section, "tenant")?;
+        let prefixes = required_text(&section, "prefixes")?;
         let networks =
-            parse_networks(prefixes).map_err(|error| section.error("prefixes", error))?;
+            parse_networks(prefixes).map_err(|error| section.problem("prefixes", error))?;
         rules.extend(networks.into_iter().map(|network| TenantNetworkRule {
             network,
             tenant,
@@ -74,11 +74,11 @@
     for rule in rules {
         tenant_networks
             .insert(rule.network, rule.tenant)
-            .map_err(|error| rule.section.error("prefixes", error))?;
+            .map_err(|error| rule.section.problem("prefixes", error))?;
     }
     if tenant_networks.is_empty() && tenant_source.uses_networks() {
         let reason = "goes by networks, and there is no [network NAME]";
-        return Err(gateway_section.error("tenant-by", reason));
+        return Err(gateway_section.problem("tenant-by", reason));
     }
     Ok(tenant_networks)
 }
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -94,7 +94,7 @@
     /// Values that contradict each other, or that only their use shows to be wrong.
     pub fn read(settings: &Settings, schema: &Schema) -> Result<LedgerSettings, Problems> {
         let reader = Reader { settings, schema };
-        let settlement = settings.of(schema, SETTLEMENT.name, "");
+        let settlement = settings.section(schema, SETTLEMENT.name);
         let time = |key: &str| settlement.time(key).unwrap_or(DEFAULT_COLLECTION_TIME);
         Ok(LedgerSettings {
             store_path: settlement.text("store").map(PathBuf::from),
@@ -128,26 +128,22 @@
 impl Reader<'_> {
     /// A time of `[periods]`, in milliseconds.
     fn period_ms(&self, key: &str) -> i64 {
-        let periods = self.settings.of(self.schema, PERIODS.name, "");
+        let periods = self.settings.section(self.schema, PERIODS.name);
         periods.time(key).unwrap_or_default().as_millis() as i64
     }
 
     fn calendar(&self) -> Result<Calendar, Problems> {
-        let periods = self.settings.of(self.schema, PERIODS.name, "");
-        let problem = |key: &str, reason: &str| {
-            let section = PERIODS.name;
-            self.settings.problem(section, "", key, reason)
-        };
+        let periods = self.settings.section(self.schema, PERIODS.name);
         let zone = periods.text("zone").unwrap_or("UTC");
         let zone = TimeZone::get(zone).map_err(|_| {
             let reason = format!("there is no time zone '{zone}'; use a name as in Asia/Colombo");
-            problem("zone", &reason)
+            periods.problem("zone", reason)
         })?;
         match periods.text("every").unwrap_or("monthly") {
             "daily" => Ok(Calendar(PeriodLength::CivilDay(zone))),
             "monthly" => Ok(Calendar(PeriodLength::CivilMonth(zone))),
             _ => match self.period_ms("every") {
-                ..MIN_PERIOD_MS => Err(problem("every", "has to be 1s at least")),
+                ..MIN_PERIOD_MS => Err(periods.problem("every", "has to be 1s at least")),
                 length => Ok(Calendar(PeriodLength::Milliseconds(length))),
             },
         }
@@ -161,23 +157,21 @@
     }
 
     fn member(&self, name: &str) -> Result<Member, Problems> {
-        let values = self.settings.of(self.schema, MEMBER.name, name);
-        let problem =
-            |key: &str, reason: &str| self.settings.problem(MEMBER.name, name, key, reason);
+        let values = self.settings.named_section(self.schema, MEMBER.name, name);
         let Some(address) = values.address("address") else {
-            return Err(problem("address", "is missing"));
+            return Err(values.problem("address", "is missing"));
         };
         let timestamp = |key: &str, unset: i64| match values.text(key) {
             None => Ok(unset),
             Some(text) => match text.parse::<Timestamp>() {
                 Ok(timestamp) => Ok(timestamp.as_millisecond()),
-                Err(_) => Err(problem(key, "has to be a time as in 2026-12-01T00:00:00Z")),
+                Err(_) => Err(values.problem(key, "has to be a time as in 2026-12-01T00:00:00Z")),
             },
         };
         let from_ms = timestamp("from", i64::MIN)?;
         let until_ms = timestamp("until", i64::MAX)?;
         if from_ms >= until_ms {
-            return Err(problem("until", "does not come after 'from'"));
+            return Err(values.problem("until", "does not come after 'from'"));
         }
         Ok(Member {
             address,
@@ -194,12 +188,9 @@
     }
 
     fn price(&self, name: &str) -> Result<Price, Problems> {
-        let values = self.settings.of(self.schema, PRICE.name, name);
+        let values = self.settings.named_section(self.schema, PRICE.name, name);
         let Some(complete) = values.count("whole") else {
-            let problem = self
-                .settings
-                .problem(PRICE.name, name, "whole", "is missing");
-            return Err(problem);
+            return Err(values.problem("whole", "is missing"));
         };
         let partial = values.count("partial").unwrap_or(complete);
         Ok(Price { complete, partial })
@@ -207,7 +198,7 @@
 
     fn allowances(&self) -> BTreeMap<String, u64> {
         let allowance = |name: &str| {
-            let values = self.settings.of(self.schema, TENANT.name, name);
+            let values = self.settings.named_section(self.schema, TENANT.name, name);
             Some((name.to_string(), values.count("allowance")?))
         };
         let names = self.settings.names(TENANT.name).into_iter();
@@ -215,11 +206,11 @@
     }
 
     fn export(&self) -> Result<ExportTarget, Problems> {
-        let values = self.settings.of(self.schema, EXPORT.name, "");
+        let values = self.settings.section(self.schema, EXPORT.name);
         let url = values.text("url").map(str::to_string);
         if url.as_ref().is_some_and(|url| !url.starts_with("http://")) {
             let reason = "has to begin with http://";
-            return Err(self.settings.problem(EXPORT.name, "", "url", reason));
+            return Err(values.problem("url", reason));
         }
         Ok(ExportTarget {
             folder: values.text("folder").map(PathBuf::from),
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -46,32 +46,30 @@
         settings: &Settings,
         schema: &Schema,
     ) -> Result<Option<UsageLogSettings>, Problems> {
-        let values = settings.of(schema, USAGE.name, "");
+        let values = settings.section(schema, USAGE.name);
         let listen_address = values.address("listen");
-        let problem = |key: &str, reason: &str| settings.problem(USAGE.name, "", key, reason);
         let Some(directory) = values.text("directory").map(PathBuf::from) else {
             return match listen_address {
-                Some(_) => Err(problem(
-                    "listen",
-                    "there is no log to collect without 'directory'",
-                )),
+                Some(_) => {
+                    Err(values.problem("listen", "there is no log to collect without 'directory'"))
+                }
                 None => Ok(None),
             };
         };
         let segment_bytes = values.bytes("segment").unwrap_or(DEFAULT_SEGMENT_BYTES);
         if segment_bytes < MIN_SEGMENT_BYTES {
-            return Err(problem("segment", "has to be 4KiB at least"));
+            return Err(values.problem("segment", "has to be 4KiB at least"));
         }
         let keep_bytes = values.bytes("keep").unwrap_or(DEFAULT_KEEP_BYTES);
         if keep_bytes < 2 * segment_bytes {
-            return Err(problem(
+            return Err(values.problem(
                 "keep",
                 "has to be twice 'segment' at least, or no segment could ever be closed",
             ));
         }
         let mark_interval = values.time("mark").unwrap_or(DEFAULT_MARK_INTERVAL);
         if mark_interval < MIN_MARK_INTERVAL {
-            return Err(problem("mark", "has to be 10ms at least"));
+            return Err(values.problem("mark", "has to be 10ms at least"));
         }
         Ok(Some(UsageLogSettings {
             directory,
