--- a/crates/ini-config/src/lib.rs
+++ b/crates/ini-config/src/lib.rs
@@ -3,8 +3,8 @@
 //! A program declares its sections and keys as a [`Schema`]: the [`Kind`] of each value, its
 //! default, and whether a running program applies a change. [`Settings::read`] checks a file
 //! against the schema and reports all [`Problems`] at once, each with file, line, key and the
-//! nearest valid name. [`Settings::section`] gives typed access to the values of one section. Each value
-//! has an [`Origin`], so that a program can show where a value in force came from.
+//! nearest valid name. [`Settings::section`] gives typed access to the values of one section. Each
+//! value has an [`Origin`], so that a program can show where a value in force came from.
 
 mod file_values;
 mod invalid_value;
