--- /dev/null
+++ b/crates/testkit/src/bin/prove-opensearch/faulted_search.rs
@@ -0,0 +1,175 @@
+//! What the response to a search with a faulted shard has to be.
+//!
+//! Under load an aggregator may leave healthy shards out as well: it drops light parts down to the
+//! class's minimum coverage, and answers at the latency objective with what it has. Then the shards
+//! that the response itself reports as failed decide. Without time pressure no healthy shard may be
+//! missing.
+
+use crate::page_check::shard_numbers;
+use crate::tally::ServedOutcome;
+use aggregator_testkit::installation::{QueryClass, SHARDS};
+use aggregator_testkit::search::{ShardFault, FAULTY_SHARD};
+use serde_json::Value;
+use std::time::Duration;
+
+/// Times of an installation without time pressure. Load does not delay the answers of leaf servers
+/// by so much.
+pub const LONG_LATENCY_OBJECTIVE: Duration = Duration::from_secs(30);
+pub const LONG_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// The type of the error that is reported for a shard without an answer.
+const NO_ANSWER_ERROR: &str = "timeout_exception";
+
+/// Whether the aggregators may leave out healthy shards.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TimePressure {
+    /// The latency objectives are short, and there is load.
+    ShortObjective,
+    /// The latency objectives are far longer than any answer takes, and all zones serve.
+    None,
+    /// As `None`, with a zone lost just before: searches may be rejected.
+    ZoneLost,
+}
+
+impl TimePressure {
+    /// How long clients wait.
+    pub fn client_timeout(self, class: &QueryClass) -> Duration {
+        match self {
+            TimePressure::ShortObjective => class.timeout(),
+            TimePressure::None | TimePressure::ZoneLost => LONG_CLIENT_TIMEOUT,
+        }
+    }
+}
+
+/// Why the response to a search with a faulted shard is wrong.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub enum FaultedSearchError {
+    /// It was served otherwise than the shards reported as failed require.
+    #[error(
+        "{}, minimum coverage {minimum_coverage}: {} instead of {}, failed shards {failed:?}",
+        fault.label(), actual.label(), expected.label()
+    )]
+    Outcome {
+        /// The requested fault.
+        fault: ShardFault,
+        /// The minimum coverage of the class.
+        minimum_coverage: f64,
+        /// How the search was served.
+        actual: ServedOutcome,
+        /// How it ought to be served.
+        expected: ServedOutcome,
+        /// The shards that the response reports as failed.
+        failed: Vec<u32>,
+    },
+    /// Other shards failed than those that were to.
+    #[error("{}: failed shards {failed:?} instead of {expected:?}", fault.label())]
+    FailedShards {
+        /// The requested fault.
+        fault: ShardFault,
+        /// The shards that the response reports as failed.
+        failed: Vec<u32>,
+        /// The shards that were to fail.
+        expected: Vec<u32>,
+    },
+    /// A healthy shard failed, and not for want of an answer.
+    #[error("{}: healthy shard {shard} failed with {kind}", fault.label())]
+    HealthyShard {
+        /// The requested fault.
+        fault: ShardFault,
+        /// The shard.
+        shard: u32,
+        /// The type of the error that the response reports for it.
+        kind: String,
+    },
+}
+
+/// Checks how a search with a faulted shard was served, against the failures that its response
+/// reports.
+///
+/// # Errors
+/// It ought to be served otherwise, or other shards ought to have failed.
+pub fn check_faulted_search(
+    fault: ShardFault,
+    class: &QueryClass,
+    actual: ServedOutcome,
+    body: &Value,
+    pressure: TimePressure,
+) -> Result<(), FaultedSearchError> {
+    if actual == ServedOutcome::Rejected && pressure != TimePressure::None {
+        return Ok(());
+    }
+    let failures = [
+        &body["_shards"]["failures"],
+        &body["error"]["failed_shards"],
+    ];
+    let failed: Vec<u32> = failures.into_iter().flat_map(shard_numbers).collect();
+    if pressure == TimePressure::ShortObjective {
+        for failures in failures {
+            check_healthy_shards(fault, failures)?;
+        }
+    } else {
+        check_failed_shards(fault, &failed)?;
+    }
+    let expected = expected_outcome(fault, class, &failed);
+    if actual == expected {
+        return Ok(());
+    }
+    Err(FaultedSearchError::Outcome {
+        fault,
+        minimum_coverage: class.minimum_coverage,
+        actual,
+        expected,
+        failed,
+    })
+}
+
+/// Checks that healthy shards only fail because there is no answer of theirs.
+fn check_healthy_shards(fault: ShardFault, failures: &Value) -> Result<(), FaultedSearchError> {
+    if fault == ShardFault::ErrorFromEveryShard {
+        return Ok(());
+    }
+    let mut healthy = failures.as_array().into_iter().flatten();
+    let Some(failure) = healthy.find(|failure| {
+        failure["shard"] != FAULTY_SHARD && failure["reason"]["type"] != NO_ANSWER_ERROR
+    }) else {
+        return Ok(());
+    };
+    Err(FaultedSearchError::HealthyShard {
+        fault,
+        shard: failure["shard"].as_u64().unwrap_or_default() as u32,
+        kind: failure["reason"]["type"].to_string(),
+    })
+}
+
+/// Checks that all shards failed that were to, and no others.
+fn check_failed_shards(fault: ShardFault, failed: &[u32]) -> Result<(), FaultedSearchError> {
+    let expected = if fault == ShardFault::ErrorFromEveryShard {
+        (0..SHARDS).collect()
+    } else {
+        vec![FAULTY_SHARD]
+    };
+    if failed == expected {
+        return Ok(());
+    }
+    let failed = failed.to_vec();
+    Err(FaultedSearchError::FailedShards {
+        fault,
+        failed,
+        expected,
+    })
+}
+
+/// A search fails only where too few shards are left besides those that the response itself reports
+/// as failed, the faulted one among them.
+fn expected_outcome(fault: ShardFault, class: &QueryClass, failed: &[u32]) -> ServedOutcome {
+    if class.minimum_coverage == 1.0 || fault == ShardFault::ErrorFromEveryShard {
+        return ServedOutcome::Failed;
+    }
+    let usable_shards = (0..SHARDS).filter(|shard| !failed.contains(shard));
+    let coverage = usable_shards.count() as f64 / f64::from(SHARDS);
+    if coverage < class.minimum_coverage && failed.contains(&FAULTY_SHARD) {
+        ServedOutcome::Failed
+    } else {
+        ServedOutcome::Partial
+    }
+}
--- a/crates/testkit/src/installation/config.rs
+++ b/crates/testkit/src/installation/config.rs
@@ -21,6 +21,8 @@
     pub(super) endpoints: Value,
     /// How long clients of all classes wait, where it is not the class's own time.
     pub(super) client_timeout: Option<Duration>,
+    /// The latency objective of all classes, where it is not the class's own.
+    pub(super) latency_objective: Option<Duration>,
 }
 
 /// The platform object that an aggregator is started with. Its keys are the platform's.
@@ -33,7 +35,7 @@
         "limits": {"sockets": 1024},
         "known": parameters.endpoints,
         "settings": {
-            "classes": CLASSES.map(|class| class_object(&class, parameters.client_timeout)),
+            "classes": CLASSES.map(|class| class_object(&class, parameters)),
             "orgs": TENANTS.map(|name| json!({"name": name})),
             "localities": ZONES,
             "my_zone": parameters.zone,
@@ -53,9 +55,15 @@
     })
 }
 
-fn class_object(class: &QueryClass, client_timeout: Option<Duration>) -> Value {
-    let timeout_ms = client_timeout.map_or(class.timeout_ms, |timeout| timeout.as_millis() as u64);
-    let latency_objective_ms = class.latency_objective_ms.min(timeout_ms / 2);
+fn class_object(class: &QueryClass, parameters: &PlatformParameters) -> Value {
+    let milliseconds = |duration: Duration| duration.as_millis() as u64;
+    let timeout_ms = parameters
+        .client_timeout
+        .map_or(class.timeout_ms, milliseconds);
+    let latency_objective_ms = parameters
+        .latency_objective
+        .map_or(class.latency_objective_ms, milliseconds)
+        .min(timeout_ms / 2);
     json!({
         "name": class.name,
         "aim_ns": latency_objective_ms * NANOS_PER_MS,
--- a/crates/testkit/src/installation/mod.rs
+++ b/crates/testkit/src/installation/mod.rs
@@ -68,6 +68,8 @@
     pub ledger_settings: String,
     /// How long clients of all classes wait, where it is not the class's own time.
     pub client_timeout: Option<Duration>,
+    /// The latency objective of all classes, where it is not the class's own.
+    pub latency_objective: Option<Duration>,
     /// What the aggregators log, where it is not the default.
     pub log_filter: Option<String>,
     /// The file descriptors that the system allows each aggregator, where they are fewer than its
@@ -87,6 +89,7 @@
             gateway: false,
             ledger_settings: String::new(),
             client_timeout: None,
+            latency_objective: None,
             log_filter: None,
             max_descriptors: None,
             program: None,
@@ -214,6 +217,7 @@
             seed: options.seed ^ (zone as u64 + 1),
             endpoints: self.discovery.snapshot(),
             client_timeout: options.client_timeout,
+            latency_objective: options.latency_objective,
         })?;
         aggregator.write_settings(options.usage_log, options.gateway)?;
         self.aggregators.push(aggregator);
