--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build check test lint run demo try prove-ledger prove-shutdown bench-ledger prove-opensearch
+.PHONY: build check test lint run demo try ledger-fault-test shutdown-stress-test ledger-benchmark gateway-conformance-test
 
 build:
 	cargo build --release --locked
@@ -8,7 +8,7 @@
 	target/release/query-aggregator --version
 	target/release/query-aggregator check --settings deploy/query-aggregator.ini > /dev/null
 
-# The programs first: the proofs start them.
+# The programs first: tests start them.
 test:
 	cargo build --locked --workspace
 	cargo test --locked --workspace $(TEST_ARGS)
@@ -30,17 +30,17 @@
 	exec target/release/query-aggregator
 
 # Three aggregators, two of everything that can go wrong, and the totals set beside what the clients sent.
-prove-ledger: build
-	exec target/release/prove-ledger $(ARGS)
+ledger-fault-test: build
+	exec target/release/ledger-fault-test $(ARGS)
 
 # The log on against off, and the settlement at size.
-bench-ledger: build
-	exec target/release/bench-ledger $(ARGS)
+ledger-benchmark: build
+	exec target/release/ledger-benchmark $(ARGS)
 
 # Aggregators shut down under load, for deadlines on both sides of each phase; no request may be lost.
-prove-shutdown: build
-	exec target/release/prove-shutdown $(ARGS)
+shutdown-stress-test: build
+	exec target/release/shutdown-stress-test $(ARGS)
 
 # The same searches through both frontends, each page against the exact one.
-prove-opensearch: build
-	exec target/release/prove-opensearch $(ARGS)
+gateway-conformance-test: build
+	exec target/release/gateway-conformance-test $(ARGS)
--- a/crates/testkit/src/bin/demo.rs
+++ b/crates/testkit/src/bin/demo.rs
@@ -24,8 +24,8 @@
 /// How long each process may take to exit.
 const EXIT_LIMIT: Duration = Duration::from_secs(5);
 
-/// Starts discovery, 12 leaf servers in three zones, three mixers, their ledger and a trickle of
-/// queries, all on loopback, and ends them on Ctrl-C.
+/// Starts discovery, 12 leaf servers in three zones, three aggregators, their ledger and a client
+/// that sends a few queries a second, all on loopback, and ends them on Ctrl-C.
 #[derive(Parser)]
 struct Arguments {
     /// End by itself after so many seconds
@@ -107,7 +107,7 @@
     let [answered, rejected, other] =
         [&counters.answered, &counters.rejected, &counters.other].map(Counter::value);
     print_line(&format!(
-        "\n{answered} answered, {rejected} refused, {other} otherwise; all ended{}",
+        "\n{answered} answered, {rejected} rejected, {other} otherwise; all ended{}",
         if clean { "" } else { ", not all by themselves" }
     ));
     Ok(clean && answered > 0)
@@ -158,35 +158,37 @@
 }
 
 fn print_introduction(installation: &Installation) {
-    print_line("discovery, 12 leaf servers in three zones, three mixers and their ledger are up:");
+    print_line(
+        "discovery, 12 leaf servers in three zones, three aggregators and their ledger are up:",
+    );
     for aggregator in &installation.aggregators {
         let (name, address) = (&aggregator.name, aggregator.address);
         print_line(&format!(
-            "  mixer {name}  http://{address}/   counters: http://{address}/-/stats"
+            "  aggregator {name}  http://{address}/   counters: http://{address}/-/stats"
         ));
     }
     let first = &installation.aggregators[0];
-    print_line("\nAsk one yourself:");
+    print_line("\nSend a query:");
     print_line(&format!(
         "  curl -s http://{}/chart-ranking -H 'X-Request-ID: mine-1' -H 'X-Tenant-Id: alpha' \\\n    \
          -H 'X-Timeout: 900m' \\\n    \
          -d '{EXAMPLE_QUERY}'",
         first.address
     ));
-    print_line("\nOr search as an OpenSearch client would:");
+    print_line("\nSend a search to the OpenSearch gateway:");
     print_line(&format!(
         "  curl -s http://{}/chart-ranking/_search -H 'X-Tenant-Id: alpha' \
          -H 'Content-Type: application/json' \\\n    \
          -d '{EXAMPLE_SEARCH}'",
         first.gateway_address
     ));
-    print_line("\nWhat it was used for, by tenant, in periods of 10 s:");
+    print_line("\nPrint the usage by tenant, in periods of 10 s:");
     let program = installation.program.display();
     let settings = installation.ledger.settings_file.display();
     print_line(&format!(
         "  {program} ledger statement --settings {settings}"
     ));
-    print_line("\nCtrl-C ends it all.");
+    print_line("\nCtrl-C ends all of them.");
 }
 
 /// Sends one query and prints what comes back.
--- a/crates/testkit/src/bin/prove-opensearch/api_cases.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/api_cases.rs
@@ -1,7 +1,7 @@
 //! Requests of each form that the gateway knows, with the responses that they have to get.
 
 use aggregator_testkit::installation::SHARDS;
-use aggregator_testkit::search::{matching_documents, ShardFault, FAULTY_SHARD};
+use aggregator_testkit::search::{matching_documents, ShardFault, FAULTED_SHARD};
 use serde_json::{json, Value};
 
 /// A request and what its response has to be.
@@ -129,15 +129,15 @@
 
 fn fault_cases() -> Vec<ApiCase> {
     let min_score = ShardFault::ErrorFromOneShard.min_score();
-    let faulty_search = json!({"min_score": min_score, "sort": ["year"]}).to_string();
+    let faulted_search = json!({"min_score": min_score, "sort": ["year"]}).to_string();
     vec![
         ApiCase::post(
             "/chart-ranking/_search?allow_partial_search_results=false",
-            &faulty_search,
+            &faulted_search,
         )
         .status(503)
-        .expect("/error/failed_shards/0/shard", FAULTY_SHARD),
-        ApiCase::post("/chart-ranking/_search", &faulty_search)
+        .expect("/error/failed_shards/0/shard", FAULTED_SHARD),
+        ApiCase::post("/chart-ranking/_search", &faulted_search)
             .expect("/_shards/failures/0/reason/type", "query_shard_exception"),
     ]
 }
--- a/crates/testkit/src/bin/prove-opensearch/faulted_search.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/faulted_search.rs
@@ -8,7 +8,7 @@
 use crate::page_check::shard_numbers;
 use crate::tally::ServedOutcome;
 use aggregator_testkit::installation::{QueryClass, SHARDS};
-use aggregator_testkit::search::{ShardFault, FAULTY_SHARD};
+use aggregator_testkit::search::{ShardFault, FAULTED_SHARD};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -130,7 +130,7 @@
     }
     let mut healthy = failures.as_array().into_iter().flatten();
     let Some(failure) = healthy.find(|failure| {
-        failure["shard"] != FAULTY_SHARD && failure["reason"]["type"] != NO_ANSWER_ERROR
+        failure["shard"] != FAULTED_SHARD && failure["reason"]["type"] != NO_ANSWER_ERROR
     }) else {
         return Ok(());
     };
@@ -146,7 +146,7 @@
     let expected = if fault == ShardFault::ErrorFromEveryShard {
         (0..SHARDS).collect()
     } else {
-        vec![FAULTY_SHARD]
+        vec![FAULTED_SHARD]
     };
     if failed == expected {
         return Ok(());
@@ -167,7 +167,7 @@
     }
     let usable_shards = (0..SHARDS).filter(|shard| !failed.contains(shard));
     let coverage = usable_shards.count() as f64 / f64::from(SHARDS);
-    if coverage < class.minimum_coverage && failed.contains(&FAULTY_SHARD) {
+    if coverage < class.minimum_coverage && failed.contains(&FAULTED_SHARD) {
         ServedOutcome::Failed
     } else {
         ServedOutcome::Partial
--- a/crates/testkit/src/bin/prove-opensearch/load.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/load.rs
@@ -174,9 +174,9 @@
                     .all(|hit| hit.document == shard_response(hit.shard, &self.search));
                 if !values_match {
                     let search = &self.search;
-                    tally
-                        .wrong
-                        .push(format!("native: a value is not as it is held: {search}"));
+                    tally.wrong.push(format!(
+                        "native: a value differs from the shard's: {search}"
+                    ));
                 }
                 ServedOutcome::answered(complete)
             }
@@ -240,17 +240,15 @@
             }
             429 => {
                 if response.retry_after.is_none() || error_type != "circuit_breaking_exception" {
-                    tally
-                        .wrong
-                        .push(format!("a refusal without its form: {body}"));
+                    tally.wrong.push(format!("a malformed rejection: {body}"));
                 }
                 ServedOutcome::Rejected
             }
             _ => {
                 if body["status"] != status || error_type != "search_phase_execution_exception" {
-                    tally
-                        .wrong
-                        .push(format!("an error that is none: {status} {body}"));
+                    tally.wrong.push(format!(
+                        "an error with another status or type: {status} {body}"
+                    ));
                 }
                 ServedOutcome::Failed
             }
@@ -266,7 +264,7 @@
         pressure: TimePressure,
         tally: &mut Tally,
     ) {
-        tally.faulty.entry(fault).or_default().add(outcome);
+        tally.faulted.entry(fault).or_default().add(outcome);
         if let Err(error) = check_faulted_search(fault, &self.class, outcome, body, pressure) {
             tally.wrong.push(format!("{error}: {}", self.search));
         }
--- a/crates/testkit/src/bin/prove-opensearch/main.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/main.rs
@@ -1,8 +1,8 @@
-//! `prove-opensearch`: that searches through the OpenSearch gateway are what they ought to be, and
-//! are served as the native protocol serves the same queries.
+//! `gateway-conformance-test`: tests that the OpenSearch gateway answers searches correctly, and as
+//! often as the native protocol answers the same queries.
 //!
-//! The same random searches go through both, to the same leaf servers, while a zone is lost and
-//! comes back cold. Every page is compared with the one computed from the documents over the shards
+//! The same random searches go through both frontends, to the same leaf servers, while a zone is
+//! lost and restored with servers that have to warm up. Every page is compared with the one computed from the documents over the shards
 //! that it claims.
 
 mod api_cases;
@@ -16,7 +16,7 @@
 
 use aggregator_testkit::installation::{Installation, InstallationOptions};
 use aggregator_testkit::leaf::LeafOptions;
-use aggregator_testkit::proof::{self, ProofError};
+use aggregator_testkit::test_program::{self, TestProgramError};
 use clap::Parser;
 use faulted_search::{TimePressure, LONG_CLIENT_TIMEOUT, LONG_LATENCY_OBJECTIVE};
 use load::{Load, SearchCase};
@@ -34,12 +34,13 @@
 /// How long each aggregator may take to exit.
 const EXIT_LIMIT: Duration = Duration::from_secs(10);
 
-/// Proves the front on loopback; the last line is a summary, and the exit code 0 only if all holds.
+/// Tests the gateway on loopback. The last line is a summary; the exit code is 0 only if all checks
+/// pass.
 #[derive(Parser)]
 struct Arguments {
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Searches, each through both fronts
+    /// Searches, each through both frontends
     #[arg(long, default_value_t = 5000)]
     queries: u64,
     #[arg(long, default_value_t = 24)]
@@ -47,10 +48,10 @@
 }
 
 fn main() -> ExitCode {
-    proof::run(run(Arguments::parse()))
+    test_program::run(run(Arguments::parse()))
 }
 
-async fn run(arguments: Arguments) -> Result<bool, ProofError> {
+async fn run(arguments: Arguments) -> Result<bool, TestProgramError> {
     let started = Instant::now();
     let folder = tempfile::tempdir()?;
     let under_load = run_load(folder.path(), &arguments).await?;
@@ -80,7 +81,7 @@
 }
 
 /// Checks the gateway's interface, and sends all searches while a zone is lost and restored.
-async fn run_load(folder: &Path, arguments: &Arguments) -> Result<LoadResult, ProofError> {
+async fn run_load(folder: &Path, arguments: &Arguments) -> Result<LoadResult, TestProgramError> {
     let options = installation_options(arguments.seed);
     let mut installation = Installation::start(folder, &options).await?;
     let gateway = installation.aggregators[0].gateway_address;
@@ -120,7 +121,7 @@
     folder: &Path,
     seed: u64,
     cases: &[SearchCase],
-) -> Result<RepeatResult, ProofError> {
+) -> Result<RepeatResult, TestProgramError> {
     let options = InstallationOptions {
         latency_objective: Some(LONG_LATENCY_OBJECTIVE),
         client_timeout: Some(LONG_CLIENT_TIMEOUT),
--- a/crates/testkit/src/bin/prove-opensearch/page_check.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/page_check.rs
@@ -2,7 +2,7 @@
 
 use aggregator_testkit::installation::SHARDS;
 use aggregator_testkit::search::{
-    aggregate, matching_documents, page, SearchHit, ShardFault, FAULTY_SHARD,
+    aggregate, matching_documents, page, SearchHit, ShardFault, FAULTED_SHARD,
 };
 use serde_json::{json, Value};
 
@@ -36,7 +36,7 @@
         expected: Vec<String>,
     },
     /// A document's fields are others.
-    #[error("a document is not as it is held")]
+    #[error("the fields of a document differ from the index")]
     Source,
     /// The total number of hits is another.
     #[error("total {actual} instead of {expected}")]
@@ -85,7 +85,7 @@
             shards: shards.clone(),
         });
     }
-    if ShardFault::requested_by(search).is_some() && !failed.contains(&FAULTY_SHARD) {
+    if ShardFault::requested_by(search).is_some() && !failed.contains(&FAULTED_SHARD) {
         return Err(PageError::FaultedShardClaimed { failed });
     }
     Ok(claimed)
--- a/crates/testkit/src/bin/prove-opensearch/random_search.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/random_search.rs
@@ -12,7 +12,7 @@
 const CLAUSE_KINDS: u32 = 13;
 const FAULT_PROBABILITY: f64 = 0.06;
 
-/// A random search over the kit's documents; a few request a faulty response.
+/// A random search over the kit's documents; a few request a fault.
 pub fn random_search(random: &mut StdRng) -> Value {
     let mut search = json!({"query": random_clause(random, MAX_DEPTH)});
     if random.random_bool(0.5) {
--- a/crates/testkit/src/bin/prove-opensearch/summary.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/summary.rs
@@ -1,21 +1,21 @@
-//! The result of the proof and its output.
+//! The result of the test and its output.
 
 use crate::tally::{sum, OutcomeCounts, ServedOutcome, Tally};
 use aggregator_testkit::installation::CLASSES;
-use aggregator_testkit::proof;
+use aggregator_testkit::test_program;
 use std::collections::BTreeMap;
 use std::iter;
 use std::time::Duration;
 
-/// What is wrong with searches is printed for so many of them.
+/// Wrong responses that are printed, at most.
 const MAX_SHOWN_WRONG: usize = 5;
-/// By how many percent of the searches the numbers of answers may differ: both are asked one after
-/// the other, and what a lost zone costs one query it need not cost the other.
+/// The largest difference between the frontends' numbers of answers, in percent of the searches. The
+/// two requests of a search are sent one after the other, so a lost zone may affect only one.
 const MAX_DIFFERENCE_PERCENT: u64 = 3;
 /// The least share of the searches that the gateway answers.
 const MIN_ANSWERED_PERCENT: u64 = 90;
 
-/// The result of the proof.
+/// The result of the test.
 pub struct Summary {
     /// What became of all searches.
     pub tally: Tally,
@@ -40,7 +40,7 @@
             && self.clean_exit
             && native_searches == gateway_searches
             && tally.exact_pages == self.gateway_answers() + partial_faulted(tally)
-            && self.faulty_searches() > 0
+            && self.faulted_searches() > 0
             && self.repeats_hold()
             && self.api_failures == 0
             && self.gateway_answers() * 100 >= gateway_searches * MIN_ANSWERED_PERCENT
@@ -52,7 +52,7 @@
             && self.repeated.iter().all(|tally| {
                 tally.wrong.is_empty()
                     && tally.unanswered == 0
-                    && sum(&tally.faulty, OutcomeCounts::total) == self.faulty_searches()
+                    && sum(&tally.faulted, OutcomeCounts::total) == self.faulted_searches()
                     && tally.exact_pages == partial_faulted(tally)
             })
     }
@@ -61,7 +61,7 @@
     pub fn print_details(&self) {
         for class in CLASSES {
             println!(
-                "{}: native {}; front {}",
+                "{}: native {}; gateway {}",
                 class.name,
                 describe_class(&self.tally.native, class.name),
                 describe_class(&self.tally.gateway, class.name)
@@ -78,17 +78,17 @@
 
     /// Prints the last line.
     pub fn print_last_line(&self, seed: u64, time: Duration) {
-        let verdict = proof::verdict(self.holds());
+        let verdict = test_program::verdict(self.holds());
         println!(
-            "{verdict}: {} searches through each front, {} answered by the new one \
-             and {} by the native one, \
-             {} pages exact, {} searches on a sick shard, {} wrong, {} unanswered, \
-             {} later than their time, 1 zone lost, seed {seed}, {:.0} s",
+            "{verdict}: {} searches through each frontend, {} answered by the gateway \
+             and {} by the native frontend, \
+             {} pages exact, {} searches with a faulted shard, {} wrong, {} unanswered, \
+             {} later than the client's timeout, 1 zone lost, seed {seed}, {:.0} s",
             sum(&self.tally.gateway, OutcomeCounts::total),
             self.gateway_answers(),
             self.native_answers(),
             self.tally.exact_pages,
-            self.faulty_searches(),
+            self.faulted_searches(),
             self.wrong().count(),
             self.unanswered(),
             self.tally.late,
@@ -117,20 +117,20 @@
         sum(&self.tally.gateway, OutcomeCounts::answered)
     }
 
-    fn faulty_searches(&self) -> u64 {
-        sum(&self.tally.faulty, OutcomeCounts::total)
+    fn faulted_searches(&self) -> u64 {
+        sum(&self.tally.faulted, OutcomeCounts::total)
     }
 }
 
 fn partial_faulted(tally: &Tally) -> u64 {
-    sum(&tally.faulty, |counts| counts.of(ServedOutcome::Partial))
+    sum(&tally.faulted, |counts| counts.of(ServedOutcome::Partial))
 }
 
 fn print_faulted(prefix: &str, tally: &Tally) {
-    for (fault, counts) in &tally.faulty {
+    for (fault, counts) in &tally.faulted {
         for (outcome, count) in counts.iter() {
             println!(
-                "{prefix}a shard {}: {count} {}",
+                "{prefix}fault '{}': {count} {}",
                 fault.label(),
                 outcome.label()
             );
--- a/crates/testkit/src/bin/prove-opensearch/tally.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/tally.rs
@@ -5,9 +5,11 @@
 
 /// How a search was served.
 ///
-/// Declared in the order of the labels, in which the faulty searches are listed.
+/// Declared in the order of the labels, in which searches with a fault are listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServedOutcome {
+    /// With an answer from all shards.
+    Complete,
     /// With an error.
     Failed,
     /// With an answer from some shards.
@@ -16,8 +18,6 @@
     Rejected,
     /// Not at all.
     Unanswered,
-    /// With an answer from all shards.
-    Complete,
 }
 
 impl ServedOutcome {
@@ -42,9 +42,9 @@
     /// The outcome's name in the output.
     pub fn label(self) -> &'static str {
         match self {
-            ServedOutcome::Complete => "whole",
+            ServedOutcome::Complete => "complete",
             ServedOutcome::Partial => "partial",
-            ServedOutcome::Rejected => "refused",
+            ServedOutcome::Rejected => "rejected",
             ServedOutcome::Failed => "failed",
             ServedOutcome::Unanswered => "unanswered",
         }
@@ -90,7 +90,7 @@
     /// Through the gateway, by class; without those that requested a fault.
     pub gateway: BTreeMap<&'static str, OutcomeCounts>,
     /// Through the gateway, by the requested fault.
-    pub faulty: BTreeMap<ShardFault, OutcomeCounts>,
+    pub faulted: BTreeMap<ShardFault, OutcomeCounts>,
     /// Pages of the gateway that are exactly as computed.
     pub exact_pages: u64,
     /// What was not as it ought to be.
--- a/crates/testkit/src/bin/bench-ledger/main.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/main.rs
@@ -1,4 +1,4 @@
-//! `bench-ledger`: what the usage log costs an aggregator, and how fast the settlement is.
+//! `ledger-benchmark`: what the usage log costs an aggregator, and how fast the settlement is.
 
 mod error;
 mod load;
@@ -31,7 +31,7 @@
 
 fn main() -> ExitCode {
     let result = run(&Arguments::parse()).map(|()| true);
-    aggregator_testkit::cli::exit_code(result, |error| eprintln!("bench-ledger: {error}"))
+    aggregator_testkit::cli::exit_code(result, |error| eprintln!("ledger-benchmark: {error}"))
 }
 
 fn run(arguments: &Arguments) -> Result<(), BenchError> {
--- a/crates/testkit/src/bin/prove-ledger/checks.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/checks.rs
@@ -6,8 +6,8 @@
 use crate::statements::Statements;
 use crate::totals::{total_by_key, TotalKey, Totals, UseCounts};
 use crate::use_attempts::{UseOutcome, UseRecord};
-use aggregator_testkit::proof;
 use aggregator_testkit::receiver::ReceivedDocuments;
+use aggregator_testkit::test_program;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -92,9 +92,9 @@
         "every query got one final answer",
         unanswered == 0 && wrong == 0,
         format!(
-            "{} tries, {} lost with the killed mixer, {unanswered} unanswered, \
-             {wrong} not as the leaf servers hold, \
-             {} later than told",
+            "{} attempts, {} lost with the killed aggregator, {unanswered} unanswered, \
+             {wrong} with wrong values, \
+             {} later than the client's timeout",
             counters.attempts.value(),
             counters.lost.value(),
             counters.late.value()
@@ -107,10 +107,10 @@
     let retries = counters.attempts.value() - results.uses.len() as u64;
     let crossed = counters.crossed.value();
     checks.check(
-        "clients retried within and across mixers",
+        "clients retried within and across aggregators",
         retries > 0 && crossed > 0,
         format!(
-            "{retries} retries, {crossed} at another mixer, {} after a refusal, {} left early",
+            "{retries} retries, {crossed} at another aggregator, {} after a rejection, {} abandoned",
             counters.rejected.value(),
             counters.abandoned.value()
         ),
@@ -131,7 +131,7 @@
             // Unacknowledged deliveries were repeated.
             && deliveries as usize > expected_ids.len(),
         format!(
-            "{} documents, {deliveries} offers, {} in the folder, {conflicting} with other bytes",
+            "{} documents, {deliveries} deliveries, {} in the folder, {conflicting} with other bytes",
             received_ids.len(),
             results.files.len()
         ),
@@ -148,7 +148,7 @@
         .sum();
     let statement_amount = results.statements.amount;
     checks.check(
-        "documents come to the statements and the credit",
+        "the documents' amounts are the sum of the statements and the credit",
         document_amount == statement_amount + CORRECTION_MICRO_UNITS,
         format!(
             "{document_amount} = {statement_amount} - {} micro-units",
@@ -182,10 +182,10 @@
             .filter(|record| matches!(record.outcome, UseOutcome::Complete | UseOutcome::Partial))
             .count();
         println!(
-            "{}: {} uses ({answered} answered) in {} tries at {:.0} a second, {} periods, \
-             {} adjustments, {} documents in {} offers, \
-             2 mixer kills, 1 zone lost, 2 settlement kills, seed {seed}, {:.0} s{}",
-            proof::verdict(checks.holds()),
+            "{}: {} uses ({answered} answered) in {} attempts at {:.0} a second, {} periods, \
+             {} adjustments, {} documents in {} deliveries, \
+             2 aggregator kills, 1 zone lost, 2 settlement kills, seed {seed}, {:.0} s{}",
+            test_program::verdict(checks.holds()),
             self.uses.len(),
             self.load.counters.attempts.value(),
             self.uses.len() as f64 / load_time.as_secs_f64(),
--- a/crates/testkit/src/bin/prove-ledger/faults.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/faults.rs
@@ -3,7 +3,7 @@
 use crate::load::Load;
 use crate::receiver::RestartableReceiver;
 use aggregator_testkit::installation::{now_ms, Installation};
-use aggregator_testkit::proof::ProofError;
+use aggregator_testkit::test_program::TestProgramError;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -27,7 +27,7 @@
     installation: &mut Installation,
     load: &Load,
     receiver: &mut RestartableReceiver,
-) -> Result<(), ProofError> {
+) -> Result<(), TestProgramError> {
     let period_ms = load.period_ms;
     sleep_into_next_period(period_ms, 40).await;
     kill_aggregator_twice(installation, load).await?;
@@ -48,7 +48,7 @@
 async fn kill_aggregator_twice(
     installation: &mut Installation,
     load: &Load,
-) -> Result<(), ProofError> {
+) -> Result<(), TestProgramError> {
     load.mark_killed(KILLED_AGGREGATOR);
     installation.aggregators[KILLED_AGGREGATOR].kill();
     sleep(AGGREGATOR_DOWN_TIME).await;
@@ -62,7 +62,7 @@
 async fn kill_settlement(
     installation: &mut Installation,
     down_time: Duration,
-) -> Result<(), ProofError> {
+) -> Result<(), TestProgramError> {
     installation.ledger.kill_settlement();
     sleep(down_time).await;
     installation.ledger.start_settlement()?;
--- a/crates/testkit/src/bin/prove-ledger/ledger_commands.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/ledger_commands.rs
@@ -4,7 +4,7 @@
 use crate::receiver::RestartableReceiver;
 use crate::StatsFile;
 use aggregator_testkit::installation::{Installation, Ledger};
-use aggregator_testkit::proof::ProofError;
+use aggregator_testkit::test_program::TestProgramError;
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     checks: &mut CheckList,
     ledger: &Ledger,
     receiver: &RestartableReceiver,
-) -> Result<(), ProofError> {
+) -> Result<(), TestProgramError> {
     let period = wait_for_statement(receiver).await.unwrap_or_default();
     let amount = CORRECTION_MICRO_UNITS.to_string();
     let output = ledger.run([
@@ -77,7 +77,7 @@
     ledger: &Ledger,
     clients_file: &Path,
     stats_files: &[StatsFile],
-) -> Result<(), ProofError> {
+) -> Result<(), TestProgramError> {
     let mut arguments = vec![
         "reconcile".to_string(),
         "--clients".into(),
@@ -106,7 +106,7 @@
 pub fn check_verification(
     checks: &mut CheckList,
     installation: &Installation,
-) -> Result<(), ProofError> {
+) -> Result<(), TestProgramError> {
     let mut arguments = vec!["verify".to_string()];
     for aggregator in &installation.aggregators {
         let directory = aggregator.usage_directory.display().to_string();
--- a/crates/testkit/src/bin/prove-ledger/main.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/main.rs
@@ -1,4 +1,5 @@
-//! `prove-ledger`: that the ledger counts what clients sent, exactly, whatever fails meanwhile.
+//! `ledger-fault-test`: tests that the ledger's totals equal what clients sent, while faults are
+//! injected.
 //!
 //! Three aggregators, 12 leaf servers in three zones, and clients that retry within and across
 //! aggregators. One aggregator is killed in the middle of a period, started, killed again as it
@@ -22,7 +23,7 @@
 
 use aggregator_testkit::http::get;
 use aggregator_testkit::installation::{now_ms, Installation};
-use aggregator_testkit::proof::{self, ProofError};
+use aggregator_testkit::test_program::{self, TestProgramError};
 use check_list::CheckList;
 use checks::Results;
 use clap::Parser;
@@ -42,13 +43,13 @@
 /// The settlement collects the last records of the aggregators that have exited meanwhile.
 const PAUSE_BEFORE_SETTLEMENT_EXIT: Duration = Duration::from_millis(500);
 
-/// Proves the ledger on loopback; the last line is a summary, and the exit code 0 only if all
-/// holds.
+/// Tests the ledger on loopback. The last line is a summary; the exit code is 0 only if all checks
+/// pass.
 #[derive(Parser)]
 struct Arguments {
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Uses that clients ask for, each in one or more tries
+    /// Uses by clients, each in one or more attempts
     #[arg(long, default_value_t = 20_000)]
     queries: u64,
     /// Clients at once
@@ -63,10 +64,10 @@
 }
 
 fn main() -> ExitCode {
-    proof::run(run(Arguments::parse()))
+    test_program::run(run(Arguments::parse()))
 }
 
-async fn run(arguments: Arguments) -> Result<bool, ProofError> {
+async fn run(arguments: Arguments) -> Result<bool, TestProgramError> {
     let temporary_folder = create_folder(arguments.keep)?;
     let folder = temporary_folder.path();
     let started = Instant::now();
@@ -149,9 +150,9 @@
 async fn terminate(checks: &mut CheckList, installation: &mut Installation) {
     for aggregator in &mut installation.aggregators {
         let clean = aggregator.terminate(EXIT_LIMIT);
-        checks.check("a mixer ends by itself", clean, &aggregator.name);
+        checks.check("an aggregator exits by itself", clean, &aggregator.name);
     }
     sleep(PAUSE_BEFORE_SETTLEMENT_EXIT).await;
     let clean = installation.ledger.terminate_settlement(EXIT_LIMIT);
-    checks.check("the settlement ends by itself", clean, "SIGTERM");
+    checks.check("the settlement exits by itself", clean, "SIGTERM");
 }
--- a/crates/testkit/src/bin/prove-ledger/settings.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the proof is made with.
+//! The settings of the ledger and of the installation.
 
 use crate::receiver::RestartableReceiver;
 use aggregator_testkit::installation::{InstallationOptions, CLASSES};
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The installation that the proof is made on.
+/// The options of the installation.
 pub fn installation_options(seed: u64, ledger_settings: String) -> InstallationOptions {
     let leaf = LeafOptions {
         service_time: Duration::from_millis(9),
--- a/crates/testkit/src/bin/prove-ledger/statements.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/statements.rs
@@ -3,7 +3,7 @@
 use crate::timestamps::parse_ms;
 use crate::totals::{TotalKey, Totals};
 use aggregator_testkit::installation::Ledger;
-use aggregator_testkit::proof::ProofError;
+use aggregator_testkit::test_program::TestProgramError;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::fs;
@@ -35,7 +35,7 @@
 
 /// Waits until the period of `last_ms` is settled and all documents are exported; the list of
 /// settled periods.
-pub async fn wait_for_all(ledger: &Ledger, last_ms: u64) -> Result<Vec<Value>, ProofError> {
+pub async fn wait_for_all(ledger: &Ledger, last_ms: u64) -> Result<Vec<Value>, TestProgramError> {
     let mut periods = Vec::new();
     for _ in 0..POLLS {
         periods = array(ledger.run_json(["periods"])?);
@@ -54,7 +54,7 @@
 }
 
 /// Reads the statements of all periods.
-pub fn read_all(ledger: &Ledger, periods: &[Value]) -> Result<Statements, ProofError> {
+pub fn read_all(ledger: &Ledger, periods: &[Value]) -> Result<Statements, TestProgramError> {
     let mut statements = Statements {
         count: periods.len(),
         ..Statements::default()
@@ -68,7 +68,7 @@
 }
 
 /// The names of the documents that the ledger lists as made.
-pub fn document_list(ledger: &Ledger) -> Result<BTreeSet<String>, ProofError> {
+pub fn document_list(ledger: &Ledger) -> Result<BTreeSet<String>, TestProgramError> {
     let exports = array(list_exports(ledger)?);
     let names = exports
         .iter()
@@ -119,7 +119,7 @@
     }
 }
 
-fn list_exports(ledger: &Ledger) -> Result<Value, ProofError> {
+fn list_exports(ledger: &Ledger) -> Result<Value, TestProgramError> {
     Ok(ledger.run_json(["export", "--list"])?)
 }
 
--- a/crates/testkit/src/bin/prove-shutdown/main.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/main.rs
@@ -1,12 +1,16 @@
-//! `prove-shutdown`: that a graceful shutdown answers every request that was read.
+//! `shutdown-stress-test`: tests that a graceful shutdown answers every request that was read.
 //!
-//! Real aggregators are shut down under load, again and again, for client deadlines on both sides
-//! of every phase of a shutdown. Leaf servers hang, answer late or answer at once; clients ask
-//! again at once, pause, rest until they are closed, stop in the middle of a request, or send many
-//! searches at once to the OpenSearch gateway; processes reload their configuration or are held up
-//! for a moment; SIGKILL follows at the earliest moment that the platform allows. A request is lost
-//! if its aggregator has logged that it was read, and its client has no response although it has
-//! stayed.
+//! Real aggregators are shut down repeatedly under load, for client deadlines shorter and longer
+//! than each phase of a shutdown:
+//!
+//! - Leaf servers hang, answer late or answer at once.
+//! - Clients send requests back to back or with pauses, keep a connection idle, stop in the middle
+//!   of a request, or send many searches in one request to the OpenSearch gateway.
+//! - Processes reload their configuration or are stopped for a short time.
+//! - SIGKILL follows as early as the platform may send it.
+//!
+//! A request is lost if its aggregator has logged that it was read, and its client waited and got no
+//! response.
 
 mod client;
 mod judge;
@@ -15,7 +19,7 @@
 
 use aggregator_testkit::installation::{Installation, InstallationOptions};
 use aggregator_testkit::leaf::LeafOptions;
-use aggregator_testkit::proof::{self, ProofError};
+use aggregator_testkit::test_program::{self, TestProgramError};
 use clap::Parser;
 use judge::Rules;
 use round::{KillPolicy, RoundOptions};
@@ -101,10 +105,10 @@
 }
 
 fn main() -> ExitCode {
-    proof::run(run(Arguments::parse()))
+    test_program::run(run(Arguments::parse()))
 }
 
-async fn run(arguments: Arguments) -> Result<bool, ProofError> {
+async fn run(arguments: Arguments) -> Result<bool, TestProgramError> {
     let mut table = Table::default();
     table.print_head();
     for deadline_ms in &arguments.deadlines {
@@ -123,7 +127,7 @@
     arguments: &Arguments,
     deadline: Duration,
     speed: LeafSpeed,
-) -> Result<Row, ProofError> {
+) -> Result<Row, TestProgramError> {
     let mut folder = tempfile::tempdir()?;
     if arguments.keep {
         folder.disable_cleanup(true);
@@ -158,7 +162,7 @@
     folder: &Path,
     deadline: Duration,
     speed: LeafSpeed,
-) -> Result<Installation, ProofError> {
+) -> Result<Installation, TestProgramError> {
     let leaf = LeafOptions {
         service_time: speed.service_time(deadline),
         capacity: LEAF_CAPACITY,
--- a/crates/testkit/src/bin/prove-shutdown/round.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/round.rs
@@ -3,8 +3,8 @@
 use crate::client::{Client, ClientOptions, Habit, Phase, RequestRecord};
 use aggregator_testkit::installation::{Aggregator, Installation};
 use aggregator_testkit::process::Signal;
-use aggregator_testkit::proof::ProofError;
 use aggregator_testkit::random;
+use aggregator_testkit::test_program::TestProgramError;
 use rand::rngs::StdRng;
 use rand::Rng;
 use std::collections::VecDeque;
@@ -91,7 +91,7 @@
     installation: &mut Installation,
     options: RoundOptions,
     seed: u64,
-) -> Result<Vec<Shutdown>, ProofError> {
+) -> Result<Vec<Shutdown>, TestProgramError> {
     let mut shutdowns = Vec::new();
     let aggregators = installation.aggregators.iter_mut().enumerate();
     let rounds = aggregators.map(|(index, aggregator)| {
@@ -111,7 +111,7 @@
     aggregator: &mut Aggregator,
     options: RoundOptions,
     mut random: StdRng,
-) -> Result<Shutdown, ProofError> {
+) -> Result<Shutdown, TestProgramError> {
     let earlier_log = aggregator.log_text().len();
     let (phase, receiver) = watch::channel(Phase::Serving);
     let mut clients = start_clients(aggregator, options, &mut random, &receiver);
--- a/crates/testkit/src/bin/prove-shutdown/table.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/table.rs
@@ -1,7 +1,7 @@
 //! The printed results.
 
 use crate::judge::Verdict;
-use aggregator_testkit::proof;
+use aggregator_testkit::test_program;
 use std::time::Duration;
 
 /// The most lost requests, and the most crossings, that are printed of one scenario.
@@ -98,7 +98,7 @@
         println!(
             "{}: {} shutdowns, {} requests, {} crossed the end of their connection, {} lost, \
              {} killed, seed {seed}",
-            proof::verdict(self.holds()),
+            test_program::verdict(self.holds()),
             sum(|row| row.shutdowns),
             sum(|row| row.requests),
             sum(|row| row.crossed),
--- a/crates/testkit/src/installation/mod.rs
+++ b/crates/testkit/src/installation/mod.rs
@@ -35,7 +35,7 @@
     #[error(transparent)]
     Program(#[from] ProgramError),
     /// An aggregator was started and does not become ready in time.
-    #[error("mixer {name} does not come up: {log}")]
+    #[error("aggregator {name} does not become ready: {log}")]
     AggregatorNotReady {
         /// The aggregator's name.
         name: String,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for what an aggregator works with, on loopback: leaf servers, discovery, clients and a
-//! receiver of documents; and whole installations of real aggregators among them, for
-//! demonstrations and proofs. Written from the protocol's description; never linked into the
-//! aggregator.
+//! receiver of documents; and complete installations of real aggregators among them, for
+//! demonstrations, tests and benchmarks. Written from the protocol's description; never linked into
+//! the aggregator.
 
 pub mod cli;
 pub mod client;
@@ -10,8 +10,8 @@
 pub mod installation;
 pub mod leaf;
 pub mod process;
-pub mod proof;
 pub mod random;
 pub mod receiver;
 pub mod search;
 pub mod sync;
+pub mod test_program;
--- a/crates/testkit/src/search/faults.rs
+++ b/crates/testkit/src/search/faults.rs
@@ -1,9 +1,9 @@
-//! Faulty responses of a shard, which a search requests by an otherwise unused `min_score`.
+//! Faulted responses of a shard, which a search requests by an otherwise unused `min_score`.
 
 use serde_json::{json, Value};
 
-/// The shard that responds wrongly on request.
-pub const FAULTY_SHARD: u32 = 13;
+/// The shard that a search can request a fault of.
+pub const FAULTED_SHARD: u32 = 13;
 
 /// A way in which shards respond wrongly.
 ///
@@ -12,13 +12,13 @@
 pub enum ShardFault {
     /// Every shard responds with an error.
     ErrorFromEveryShard,
-    /// The faulty shard responds with an error.
+    /// The faulted shard responds with an error.
     ErrorFromOneShard,
-    /// The faulty shard's response ends in the middle.
-    Truncated,
-    /// The faulty shard reports that its search timed out.
+    /// The faulted shard reports that its search timed out.
     TimedOut,
-    /// The faulty shard's hits have no sort values, and its aggregations are missing.
+    /// The faulted shard's response ends in the middle.
+    Truncated,
+    /// The faulted shard's hits have no sort values, and its aggregations are missing.
     MissingFields,
 }
 
@@ -46,11 +46,11 @@
     /// The name of this fault in reports.
     pub fn label(self) -> &'static str {
         match self {
-            ShardFault::ErrorFromOneShard => "an error for the shard",
-            ShardFault::ErrorFromEveryShard => "an error for every shard",
-            ShardFault::TimedOut => "timed out",
-            ShardFault::Truncated => "cut short",
-            ShardFault::MissingFields => "without its sort values or aggregations",
+            ShardFault::ErrorFromOneShard => "error from one shard",
+            ShardFault::ErrorFromEveryShard => "error from every shard",
+            ShardFault::TimedOut => "search timed out",
+            ShardFault::Truncated => "truncated response",
+            ShardFault::MissingFields => "without sort values or aggregations",
         }
     }
 
@@ -64,7 +64,7 @@
 
     /// What `shard` responds with this fault, given its correct response.
     pub(super) fn apply(self, shard: u32, mut response: Value) -> String {
-        if self != ShardFault::ErrorFromEveryShard && shard != FAULTY_SHARD {
+        if self != ShardFault::ErrorFromEveryShard && shard != FAULTED_SHARD {
             return response.to_string();
         }
         match self {
--- a/crates/testkit/src/search/mod.rs
+++ b/crates/testkit/src/search/mod.rs
@@ -10,7 +10,7 @@
 
 pub use aggregation::aggregate;
 pub use documents::{GENRES, TITLE_WORDS};
-pub use faults::{ShardFault, FAULTY_SHARD};
+pub use faults::{ShardFault, FAULTED_SHARD};
 pub use ranking::{matching_documents, page, SearchHit};
 pub use shard::shard_response;
 
--- a/crates/testkit/src/search/shard.rs
+++ b/crates/testkit/src/search/shard.rs
@@ -5,7 +5,7 @@
 use super::ranking::{matching_documents, page, SearchHit};
 use serde_json::{json, Map, Value};
 
-/// The text with which one shard responds to a search, faulty if the search requests it.
+/// The text with which one shard responds to a search, with a fault if the search requests one.
 pub fn shard_response(shard: u32, search: &Value) -> String {
     let response = correct_response(shard, search);
     match ShardFault::requested_by(search) {
--- a/crates/testkit/tests/installation.rs
+++ b/crates/testkit/tests/installation.rs
@@ -1,5 +1,5 @@
-//! The demonstration and the proofs as they are run, in a smaller form. They start real
-//! aggregators, which `make test` builds first.
+//! The demonstration and the test programs, each on a small run. They start real aggregators, which
+//! `make test` builds first.
 
 use std::process::Command;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn prove_ledger_succeeds_on_a_small_run() {
+fn ledger_fault_test_passes_on_a_small_run() {
     let arguments = [
         "--queries",
         "2500",
@@ -41,20 +41,20 @@
         "--seed",
         "11",
     ];
-    let run = run(env!("CARGO_BIN_EXE_prove-ledger"), &arguments);
+    let run = run(env!("CARGO_BIN_EXE_ledger-fault-test"), &arguments);
     assert!(
-        run.success && run.last_line_starts_with("proved: 2500 uses"),
+        run.success && run.last_line_starts_with("PASSED: 2500 uses"),
         "{}",
         run.output
     );
 }
 
 #[test]
-fn prove_opensearch_succeeds_on_a_small_run() {
+fn gateway_conformance_test_passes_on_a_small_run() {
     let arguments = ["--queries", "600", "--clients", "6", "--seed", "5"];
-    let run = run(env!("CARGO_BIN_EXE_prove-opensearch"), &arguments);
+    let run = run(env!("CARGO_BIN_EXE_gateway-conformance-test"), &arguments);
     assert!(
-        run.success && run.last_line_starts_with("proved: "),
+        run.success && run.last_line_starts_with("PASSED: "),
         "{}",
         run.output
     );
@@ -78,7 +78,7 @@
 /// Without SIGKILL, so that a machine with other work only delays the processes: what was read has
 /// to be answered however long that takes.
 #[test]
-fn prove_shutdown_loses_no_request_that_was_read() {
+fn shutdown_stress_test_loses_no_request_that_was_read() {
     let arguments = [
         "--deadlines",
         "100,700,1500",
@@ -90,9 +90,9 @@
         "--seed",
         "3",
     ];
-    let run = run(env!("CARGO_BIN_EXE_prove-shutdown"), &arguments);
+    let run = run(env!("CARGO_BIN_EXE_shutdown-stress-test"), &arguments);
     assert!(
-        run.success && run.last_line_starts_with("proved: "),
+        run.success && run.last_line_starts_with("PASSED: "),
         "{}",
         run.output
     );
