--- a/crates/testkit/src/bin/demo.rs
+++ b/crates/testkit/src/bin/demo.rs
@@ -1,7 +1,9 @@
 //! `demo`: a whole installation on loopback, to look at and to query.
 
 use aggregator_testkit::cli;
-use aggregator_testkit::client::{consecutive_shards, Attempt, AttemptOutcome, Connection, Query};
+use aggregator_testkit::client::{
+    consecutive_shards, ClientAttempt, ClientOutcome, ClientQuery, HttpConnection,
+};
 use aggregator_testkit::installation::{
     Installation, InstallationError, InstallationOptions, CLASSES, SHARDS, TENANTS,
 };
@@ -116,19 +118,20 @@
 /// Sends random queries to random aggregators, a few a second, until it is aborted.
 async fn send_queries(addresses: Vec<SocketAddr>, seed: u64, counters: Arc<OutcomeCounters>) {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut connections: Vec<Connection> = addresses.into_iter().map(Connection::new).collect();
+    let mut connections: Vec<HttpConnection> =
+        addresses.into_iter().map(HttpConnection::new).collect();
     for number in 0u64.. {
         let class = CLASSES[random.random_range(0..CLASSES.len())];
         let shard_count = random.random_range(2..=6);
         let first_shard = random.random_range(0..SHARDS);
-        let query = Query {
+        let query = ClientQuery {
             class: class.name.into(),
             tenant: TENANTS[random.random_range(0..TENANTS.len())].into(),
             shards: consecutive_shards(first_shard, shard_count, SHARDS),
             text: format!("{:08x}", random.random::<u32>()),
             idempotency_key: None,
         };
-        let attempt = Attempt {
+        let attempt = ClientAttempt {
             request_id: &format!("demo-{number}"),
             is_retry: false,
             timeout: class.timeout(),
@@ -136,8 +139,8 @@
         };
         let index = random.random_range(0..connections.len());
         let counter = match connections[index].query(&query, &attempt).await {
-            AttemptOutcome::Answered { .. } => &counters.answered,
-            AttemptOutcome::Rejected { .. } => &counters.rejected,
+            ClientOutcome::Answered { .. } => &counters.answered,
+            ClientOutcome::Rejected { .. } => &counters.rejected,
             _ => &counters.other,
         };
         counter.increment();
@@ -193,14 +196,14 @@
 
 /// Sends one query and prints what comes back.
 async fn print_example_answer(address: SocketAddr) {
-    let query = Query {
+    let query = ClientQuery {
         class: EXAMPLE_CLASS.into(),
         tenant: TENANTS[0].into(),
         shards: consecutive_shards(EXAMPLE_FIRST_SHARD, EXAMPLE_SHARDS, SHARDS),
         text: "c41e77d0".into(),
         idempotency_key: None,
     };
-    let attempt = Attempt {
+    let attempt = ClientAttempt {
         request_id: "demo-example",
         is_retry: false,
         timeout: EXAMPLE_TIMEOUT,
@@ -209,8 +212,8 @@
     print_line(&format!(
         "\nOne query of class {EXAMPLE_CLASS} and its answer:"
     ));
-    match Connection::new(address).query(&query, &attempt).await {
-        AttemptOutcome::Answered { complete, hits } => {
+    match HttpConnection::new(address).query(&query, &attempt).await {
+        ClientOutcome::Answered { complete, hits } => {
             print_line(&format!("  complete: {complete}"));
             for hit in hits {
                 print_line(&format!("  shard {}: {}", hit.shard, hit.document));
--- a/crates/testkit/src/bin/gateway-conformance-test/api_checks.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/api_checks.rs
@@ -2,7 +2,7 @@
 //! compressed exchange, and all documents page by page.
 
 use crate::api_cases::{self, ApiCase};
-use aggregator_testkit::client::Connection;
+use aggregator_testkit::client::HttpConnection;
 use aggregator_testkit::http::{exchange, FullResponse, HOST};
 use aggregator_testkit::installation::SHARDS;
 use aggregator_testkit::search::matching_documents;
@@ -25,7 +25,7 @@
 
 /// Makes all checks; a description of each that fails.
 pub async fn check_all(gateway: SocketAddr) -> Vec<String> {
-    let mut connection = Connection::new(gateway);
+    let mut connection = HttpConnection::new(gateway);
     let mut failures = Vec::new();
     for case in api_cases::all() {
         failures.extend(check_case(&mut connection, &case).await);
@@ -42,7 +42,7 @@
 }
 
 async fn send(
-    connection: &mut Connection,
+    connection: &mut HttpConnection,
     method: &str,
     path: &str,
     body: &str,
@@ -63,7 +63,7 @@
     })
 }
 
-async fn check_case(connection: &mut Connection, case: &ApiCase) -> Option<String> {
+async fn check_case(connection: &mut HttpConnection, case: &ApiCase) -> Option<String> {
     let response = send(connection, case.method, case.path, &case.body).await;
     let holds = response.as_ref().is_some_and(|response| {
         let value = response.body.pointer(case.pointer);
@@ -120,7 +120,7 @@
 }
 
 /// All documents, page by page, each after the last hit of the one before.
-async fn check_paging(connection: &mut Connection) -> Option<String> {
+async fn check_paging(connection: &mut HttpConnection) -> Option<String> {
     let mut search = json!({
         "query": {"match_all": {}},
         "size": PAGE_SIZE,
--- a/crates/testkit/src/bin/gateway-conformance-test/faulted_search.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/faulted_search.rs
@@ -7,13 +7,13 @@
 
 use crate::page_check::shard_numbers;
 use crate::tally::ServedOutcome;
-use aggregator_testkit::installation::{QueryClass, SHARDS};
+use aggregator_testkit::installation::{InstallationClass, SHARDS};
 use aggregator_testkit::search::{ShardFault, FAULTED_SHARD};
 use serde_json::Value;
 use std::time::Duration;
 
-/// Times of an installation without time pressure. Load does not delay the answers of leaf servers
-/// by so much.
+/// Times of an installation without time pressure, far longer than other processes on the machine
+/// delay an answer.
 pub const LONG_LATENCY_OBJECTIVE: Duration = Duration::from_secs(30);
 pub const LONG_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -33,7 +33,7 @@
 
 impl TimePressure {
     /// How long clients wait.
-    pub fn client_timeout(self, class: &QueryClass) -> Duration {
+    pub fn client_timeout(self, class: &InstallationClass) -> Duration {
         match self {
             TimePressure::ShortObjective => class.timeout(),
             TimePressure::None | TimePressure::ZoneLost => LONG_CLIENT_TIMEOUT,
@@ -90,7 +90,7 @@
 /// It ought to be served otherwise, or other shards ought to have failed.
 pub fn check_faulted_search(
     fault: ShardFault,
-    class: &QueryClass,
+    class: &InstallationClass,
     actual: ServedOutcome,
     body: &Value,
     pressure: TimePressure,
@@ -161,7 +161,7 @@
 
 /// A search fails only where too few shards are left besides those that the response itself reports
 /// as failed, the faulted one among them.
-fn expected_outcome(fault: ShardFault, class: &QueryClass, failed: &[u32]) -> ServedOutcome {
+fn expected_outcome(fault: ShardFault, class: &InstallationClass, failed: &[u32]) -> ServedOutcome {
     if class.minimum_coverage == 1.0 || fault == ShardFault::ErrorFromEveryShard {
         return ServedOutcome::Failed;
     }
--- a/crates/testkit/src/bin/gateway-conformance-test/load.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/load.rs
@@ -5,10 +5,10 @@
 use crate::random_search::random_search;
 use crate::tally::{ServedOutcome, Tally};
 use aggregator_testkit::client::{
-    consecutive_shards, Attempt, AttemptOutcome, ClientResponse, Connection, Query,
+    consecutive_shards, ClientAttempt, ClientOutcome, ClientQuery, ClientResponse, HttpConnection,
 };
 use aggregator_testkit::http::HOST;
-use aggregator_testkit::installation::{Installation, QueryClass, CLASSES, SHARDS, TENANTS};
+use aggregator_testkit::installation::{Installation, InstallationClass, CLASSES, SHARDS, TENANTS};
 use aggregator_testkit::random;
 use aggregator_testkit::search::{shard_response, ShardFault};
 use aggregator_testkit::sync::lock;
@@ -35,7 +35,7 @@
 }
 
 /// What all clients share.
-pub struct Load {
+pub struct GatewayLoad {
     seed: u64,
     aggregators: Vec<AggregatorAddresses>,
     pressure: TimePressure,
@@ -44,11 +44,11 @@
     faulted_cases: Mutex<Vec<SearchCase>>,
 }
 
-impl Load {
+impl GatewayLoad {
     /// A load on all aggregators of an installation.
-    pub fn new(installation: &Installation, seed: u64, pressure: TimePressure) -> Arc<Load> {
+    pub fn new(installation: &Installation, seed: u64, pressure: TimePressure) -> Arc<GatewayLoad> {
         let aggregators = installation.aggregators.iter();
-        Arc::new(Load {
+        Arc::new(GatewayLoad {
             seed,
             aggregators: aggregators
                 .map(|aggregator| AggregatorAddresses {
@@ -78,14 +78,14 @@
 }
 
 /// Starts clients, each of which ends after so many searches.
-pub fn start_clients(load: &Arc<Load>, clients: u64, searches: u64) -> Vec<JoinHandle<()>> {
+pub fn start_clients(load: &Arc<GatewayLoad>, clients: u64, searches: u64) -> Vec<JoinHandle<()>> {
     (0..clients)
         .map(|client| tokio::spawn(run_client(load.clone(), client, searches)))
         .collect()
 }
 
 /// Starts a client for each aggregator, which sends its share of the cases to the gateway.
-pub fn start_gateway_clients(load: &Arc<Load>, cases: &[SearchCase]) -> Vec<JoinHandle<()>> {
+pub fn start_gateway_clients(load: &Arc<GatewayLoad>, cases: &[SearchCase]) -> Vec<JoinHandle<()>> {
     let aggregators = load.aggregators.len();
     (0..aggregators)
         .map(|index| {
@@ -95,18 +95,18 @@
         .collect()
 }
 
-async fn send_all(load: Arc<Load>, aggregator: usize, cases: Vec<SearchCase>) {
-    let mut gateway = Connection::new(load.aggregators[aggregator].gateway);
+async fn send_all(load: Arc<GatewayLoad>, aggregator: usize, cases: Vec<SearchCase>) {
+    let mut gateway = HttpConnection::new(load.aggregators[aggregator].gateway);
     for case in cases {
         case.send_to_gateway(&load, &mut gateway).await;
     }
 }
 
-async fn run_client(load: Arc<Load>, client: u64, searches: u64) {
+async fn run_client(load: Arc<GatewayLoad>, client: u64, searches: u64) {
     let mut random = random::stream(load.seed, client + 1);
     let aggregator = load.aggregators[client as usize % load.aggregators.len()];
-    let mut native = Connection::new(aggregator.native);
-    let mut gateway = Connection::new(aggregator.gateway);
+    let mut native = HttpConnection::new(aggregator.native);
+    let mut gateway = HttpConnection::new(aggregator.gateway);
     for number in 0..searches {
         let search = random_search(&mut random);
         let case = SearchCase {
@@ -134,7 +134,7 @@
 pub struct SearchCase {
     id: String,
     search: Value,
-    class: QueryClass,
+    class: InstallationClass,
     tenant: &'static str,
     fault: Option<ShardFault>,
 }
@@ -142,18 +142,18 @@
 impl SearchCase {
     /// Sends the search through the native protocol, unless it requests a fault: the native
     /// protocol passes on what a shard responds, whatever it is.
-    async fn send_native(&self, load: &Load, connection: &mut Connection) {
+    async fn send_native(&self, load: &GatewayLoad, connection: &mut HttpConnection) {
         if self.fault.is_some() {
             return;
         }
-        let query = Query {
+        let query = ClientQuery {
             class: self.class.name.into(),
             tenant: self.tenant.into(),
             shards: consecutive_shards(0, SHARDS, SHARDS),
             text: self.search.to_string(),
             idempotency_key: None,
         };
-        let attempt = Attempt {
+        let attempt = ClientAttempt {
             request_id: &self.id,
             is_retry: false,
             timeout: self.class.timeout(),
@@ -166,9 +166,9 @@
         counts.add(outcome);
     }
 
-    fn judge_native(&self, outcome: AttemptOutcome, tally: &mut Tally) -> ServedOutcome {
+    fn judge_native(&self, outcome: ClientOutcome, tally: &mut Tally) -> ServedOutcome {
         match outcome {
-            AttemptOutcome::Answered { complete, hits } => {
+            ClientOutcome::Answered { complete, hits } => {
                 let values_match = hits
                     .iter()
                     .all(|hit| hit.document == shard_response(hit.shard, &self.search));
@@ -180,9 +180,9 @@
                 }
                 ServedOutcome::answered(complete)
             }
-            AttemptOutcome::Rejected { .. } => ServedOutcome::Rejected,
-            AttemptOutcome::Failed { .. } => ServedOutcome::Failed,
-            AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut => {
+            ClientOutcome::Rejected { .. } => ServedOutcome::Rejected,
+            ClientOutcome::Failed { .. } => ServedOutcome::Failed,
+            ClientOutcome::ConnectionLost | ClientOutcome::TimedOut => {
                 tally.unanswered += 1;
                 ServedOutcome::Unanswered
             }
@@ -190,7 +190,7 @@
     }
 
     /// Sends the search through the gateway.
-    async fn send_to_gateway(&self, load: &Load, connection: &mut Connection) {
+    async fn send_to_gateway(&self, load: &GatewayLoad, connection: &mut HttpConnection) {
         let request = Request::post(format!("/{}/_search", self.class.name))
             .header("Host", HOST)
             .header("Content-Type", "application/json")
--- a/crates/testkit/src/bin/gateway-conformance-test/main.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/main.rs
@@ -19,7 +19,7 @@
 use aggregator_testkit::test_program::{self, TestProgramError};
 use clap::Parser;
 use faulted_search::{TimePressure, LONG_CLIENT_TIMEOUT, LONG_LATENCY_OBJECTIVE};
-use load::{Load, SearchCase};
+use load::{GatewayLoad, SearchCase};
 use std::path::Path;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -89,7 +89,7 @@
     for failure in &api_failures {
         println!("WRONG {failure}");
     }
-    let load = Load::new(&installation, arguments.seed, TimePressure::ShortObjective);
+    let load = GatewayLoad::new(&installation, arguments.seed, TimePressure::ShortObjective);
     let searches_per_client = arguments.queries / arguments.clients;
     let clients = load::start_clients(&load, arguments.clients, searches_per_client);
     sleep(TIME_BEFORE_ZONE_LOSS).await;
@@ -133,7 +133,7 @@
         if pressure == TimePressure::ZoneLost {
             installation.lose_zone(LOST_ZONE);
         }
-        let load = Load::new(&installation, seed, pressure);
+        let load = GatewayLoad::new(&installation, seed, pressure);
         for client in load::start_gateway_clients(&load, cases) {
             client.await?;
         }
--- a/crates/testkit/src/bin/ledger-benchmark/load.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/load.rs
@@ -1,7 +1,9 @@
 //! Load on one aggregator, and what it costs there.
 
 use crate::error::BenchError;
-use aggregator_testkit::client::{consecutive_shards, Attempt, AttemptOutcome, Connection, Query};
+use aggregator_testkit::client::{
+    consecutive_shards, ClientAttempt, ClientOutcome, ClientQuery, HttpConnection,
+};
 use aggregator_testkit::installation::{Aggregator, Installation, CLASSES, SHARDS, TENANTS};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
@@ -95,12 +97,12 @@
 ) -> Result<Histogram<u64>, BenchError> {
     let class = CLASSES[1];
     let mut random = StdRng::seed_from_u64(client);
-    let mut connection = Connection::new(address);
+    let mut connection = HttpConnection::new(address);
     let mut latency_us = Histogram::new(HISTOGRAM_DIGITS)?;
     let mut number = 0u64;
     while Instant::now() < deadline {
         let first_shard = random.random_range(0..SHARDS);
-        let query = Query {
+        let query = ClientQuery {
             class: class.name.into(),
             tenant: TENANTS[0].into(),
             shards: consecutive_shards(first_shard, SHARDS_PER_QUERY, SHARDS),
@@ -108,7 +110,7 @@
             idempotency_key: None,
         };
         number += 1;
-        let attempt = Attempt {
+        let attempt = ClientAttempt {
             request_id: &format!("b{client}-{number}-{:08x}", random.random::<u32>()),
             is_retry: false,
             timeout: class.timeout(),
@@ -116,7 +118,7 @@
         };
         let sent_at = Instant::now();
         let outcome = connection.query(&query, &attempt).await;
-        if let AttemptOutcome::Answered { .. } = outcome {
+        if let ClientOutcome::Answered { .. } = outcome {
             let _ = latency_us.record(sent_at.elapsed().as_micros() as u64);
         }
         let pause_ms = random.random_range(gap_ms.clone());
--- a/crates/testkit/src/bin/ledger-fault-test/checks.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/checks.rs
@@ -2,9 +2,9 @@
 
 use crate::check_list::CheckList;
 use crate::ledger_commands::CORRECTION_MICRO_UNITS;
-use crate::load::Load;
+use crate::load::LedgerLoad;
 use crate::statements::Statements;
-use crate::totals::{total_by_key, TotalKey, Totals, UseCounts};
+use crate::totals::{total_by_key, Totals, UseCounts, UseTotalKey};
 use crate::use_attempts::{UseOutcome, UseRecord};
 use aggregator_testkit::receiver::ReceivedDocuments;
 use aggregator_testkit::test_program;
@@ -20,7 +20,7 @@
     /// The clients' records.
     pub uses: Vec<UseRecord>,
     /// What clients met on their way.
-    pub load: &'a Load,
+    pub load: &'a LedgerLoad,
     /// What the ledger states.
     pub statements: Statements,
     /// The documents that were received.
@@ -66,7 +66,7 @@
         .chain(ledger.keys())
         .filter(|key| clients.get(*key) != ledger.get(*key))
         .map(|key| {
-            let TotalKey {
+            let UseTotalKey {
                 period,
                 tenant,
                 class,
--- a/crates/testkit/src/bin/ledger-fault-test/faults.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/faults.rs
@@ -1,6 +1,6 @@
 //! What fails while clients use the aggregators.
 
-use crate::load::Load;
+use crate::load::LedgerLoad;
 use crate::receiver::RestartableReceiver;
 use aggregator_testkit::installation::{now_ms, Installation};
 use aggregator_testkit::test_program::TestProgramError;
@@ -25,7 +25,7 @@
 /// Injects all faults, in an order that has each meet the others' aftermath.
 pub async fn inject(
     installation: &mut Installation,
-    load: &Load,
+    load: &LedgerLoad,
     receiver: &mut RestartableReceiver,
 ) -> Result<(), TestProgramError> {
     let period_ms = load.period_ms;
@@ -47,7 +47,7 @@
 /// Kills an aggregator, and again while it recovers.
 async fn kill_aggregator_twice(
     installation: &mut Installation,
-    load: &Load,
+    load: &LedgerLoad,
 ) -> Result<(), TestProgramError> {
     load.mark_killed(KILLED_AGGREGATOR);
     installation.aggregators[KILLED_AGGREGATOR].kill();
--- a/crates/testkit/src/bin/ledger-fault-test/ledger_commands.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/ledger_commands.rs
@@ -3,7 +3,7 @@
 use crate::check_list::CheckList;
 use crate::receiver::RestartableReceiver;
 use crate::StatsFile;
-use aggregator_testkit::installation::{Installation, Ledger};
+use aggregator_testkit::installation::{Installation, InstalledLedger};
 use aggregator_testkit::test_program::TestProgramError;
 use serde_json::Value;
 use std::path::Path;
@@ -24,7 +24,7 @@
 /// Corrects a statement that has gone out, which has to become a credit.
 pub async fn check_correction(
     checks: &mut CheckList,
-    ledger: &Ledger,
+    ledger: &InstalledLedger,
     receiver: &RestartableReceiver,
 ) -> Result<(), TestProgramError> {
     let period = wait_for_statement(receiver).await.unwrap_or_default();
@@ -74,7 +74,7 @@
 /// Reconciles the clients' records with the ledger, use by use.
 pub fn check_reconciliation(
     checks: &mut CheckList,
-    ledger: &Ledger,
+    ledger: &InstalledLedger,
     clients_file: &Path,
     stats_files: &[StatsFile],
 ) -> Result<(), TestProgramError> {
--- a/crates/testkit/src/bin/ledger-fault-test/load.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/load.rs
@@ -1,7 +1,7 @@
 //! The load: clients that use the aggregators at once.
 
 use crate::use_attempts::{Use, UseAttempts, UseRecord};
-use aggregator_testkit::client::{consecutive_shards, Connection, Query};
+use aggregator_testkit::client::{consecutive_shards, ClientQuery, HttpConnection};
 use aggregator_testkit::installation::{now_ms, CLASSES, SHARDS, TENANTS};
 use aggregator_testkit::random;
 use aggregator_testkit::sync::{lock, Counter};
@@ -25,7 +25,7 @@
 
 /// What clients met on their way.
 #[derive(Default)]
-pub struct Counters {
+pub struct ClientCounters {
     /// Attempts sent.
     pub attempts: Counter,
     /// Attempts at another aggregator than the attempt before.
@@ -45,11 +45,11 @@
 }
 
 /// What all clients share.
-pub struct Load {
+pub struct LedgerLoad {
     /// Where the aggregators serve queries.
     pub addresses: Vec<SocketAddr>,
     /// What clients met on their way.
-    pub counters: Counters,
+    pub counters: ClientCounters,
     /// The length of a period.
     pub period_ms: u64,
     /// Whether each aggregator was killed, after which broken connections to it are no fault.
@@ -58,13 +58,13 @@
     uses: Mutex<Vec<UseRecord>>,
 }
 
-impl Load {
+impl LedgerLoad {
     /// A load of so many uses, over all clients.
-    pub fn new(addresses: Vec<SocketAddr>, period_seconds: u64, uses: u64) -> Load {
-        Load {
+    pub fn new(addresses: Vec<SocketAddr>, period_seconds: u64, uses: u64) -> LedgerLoad {
+        LedgerLoad {
             killed: addresses.iter().map(|_| AtomicBool::new(false)).collect(),
             addresses,
-            counters: Counters::default(),
+            counters: ClientCounters::default(),
             period_ms: period_seconds * 1000,
             remaining_uses: AtomicU64::new(uses),
             uses: Mutex::new(Vec::new()),
@@ -104,16 +104,16 @@
 }
 
 /// Starts clients, which end when all uses have been made.
-pub fn start_clients(load: &Arc<Load>, clients: u64, seed: u64) -> Vec<JoinHandle<()>> {
+pub fn start_clients(load: &Arc<LedgerLoad>, clients: u64, seed: u64) -> Vec<JoinHandle<()>> {
     (0..clients)
         .map(|client| tokio::spawn(run_client(load.clone(), client, seed)))
         .collect()
 }
 
-async fn run_client(load: Arc<Load>, client: u64, seed: u64) {
+async fn run_client(load: Arc<LedgerLoad>, client: u64, seed: u64) {
     let mut random = random::stream(seed, client);
     let home = client as usize % load.addresses.len();
-    let mut connection = Connection::new(load.addresses[home]);
+    let mut connection = HttpConnection::new(load.addresses[home]);
     for number in 0u64.. {
         if !load.reserve_use() {
             return;
@@ -136,7 +136,7 @@
     // Without a key, a text is used only once, so that the ledger doesn't take two uses for one.
     let has_key = tenant < TENANTS_WITH_KEYS;
     Use {
-        query: Query {
+        query: ClientQuery {
             class: class.name.into(),
             tenant: TENANTS[tenant].into(),
             shards: consecutive_shards(first_shard, shard_count, SHARDS),
--- a/crates/testkit/src/bin/ledger-fault-test/main.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/main.rs
@@ -27,7 +27,7 @@
 use check_list::CheckList;
 use checks::Results;
 use clap::Parser;
-use load::Load;
+use load::LedgerLoad;
 use receiver::RestartableReceiver;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -79,7 +79,11 @@
     let mut installation = Installation::start(folder, &options).await?;
     installation.ledger.start_settlement()?;
     let addresses = installation.aggregator_addresses();
-    let load = Arc::new(Load::new(addresses, period_seconds, arguments.queries));
+    let load = Arc::new(LedgerLoad::new(
+        addresses,
+        period_seconds,
+        arguments.queries,
+    ));
     let clients = load::start_clients(&load, arguments.clients, arguments.seed);
     faults::inject(&mut installation, &load, &mut receiver).await?;
     let mut checks = CheckList::default();
--- a/crates/testkit/src/bin/ledger-fault-test/statements.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/statements.rs
@@ -1,8 +1,8 @@
 //! What the ledger states and exports.
 
 use crate::timestamps::parse_ms;
-use crate::totals::{TotalKey, Totals};
-use aggregator_testkit::installation::Ledger;
+use crate::totals::{Totals, UseTotalKey};
+use aggregator_testkit::installation::InstalledLedger;
 use aggregator_testkit::test_program::TestProgramError;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -35,7 +35,10 @@
 
 /// Waits until the period of `last_ms` is settled and all documents are exported; the list of
 /// settled periods.
-pub async fn wait_for_all(ledger: &Ledger, last_ms: u64) -> Result<Vec<Value>, TestProgramError> {
+pub async fn wait_for_all(
+    ledger: &InstalledLedger,
+    last_ms: u64,
+) -> Result<Vec<Value>, TestProgramError> {
     let mut periods = Vec::new();
     for _ in 0..POLLS {
         periods = array(ledger.run_json(["periods"])?);
@@ -54,7 +57,10 @@
 }
 
 /// Reads the statements of all periods.
-pub fn read_all(ledger: &Ledger, periods: &[Value]) -> Result<Statements, TestProgramError> {
+pub fn read_all(
+    ledger: &InstalledLedger,
+    periods: &[Value],
+) -> Result<Statements, TestProgramError> {
     let mut statements = Statements {
         count: periods.len(),
         ..Statements::default()
@@ -68,7 +74,7 @@
 }
 
 /// The names of the documents that the ledger lists as made.
-pub fn document_list(ledger: &Ledger) -> Result<BTreeSet<String>, TestProgramError> {
+pub fn document_list(ledger: &InstalledLedger) -> Result<BTreeSet<String>, TestProgramError> {
     let exports = array(list_exports(ledger)?);
     let names = exports
         .iter()
@@ -106,7 +112,7 @@
     fn add_line(&mut self, line: &Value) {
         let text = |key: &str| line[key].as_str().unwrap_or_default().to_string();
         let count = |key: &str| line[key].as_i64().unwrap_or_default();
-        let key = TotalKey {
+        let key = UseTotalKey {
             period: text("period"),
             tenant: text("tenant"),
             class: text("class"),
@@ -119,7 +125,7 @@
     }
 }
 
-fn list_exports(ledger: &Ledger) -> Result<Value, TestProgramError> {
+fn list_exports(ledger: &InstalledLedger) -> Result<Value, TestProgramError> {
     Ok(ledger.run_json(["export", "--list"])?)
 }
 
--- a/crates/testkit/src/bin/ledger-fault-test/totals.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/totals.rs
@@ -8,7 +8,7 @@
 
 /// What uses are totalled by.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TotalKey {
+pub struct UseTotalKey {
     /// The start of the period.
     pub period: String,
     /// The tenant's name.
@@ -29,14 +29,14 @@
 }
 
 /// Counts by period, tenant and class.
-pub type Totals = BTreeMap<TotalKey, UseCounts>;
+pub type Totals = BTreeMap<UseTotalKey, UseCounts>;
 
 /// Totals what clients sent.
 pub fn total_by_key(uses: &[UseRecord], period_ms: u64) -> Totals {
     let mut totals = Totals::new();
     for record in uses {
         let period_start_ms = record.started_ms - record.started_ms % period_ms;
-        let key = TotalKey {
+        let key = UseTotalKey {
             period: format_ms(period_start_ms),
             tenant: record.tenant.into(),
             class: record.class.into(),
--- a/crates/testkit/src/bin/ledger-fault-test/use_attempts.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/use_attempts.rs
@@ -1,9 +1,11 @@
 //! One use of the aggregators by a client, over as many attempts as it takes.
 
-use crate::load::Load;
+use crate::load::LedgerLoad;
 use aggregator_core::engine::usage::{key_of_client, key_of_query};
-use aggregator_testkit::client::{Attempt, AttemptOutcome, Connection, Hit, Query};
-use aggregator_testkit::installation::{now_ms, QueryClass};
+use aggregator_testkit::client::{
+    ClientAttempt, ClientHit, ClientOutcome, ClientQuery, HttpConnection,
+};
+use aggregator_testkit::installation::{now_ms, InstallationClass};
 use aggregator_testkit::leaf::expected_answer;
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -31,9 +33,9 @@
     /// Identifies the use among those of all clients.
     pub id: String,
     /// The query, the same in each attempt.
-    pub query: Query,
+    pub query: ClientQuery,
     /// The query's class.
-    pub class: QueryClass,
+    pub class: InstallationClass,
     /// The query's tenant.
     pub tenant: &'static str,
 }
@@ -95,8 +97,8 @@
 
 /// A use whose attempts are under way.
 pub struct UseAttempts<'a> {
-    load: &'a Load,
-    connection: &'a mut Connection,
+    load: &'a LedgerLoad,
+    connection: &'a mut HttpConnection,
     random: &'a mut StdRng,
     current: &'a Use,
     /// The index of the aggregator that the next attempt goes to.
@@ -107,8 +109,8 @@
 impl<'a> UseAttempts<'a> {
     /// A use that starts at the aggregator `home`.
     pub fn new(
-        load: &'a Load,
-        connection: &'a mut Connection,
+        load: &'a LedgerLoad,
+        connection: &'a mut HttpConnection,
         random: &'a mut StdRng,
         current: &'a Use,
         home: usize,
@@ -159,7 +161,7 @@
     }
 
     /// Makes one attempt; `None` if the client abandons it.
-    async fn attempt(&mut self, remaining: Duration) -> Option<AttemptOutcome> {
+    async fn attempt(&mut self, remaining: Duration) -> Option<ClientOutcome> {
         let is_retry = self.attempts > 0;
         self.attempts += 1;
         self.load.counters.attempts.increment();
@@ -172,7 +174,7 @@
         let abandons = query.idempotency_key.is_some()
             && !is_retry
             && self.random.random_bool(ABANDON_PROBABILITY);
-        let attempt = Attempt {
+        let attempt = ClientAttempt {
             request_id: &format!("c{}-{}", self.current.id, self.attempts),
             is_retry,
             timeout: remaining,
@@ -191,7 +193,7 @@
     }
 
     /// Sends an attempt, whose client may not wait for the answer; `None` if it is abandoned.
-    async fn send(&mut self, attempt: &Attempt<'_>, abandons: bool) -> Option<AttemptOutcome> {
+    async fn send(&mut self, attempt: &ClientAttempt<'_>, abandons: bool) -> Option<ClientOutcome> {
         let query = &self.current.query;
         if !abandons {
             return Some(self.connection.query(query, attempt).await);
@@ -206,15 +208,15 @@
 
     fn abandon(&mut self) {
         self.load.counters.abandoned.increment();
-        *self.connection = Connection::new(self.load.addresses[self.aggregator]);
+        *self.connection = HttpConnection::new(self.load.addresses[self.aggregator]);
         self.switch_aggregator();
     }
 
     /// How the use ended with this outcome of an attempt; `None` if it is to be retried.
-    async fn handle_outcome(&mut self, outcome: AttemptOutcome) -> Option<UseOutcome> {
+    async fn handle_outcome(&mut self, outcome: ClientOutcome) -> Option<UseOutcome> {
         let counters = &self.load.counters;
         match outcome {
-            AttemptOutcome::Answered { complete, hits } => {
+            ClientOutcome::Answered { complete, hits } => {
                 if !self.is_correct(complete, &hits) {
                     counters.wrong.increment();
                 }
@@ -224,7 +226,7 @@
                     UseOutcome::Partial
                 })
             }
-            AttemptOutcome::Rejected { retry_after } => {
+            ClientOutcome::Rejected { retry_after } => {
                 counters.rejected.increment();
                 let pause = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
                 sleep(pause.min(self.current.class.timeout())).await;
@@ -233,7 +235,7 @@
                 }
                 None
             }
-            AttemptOutcome::ConnectionLost => {
+            ClientOutcome::ConnectionLost => {
                 counters.lost.increment();
                 if !self.load.was_killed(self.aggregator) {
                     counters.unanswered.increment();
@@ -241,11 +243,11 @@
                 self.switch_aggregator();
                 None
             }
-            AttemptOutcome::TimedOut => {
+            ClientOutcome::TimedOut => {
                 counters.unanswered.increment();
                 Some(UseOutcome::Failed)
             }
-            AttemptOutcome::Failed { .. } => Some(UseOutcome::Failed),
+            ClientOutcome::Failed { .. } => Some(UseOutcome::Failed),
         }
     }
 
@@ -256,7 +258,7 @@
 
     /// Whether an answer has the values that the leaf servers hold, none twice, and covers as much
     /// as it has to.
-    fn is_correct(&self, complete: bool, hits: &[Hit]) -> bool {
+    fn is_correct(&self, complete: bool, hits: &[ClientHit]) -> bool {
         let query = &self.current.query;
         let values_match = hits
             .iter()
--- a/crates/testkit/src/bin/shutdown-stress-test/client.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/client.rs
@@ -51,7 +51,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// A whole response.
     Answered {
         /// The HTTP status.
@@ -74,12 +74,12 @@
     pub connected_at: Instant,
     pub sent_at: Instant,
     pub ended_at: Instant,
-    pub outcome: Outcome,
+    pub outcome: RequestOutcome,
 }
 
 /// How clients know what happens to their aggregator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum LoadPhase {
     /// It runs, and new connections are dealt to it.
     Serving,
     /// The front has learned of its shutdown: no more new connections.
@@ -97,7 +97,7 @@
     pub deadline: Duration,
     /// The time after which a client stops waiting for the answer to a query.
     pub patience: Duration,
-    pub phase: watch::Receiver<Phase>,
+    pub phase: watch::Receiver<LoadPhase>,
 }
 
 /// The end of a connection before a whole response.
@@ -116,16 +116,16 @@
 }
 
 /// A client; `run` returns its records.
-pub struct Client {
+pub struct StressClient {
     options: ClientOptions,
     habit: Habit,
     random: StdRng,
     records: Vec<RequestRecord>,
 }
 
-impl Client {
-    pub fn new(options: ClientOptions, habit: Habit, random: StdRng) -> Client {
-        Client {
+impl StressClient {
+    pub fn new(options: ClientOptions, habit: Habit, random: StdRng) -> StressClient {
+        StressClient {
             options,
             habit,
             random,
@@ -139,7 +139,7 @@
             Habit::Searching => self.options.gateway_address,
             _ => self.options.address,
         };
-        while *self.options.phase.borrow() == Phase::Serving {
+        while *self.options.phase.borrow() == LoadPhase::Serving {
             match TcpStream::connect(address).await {
                 Ok(stream) => self.use_connection(stream).await,
                 Err(_) => sleep(RECONNECT_DELAY).await,
@@ -184,10 +184,10 @@
         let (outcome, usable) = match response {
             Ok(Ok(head)) => {
                 let status = head.status;
-                (Outcome::Answered { status }, !head.closes)
+                (RequestOutcome::Answered { status }, !head.closes)
             }
-            Ok(Err(ConnectionEnded)) => (Outcome::ConnectionEnded, false),
-            Err(_) => (Outcome::TimedOut, false),
+            Ok(Err(ConnectionEnded)) => (RequestOutcome::ConnectionEnded, false),
+            Err(_) => (RequestOutcome::TimedOut, false),
         };
         self.records.push(RequestRecord {
             name,
--- a/crates/testkit/src/bin/shutdown-stress-test/judge.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/judge.rs
@@ -1,6 +1,6 @@
 //! Which requests of a shutdown were lost.
 
-use crate::client::{Outcome, RequestRecord};
+use crate::client::{RequestOutcome, RequestRecord};
 use crate::round::Shutdown;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -45,14 +45,14 @@
     };
     for request in &shutdown.requests {
         match request.outcome {
-            Outcome::Answered { .. } => verdict.answered += 1,
-            Outcome::ConnectionEnded | Outcome::TimedOut
+            RequestOutcome::Answered { .. } => verdict.answered += 1,
+            RequestOutcome::ConnectionEnded | RequestOutcome::TimedOut
                 if is_lost(request, rules, read.contains(request.name.as_str())) =>
             {
                 verdict.lost += 1;
                 verdict.breaches.push(describe(shutdown, request));
             }
-            Outcome::ConnectionEnded | Outcome::TimedOut => {
+            RequestOutcome::ConnectionEnded | RequestOutcome::TimedOut => {
                 verdict.crossings.push(describe(shutdown, request));
             }
         }
@@ -64,7 +64,7 @@
 fn is_lost(request: &RequestRecord, rules: Rules, was_read: bool) -> bool {
     let open_for = request.ended_at - request.sent_at;
     let is_no_crossing = rules.crossing_limit.is_some_and(|limit| open_for > limit);
-    was_read || is_no_crossing || request.outcome == Outcome::TimedOut
+    was_read || is_no_crossing || request.outcome == RequestOutcome::TimedOut
 }
 
 /// Whether the process has ended with something undone, as far as it says so itself.
--- a/crates/testkit/src/bin/shutdown-stress-test/round.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/round.rs
@@ -1,6 +1,6 @@
 //! One graceful shutdown of each aggregator of an installation, under load.
 
-use crate::client::{Client, ClientOptions, Habit, Phase, RequestRecord};
+use crate::client::{ClientOptions, Habit, LoadPhase, RequestRecord, StressClient};
 use aggregator_testkit::installation::{Aggregator, Installation};
 use aggregator_testkit::process::Signal;
 use aggregator_testkit::random;
@@ -113,7 +113,7 @@
     mut random: StdRng,
 ) -> Result<Shutdown, TestProgramError> {
     let earlier_log = aggregator.log_text().len();
-    let (phase, receiver) = watch::channel(Phase::Serving);
+    let (phase, receiver) = watch::channel(LoadPhase::Serving);
     let mut clients = start_clients(aggregator, options, &mut random, &receiver);
     sleep_ms(random.random_range(LOAD_BEFORE_SHUTDOWN_MS)).await;
     let requested_at = Instant::now();
@@ -121,7 +121,7 @@
     let new_connections = Duration::from_millis(random.random_range(NEW_CONNECTIONS_MS));
     tokio::spawn(async move {
         sleep(new_connections).await;
-        phase.send_replace(Phase::NoNewConnections);
+        phase.send_replace(LoadPhase::NoNewConnections);
     });
     let mut disturbances = Disturbances::plan(requested_at, &mut random);
     let kill_after = options.kill_after();
@@ -146,7 +146,7 @@
     aggregator: &Aggregator,
     options: RoundOptions,
     random: &mut StdRng,
-    phase: &watch::Receiver<Phase>,
+    phase: &watch::Receiver<LoadPhase>,
 ) -> JoinSet<Vec<RequestRecord>> {
     let client_options = ClientOptions {
         address: aggregator.address,
@@ -159,7 +159,7 @@
     let mut clients = JoinSet::new();
     for number in 0..options.clients {
         let random = random::stream(seed, number);
-        let client = Client::new(client_options.clone(), Habit::of(number), random);
+        let client = StressClient::new(client_options.clone(), Habit::of(number), random);
         clients.spawn(client.run());
     }
     clients
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the aggregators: sends queries, times out, and reports how each attempt ended.
+//! A client of the aggregators: sends queries with a timeout and returns how each attempt ended.
 
 use crate::http::HOST;
 use bytes::Bytes;
@@ -17,7 +17,7 @@
 /// The longest `Retry-After` that a client honours, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 60.0;
 
-/// A shard that a query asks, with its weight in the answer.
+/// A shard of a query, with its weight in the answer.
 #[derive(Clone, Copy, Debug)]
 pub struct WeightedShard {
     /// The shard's number.
@@ -36,37 +36,37 @@
         .collect()
 }
 
-/// What a client asks of an aggregator.
+/// A query as a client sends it to an aggregator.
 #[derive(Clone, Debug)]
-pub struct Query {
+pub struct ClientQuery {
     /// The name of the query class.
     pub class: String,
-    /// The tenant on whose account the query is.
+    /// The tenant that the query is counted for.
     pub tenant: String,
-    /// The shards that the query asks.
+    /// The shards that have to answer.
     pub shards: Vec<WeightedShard>,
     /// The query's text, which leaf servers interpret.
     pub text: String,
-    /// The client's own name for this use.
+    /// The `Idempotency-Key` of all attempts, if any.
     pub idempotency_key: Option<String>,
 }
 
 /// One attempt at a query.
 #[derive(Clone, Debug)]
-pub struct Attempt<'a> {
+pub struct ClientAttempt<'a> {
     /// The attempt's request id.
     pub request_id: &'a str,
     /// Whether the query was attempted before.
     pub is_retry: bool,
-    /// How long the client tells the aggregator that it waits.
+    /// The timeout that the client states to the aggregator.
     pub timeout: Duration,
-    /// How much longer it really waits, should the answer be late.
+    /// How much longer than its timeout the client waits for a late answer.
     pub late_tolerance: Duration,
 }
 
 /// The value that one shard contributed to an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hit {
+pub struct ClientHit {
     /// The shard's number.
     pub shard: u32,
     /// What the leaf server answered for the shard.
@@ -75,13 +75,13 @@
 
 /// How an attempt ended for its client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AttemptOutcome {
+pub enum ClientOutcome {
     /// An answer.
     Answered {
         /// Whether the aggregator claims that the answer covers all shards.
         complete: bool,
         /// What the shards contributed.
-        hits: Vec<Hit>,
+        hits: Vec<ClientHit>,
     },
     /// The aggregator shed load.
     Rejected {
@@ -93,18 +93,18 @@
         /// The HTTP status.
         status: u16,
     },
-    /// No response: the connection broke or never came up.
+    /// No response: the connection could not be established or was lost.
     ConnectionLost,
     /// No response in time.
     TimedOut,
 }
 
-/// An HTTP response as far as clients look at it.
+/// The parts of an HTTP response that clients use.
 #[derive(Clone, Debug)]
 pub struct ClientResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
     /// The value of the `Retry-After` header.
     pub retry_after: Option<Duration>,
@@ -115,22 +115,22 @@
     task: JoinHandle<()>,
 }
 
-/// One connection to one aggregator, opened when it is needed.
-pub struct Connection {
+/// One connection to one aggregator, opened by the first request.
+pub struct HttpConnection {
     address: SocketAddr,
     open: Option<OpenConnection>,
 }
 
-impl Drop for Connection {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.close();
     }
 }
 
-impl Connection {
-    /// A connection that is not open yet.
-    pub fn new(address: SocketAddr) -> Connection {
-        Connection {
+impl HttpConnection {
+    /// Creates a connection that is not open yet.
+    pub fn new(address: SocketAddr) -> HttpConnection {
+        HttpConnection {
             address,
             open: None,
         }
@@ -147,17 +147,21 @@
     /// Sends a query once.
     ///
     /// A connection that the aggregator closed before the request was sent is opened anew.
-    pub async fn query(&mut self, query: &Query, attempt: &Attempt<'_>) -> AttemptOutcome {
+    pub async fn query(
+        &mut self,
+        query: &ClientQuery,
+        attempt: &ClientAttempt<'_>,
+    ) -> ClientOutcome {
         let limit = attempt.timeout + attempt.late_tolerance;
         match timeout(limit, self.send_query(query, attempt)).await {
             Ok(Some(response)) => classify(&response),
             Ok(None) => {
                 self.close();
-                AttemptOutcome::ConnectionLost
+                ClientOutcome::ConnectionLost
             }
             Err(_) => {
                 self.close();
-                AttemptOutcome::TimedOut
+                ClientOutcome::TimedOut
             }
         }
     }
@@ -177,7 +181,11 @@
         })
     }
 
-    async fn send_query(&mut self, query: &Query, attempt: &Attempt<'_>) -> Option<ClientResponse> {
+    async fn send_query(
+        &mut self,
+        query: &ClientQuery,
+        attempt: &ClientAttempt<'_>,
+    ) -> Option<ClientResponse> {
         let shards: Vec<Value> = query
             .shards
             .iter()
@@ -232,31 +240,31 @@
     ))
 }
 
-fn classify(response: &ClientResponse) -> AttemptOutcome {
+fn classify(response: &ClientResponse) -> ClientOutcome {
     match response.status {
-        200 => parse_answer(&response.body).unwrap_or(AttemptOutcome::Failed { status: 200 }),
-        429 | 503 => AttemptOutcome::Rejected {
+        200 => parse_answer(&response.body).unwrap_or(ClientOutcome::Failed { status: 200 }),
+        429 | 503 => ClientOutcome::Rejected {
             retry_after: response.retry_after,
         },
-        status => AttemptOutcome::Failed { status },
+        status => ClientOutcome::Failed { status },
     }
 }
 
-fn parse_answer(body: &[u8]) -> Option<AttemptOutcome> {
+fn parse_answer(body: &[u8]) -> Option<ClientOutcome> {
     let body: Value = serde_json::from_slice(body).ok()?;
     let hits = body["hits"]
         .as_array()?
         .iter()
         .map(parse_hit)
         .collect::<Option<_>>()?;
-    Some(AttemptOutcome::Answered {
+    Some(ClientOutcome::Answered {
         complete: body["complete"].as_bool()?,
         hits,
     })
 }
 
-fn parse_hit(hit: &Value) -> Option<Hit> {
-    Some(Hit {
+fn parse_hit(hit: &Value) -> Option<ClientHit> {
+    Some(ClientHit {
         shard: hit["shard"].as_u64()? as u32,
         document: hit["doc"].as_str()?.to_string(),
     })
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -107,7 +107,7 @@
 }
 
 /// A discovery server that runs until it is dropped.
-pub struct Discovery {
+pub struct DiscoveryServer {
     /// Where the server listens.
     pub address: SocketAddr,
     list: Arc<Mutex<EndpointList>>,
@@ -115,24 +115,24 @@
     task: AbortHandle,
 }
 
-impl Drop for Discovery {
+impl Drop for DiscoveryServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Discovery {
+impl DiscoveryServer {
     /// Starts a server with an empty list on a free port.
     ///
     /// # Errors
     /// No port is free.
-    pub async fn start(ip: IpAddr) -> io::Result<Discovery> {
+    pub async fn start(ip: IpAddr) -> io::Result<DiscoveryServer> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let address = listener.local_addr()?;
         let list = Arc::<Mutex<EndpointList>>::default();
         let (changed, receiver) = watch::channel(0);
         let task = tokio::spawn(serve(listener, list.clone(), receiver)).abort_handle();
-        Ok(Discovery {
+        Ok(DiscoveryServer {
             address,
             list,
             changed,
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -22,7 +22,7 @@
     pub status: StatusCode,
     /// The HTTP headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
--- a/crates/testkit/src/installation/config.rs
+++ b/crates/testkit/src/installation/config.rs
@@ -1,6 +1,6 @@
 //! The texts of an aggregator's files: its platform object and its settings.
 
-use super::layout::{QueryClass, CLASSES, REPLICA_GROUPS, SHARDS, TENANTS, ZONES};
+use super::layout::{InstallationClass, CLASSES, REPLICA_GROUPS, SHARDS, TENANTS, ZONES};
 use serde_json::{json, Value};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     })
 }
 
-fn class_object(class: &QueryClass, parameters: &PlatformParameters) -> Value {
+fn class_object(class: &InstallationClass, parameters: &PlatformParameters) -> Value {
     let milliseconds = |duration: Duration| duration.as_millis() as u64;
     let timeout_ms = parameters
         .client_timeout
--- a/crates/testkit/src/installation/layout.rs
+++ b/crates/testkit/src/installation/layout.rs
@@ -15,20 +15,20 @@
 pub const REPLICA_GROUPS: usize = 4;
 
 /// The query classes.
-pub const CLASSES: [QueryClass; 3] = [
-    QueryClass {
+pub const CLASSES: [InstallationClass; 3] = [
+    InstallationClass {
         name: "preview-lookup",
         latency_objective_ms: 150,
         timeout_ms: 900,
         minimum_coverage: 1.0,
     },
-    QueryClass {
+    InstallationClass {
         name: "chart-ranking",
         latency_objective_ms: 250,
         timeout_ms: 1200,
         minimum_coverage: 0.6,
     },
-    QueryClass {
+    InstallationClass {
         name: "catalogue-report",
         latency_objective_ms: 500,
         timeout_ms: 1500,
@@ -38,7 +38,7 @@
 
 /// A class of queries with the same requirements.
 #[derive(Clone, Copy, Debug)]
-pub struct QueryClass {
+pub struct InstallationClass {
     /// The name of the class, also of its index.
     pub name: &'static str,
     /// Within how many milliseconds an answer is wanted.
@@ -49,7 +49,7 @@
     pub minimum_coverage: f64,
 }
 
-impl QueryClass {
+impl InstallationClass {
     /// The time after which an answer is of no use any more.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
--- a/crates/testkit/src/installation/ledger.rs
+++ b/crates/testkit/src/installation/ledger.rs
@@ -19,7 +19,7 @@
 }
 
 /// The ledger's settings, and its settlement process if that runs.
-pub struct Ledger {
+pub struct InstalledLedger {
     /// The file of settings.
     pub settings_file: PathBuf,
     folder: PathBuf,
@@ -27,9 +27,9 @@
     settlement: Option<Process>,
 }
 
-impl Ledger {
-    pub(super) fn new(folder: &Path, program: &Path) -> Ledger {
-        Ledger {
+impl InstalledLedger {
+    pub(super) fn new(folder: &Path, program: &Path) -> InstalledLedger {
+        InstalledLedger {
             settings_file: folder.join("ledger.ini"),
             folder: folder.into(),
             program: program.into(),
--- a/crates/testkit/src/installation/mod.rs
+++ b/crates/testkit/src/installation/mod.rs
@@ -10,10 +10,10 @@
 
 pub use address::{free_port, own_ip};
 pub use aggregator::Aggregator;
-pub use layout::{QueryClass, CLASSES, REPLICA_GROUPS, SHARDS, TENANTS, ZONES};
-pub use ledger::{CommandOutput, Ledger};
+pub use layout::{InstallationClass, CLASSES, REPLICA_GROUPS, SHARDS, TENANTS, ZONES};
+pub use ledger::{CommandOutput, InstalledLedger};
 
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryServer;
 use crate::leaf::LeafOptions;
 use crate::process::{sibling_program, ProgramError};
 use aggregator::LaunchOptions;
@@ -102,11 +102,11 @@
     /// The aggregators, one a zone.
     pub aggregators: Vec<Aggregator>,
     /// The ledger.
-    pub ledger: Ledger,
+    pub ledger: InstalledLedger,
     /// The path of the aggregator's program.
     pub program: PathBuf,
     launch: LaunchOptions,
-    discovery: Discovery,
+    discovery: DiscoveryServer,
     leaves: LeafFleet,
 }
 
@@ -126,14 +126,14 @@
         };
         let mut installation = Installation {
             aggregators: Vec::new(),
-            ledger: Ledger::new(folder, &program),
+            ledger: InstalledLedger::new(folder, &program),
             launch: LaunchOptions {
                 program: program.clone(),
                 log_filter: options.log_filter.clone(),
                 max_descriptors: options.max_descriptors,
             },
             program,
-            discovery: Discovery::start(ip).await?,
+            discovery: DiscoveryServer::start(ip).await?,
             leaves: LeafFleet::new(ip, options.leaf, options.seed),
         };
         for zone in 0..ZONES.len() {
--- a/crates/testkit/src/leaf/frame.rs
+++ b/crates/testkit/src/leaf/frame.rs
@@ -52,13 +52,13 @@
 }
 
 /// A frame without its length.
-pub(super) struct Frame {
+pub(super) struct LeafFrame {
     pub(super) kind: FrameKind,
     pub(super) payload: Vec<u8>,
 }
 
 /// A part of a query, for one shard.
-pub(super) struct Part {
+pub(super) struct ReceivedPart {
     pub(super) id: String,
     pub(super) shard: u32,
     pub(super) text: String,
@@ -73,7 +73,7 @@
 }
 
 /// Reads a frame; `None` if there is none or it is malformed.
-pub(super) async fn read(stream: &mut OwnedReadHalf) -> Option<Frame> {
+pub(super) async fn read(stream: &mut OwnedReadHalf) -> Option<LeafFrame> {
     let length = stream.read_u32().await.ok()? as usize;
     if length == 0 || length > MAX_FRAME_BYTES {
         return None;
@@ -81,11 +81,11 @@
     let mut payload = vec![0; length];
     stream.read_exact(&mut payload).await.ok()?;
     let kind = FrameKind::from_letter(payload.remove(0))?;
-    Some(Frame { kind, payload })
+    Some(LeafFrame { kind, payload })
 }
 
 /// Parses the payload of a query frame; `None` if it is malformed.
-pub(super) fn parse_parts(mut payload: &[u8]) -> Option<Vec<Part>> {
+pub(super) fn parse_parts(mut payload: &[u8]) -> Option<Vec<ReceivedPart>> {
     let mut parts = Vec::new();
     while !payload.is_empty() {
         let line_end = payload.iter().position(|byte| *byte == b'\n')?;
@@ -97,7 +97,7 @@
         let text_start = line_end + 1;
         let text_end = text_start.checked_add(text_length.parse().ok()?)?;
         let text = payload.get(text_start..text_end)?;
-        parts.push(Part {
+        parts.push(ReceivedPart {
             id: id.to_string(),
             shard: shard.parse().ok()?,
             text: String::from_utf8(text.to_vec()).ok()?,
--- a/crates/testkit/src/leaf/server.rs
+++ b/crates/testkit/src/leaf/server.rs
@@ -1,7 +1,7 @@
 //! The sockets of a leaf server and the work on its parts.
 
 use super::expected_answer;
-use super::frame::{self, Frame, FrameKind, Part};
+use super::frame::{self, FrameKind, LeafFrame, ReceivedPart};
 use crate::random;
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -119,7 +119,7 @@
 
 impl LeafConnection {
     /// Handles a frame; false if the connection is to be closed.
-    async fn handle_frame(&mut self, frame: &Frame) -> bool {
+    async fn handle_frame(&mut self, frame: &LeafFrame) -> bool {
         match frame.kind {
             FrameKind::Query => {
                 let Some(parts) = frame::parse_parts(&frame.payload) else {
@@ -141,7 +141,7 @@
         true
     }
 
-    async fn start_part(&mut self, part: Part) {
+    async fn start_part(&mut self, part: ReceivedPart) {
         let factor = self.random.random_range(SERVICE_TIME_FACTORS);
         let service_time = self.options.service_time.mul_f64(factor);
         if self.in_flight.fetch_add(1, Ordering::Relaxed) >= self.options.capacity {
--- a/crates/testkit/src/search/documents.rs
+++ b/crates/testkit/src/search/documents.rs
@@ -17,7 +17,7 @@
 pub(super) const DAY_MS: u64 = 86_400_000;
 
 /// One document of the index.
-pub(super) struct Document {
+pub(super) struct IndexDocument {
     pub(super) id: String,
     pub(super) fields: Value,
 }
@@ -45,7 +45,7 @@
 }
 
 /// One document. The field `plays` is missing in about a quarter of them, and text in one shard.
-pub(super) fn document(shard: u32, position: u64) -> Document {
+pub(super) fn document(shard: u32, position: u64) -> IndexDocument {
     let draw = |draw: Draw| pseudo_random(shard, position, draw);
     let word = |which: Draw| TITLE_WORDS[(draw(which) % TITLE_WORDS.len() as u64) as usize];
     let title = [Draw::FirstWord, Draw::SecondWord, Draw::ThirdWord]
@@ -65,7 +65,7 @@
             json!(plays)
         };
     }
-    Document {
+    IndexDocument {
         id: format!("s{shard}-{position}"),
         fields,
     }
--- a/crates/testkit/src/search/ranking.rs
+++ b/crates/testkit/src/search/ranking.rs
@@ -1,6 +1,6 @@
 //! The order of matching documents and the pages cut from it.
 
-use super::documents::{document, document_count, Document};
+use super::documents::{document, document_count, IndexDocument};
 use super::query::score;
 use super::{field_and_value, number};
 use serde_json::{json, Value};
@@ -80,7 +80,12 @@
     }
 }
 
-fn hit(search: &Value, sort_keys: &[SortKey], shard: u32, document: Document) -> Option<SearchHit> {
+fn hit(
+    search: &Value,
+    sort_keys: &[SortKey],
+    shard: u32,
+    document: IndexDocument,
+) -> Option<SearchHit> {
     let everything = json!({"match_all": {}});
     let query = search.get("query").unwrap_or(&everything);
     let score = score(query, &document.id, &document.fields)?;
