--- a/crates/testkit/src/bin/ledger-fault-test/checks.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/checks.rs
@@ -1,11 +1,11 @@
 //! The comparison of what clients sent with what the ledger states and exports.
 
 use crate::check_list::CheckList;
+use crate::client_use::{UseOutcome, UseRecord};
 use crate::ledger_commands::CORRECTION_MICRO_UNITS;
 use crate::load::LedgerLoad;
 use crate::statements::Statements;
 use crate::totals::{total_by_key, Totals, UseCounts, UseTotalKey};
-use crate::use_attempts::{UseOutcome, UseRecord};
 use aggregator_testkit::receiver::ReceivedDocuments;
 use aggregator_testkit::test_program;
 use serde_json::Value;
--- a/crates/testkit/src/bin/ledger-fault-test/main.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/main.rs
@@ -9,8 +9,11 @@
 //! In the end the clients' own records are compared with the statements and the documents, by code
 //! that shares nothing with the ledger's.
 
+mod answer_check;
 mod check_list;
 mod checks;
+mod client;
+mod client_use;
 mod faults;
 mod ledger_commands;
 mod load;
@@ -19,7 +22,7 @@
 mod statements;
 mod timestamps;
 mod totals;
-mod use_attempts;
+mod use_execution;
 
 use aggregator_testkit::http::get;
 use aggregator_testkit::installation::{now_ms, Installation};
@@ -84,7 +87,7 @@
         period_seconds,
         arguments.queries,
     ));
-    let clients = load::start_clients(&load, arguments.clients, arguments.seed);
+    let clients = client::start_clients(&load, arguments.clients, arguments.seed);
     faults::inject(&mut installation, &load, &mut receiver).await?;
     let mut checks = CheckList::default();
     ledger_commands::check_correction(&mut checks, &installation.ledger, &receiver).await?;
--- a/crates/testkit/src/bin/ledger-fault-test/totals.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/totals.rs
@@ -1,7 +1,7 @@
 //! Uses by period, tenant and class, as clients counted them.
 
+use crate::client_use::{UseOutcome, UseRecord};
 use crate::timestamps::format_ms;
-use crate::use_attempts::{UseOutcome, UseRecord};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
