--- a/crates/testkit/src/bin/ledger-fault-test/checks.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/checks.rs
@@ -1,36 +1,15 @@
 //! The comparison of what clients sent with what the ledger states and exports.
 
 use crate::check_list::CheckList;
-use crate::client_use::{UseOutcome, UseRecord};
 use crate::ledger_commands::CORRECTION_MICRO_UNITS;
-use crate::load::LedgerLoad;
-use crate::statements::Statements;
+use crate::results::Results;
 use crate::totals::{total_by_key, Totals, UseCounts, UseTotalKey};
-use aggregator_testkit::receiver::ReceivedDocuments;
-use aggregator_testkit::test_program;
 use serde_json::Value;
 use std::collections::BTreeSet;
-use std::time::Duration;
 
 /// Differing totals that are printed at most.
 const MAX_SHOWN_DIFFERENCES: usize = 5;
 
-/// All that was collected when clients and ledger had ended.
-pub struct Results<'a> {
-    /// The clients' records.
-    pub uses: Vec<UseRecord>,
-    /// What clients met on their way.
-    pub load: &'a LedgerLoad,
-    /// What the ledger states.
-    pub statements: Statements,
-    /// The documents that were received.
-    pub received: ReceivedDocuments,
-    /// The names of the documents that the ledger lists.
-    pub document_list: BTreeSet<String>,
-    /// The names of the documents in the export's folder.
-    pub files: BTreeSet<String>,
-}
-
 /// Makes all comparisons; `expected_uses` is how many the clients were to make.
 pub fn check_all(checks: &mut CheckList, results: &Results, expected_uses: u64) {
     check_totals(checks, results, expected_uses);
@@ -166,43 +145,3 @@
         format!("{missing} members missing, {lost} records lost"),
     );
 }
-
-impl Results<'_> {
-    /// Prints the last line.
-    pub fn print_summary(
-        &self,
-        checks: &CheckList,
-        load_time: Duration,
-        total_time: Duration,
-        seed: u64,
-    ) {
-        let answered = self
-            .uses
-            .iter()
-            .filter(|record| matches!(record.outcome, UseOutcome::Complete | UseOutcome::Partial))
-            .count();
-        println!(
-            "{}: {} uses ({answered} answered) in {} attempts at {:.0} a second, {} periods, \
-             {} adjustments, {} documents in {} deliveries, \
-             2 aggregator kills, 1 zone lost, 2 settlement kills, seed {seed}, {:.0} s{}",
-            test_program::verdict(checks.holds()),
-            self.uses.len(),
-            self.load.counters.attempts.value(),
-            self.uses.len() as f64 / load_time.as_secs_f64(),
-            self.statements.count,
-            self.statements.adjustments,
-            self.received.by_id.len(),
-            self.deliveries(),
-            total_time.as_secs_f64(),
-            checks.failures_suffix()
-        );
-    }
-
-    fn deliveries(&self) -> u32 {
-        self.received
-            .by_id
-            .values()
-            .map(|document| document.deliveries)
-            .sum()
-    }
-}
--- a/crates/testkit/src/bin/ledger-fault-test/ledger_commands.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/ledger_commands.rs
@@ -2,7 +2,7 @@
 
 use crate::check_list::CheckList;
 use crate::receiver::RestartableReceiver;
-use crate::StatsFile;
+use crate::stats_files::StatsFile;
 use aggregator_testkit::installation::{Installation, InstalledLedger};
 use aggregator_testkit::test_program::TestProgramError;
 use serde_json::Value;
