--- a/crates/testkit/src/bin/shutdown-stress-test/main.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/main.rs
@@ -13,16 +13,20 @@
 //! response.
 
 mod client;
-mod judge;
+mod process_faults;
+mod request;
+mod request_record;
+mod response;
 mod round;
+mod shutdown_result;
 mod table;
 
 use aggregator_testkit::installation::{Installation, InstallationOptions};
 use aggregator_testkit::leaf::LeafOptions;
 use aggregator_testkit::test_program::{self, TestProgramError};
 use clap::Parser;
-use judge::Rules;
 use round::{KillPolicy, RoundOptions};
+use shutdown_result::{LossRules, ShutdownResult};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -119,7 +123,7 @@
         }
     }
     table.print_summary(arguments.seed);
-    Ok(table.holds())
+    Ok(table.passed())
 }
 
 /// All rounds for one deadline and one kind of leaf server.
@@ -143,14 +147,14 @@
             KillPolicy::AtTheEarliest
         },
     };
-    let rules = Rules {
+    let rules = LossRules {
         crossing_limit: arguments.crossing_limit.map(Duration::from_millis),
     };
     let mut row = Row::new(deadline, speed.name());
     for number in 0..arguments.rounds {
         let seed = arguments.seed ^ number << 16 ^ (deadline.as_millis() as u64) << 32;
         for shutdown in round::run(&mut installation, options, seed).await? {
-            row.add(&judge::judge(&shutdown, rules));
+            row.add(&ShutdownResult::evaluate(&shutdown, rules));
         }
     }
     row.print();
--- /dev/null
+++ b/crates/testkit/src/bin/shutdown-stress-test/process_faults.rs
@@ -0,0 +1,88 @@
+//! Faults of a process during its shutdown: it is suspended, or reloads its configuration.
+
+use aggregator_testkit::installation::Aggregator;
+use aggregator_testkit::process::Signal;
+use rand::rngs::StdRng;
+use rand::Rng;
+use std::collections::VecDeque;
+use std::ops::Range;
+use std::time::{Duration, Instant};
+
+/// How long a process is suspended, in milliseconds.
+const SUSPENSION_MS: Range<u64> = 20..150;
+/// When a fault is injected, in milliseconds after SIGTERM.
+const FAULT_AT_MS: Range<u64> = 0..800;
+
+/// A signal to the process besides those of the shutdown, and when it is sent.
+#[derive(Clone, Copy)]
+struct FaultSignal {
+    at: Instant,
+    signal: Signal,
+}
+
+/// The faults of one process during its shutdown.
+pub struct ProcessFaults {
+    /// The signals still to be sent, in their order.
+    pending: VecDeque<FaultSignal>,
+    suspended_for: Duration,
+}
+
+impl ProcessFaults {
+    /// Random faults: one process in three is suspended, another one reloads its configuration.
+    pub fn random(requested_at: Instant, random: &mut StdRng) -> ProcessFaults {
+        let at = requested_at + Duration::from_millis(random.random_range(FAULT_AT_MS));
+        let suspension = Duration::from_millis(random.random_range(SUSPENSION_MS));
+        match random.random_range(0..3) {
+            0 => ProcessFaults::suspension(at, suspension),
+            1 => ProcessFaults::reload(at),
+            _ => ProcessFaults::none(),
+        }
+    }
+
+    /// How long the process is suspended.
+    pub fn suspended_for(&self) -> Duration {
+        self.suspended_for
+    }
+
+    /// Sends the signals that are due.
+    pub fn inject_due(&mut self, aggregator: &Aggregator) {
+        let is_due = |next: &FaultSignal| next.at <= Instant::now();
+        while let Some(due) = self.pending.front().copied().filter(is_due) {
+            aggregator.send_signal(due.signal);
+            self.pending.pop_front();
+        }
+    }
+
+    fn suspension(at: Instant, length: Duration) -> ProcessFaults {
+        let stop = FaultSignal {
+            at,
+            signal: Signal::Stop,
+        };
+        let resume = FaultSignal {
+            at: at + length,
+            signal: Signal::Continue,
+        };
+        ProcessFaults {
+            pending: VecDeque::from([stop, resume]),
+            suspended_for: length,
+        }
+    }
+
+    fn reload(at: Instant) -> ProcessFaults {
+        let reload = FaultSignal {
+            at,
+            signal: Signal::Reload,
+        };
+        ProcessFaults {
+            pending: VecDeque::from([reload]),
+            suspended_for: Duration::ZERO,
+        }
+    }
+
+    fn none() -> ProcessFaults {
+        ProcessFaults {
+            pending: VecDeque::new(),
+            suspended_for: Duration::ZERO,
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/bin/shutdown-stress-test/response.rs
@@ -0,0 +1,79 @@
+//! Responses on a raw connection, read byte by byte so that each end of a connection is seen.
+
+use std::io;
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
+
+/// What ends the head of a response.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// The end of a connection before a complete response.
+pub struct ConnectionEnded;
+
+impl From<io::Error> for ConnectionEnded {
+    fn from(_: io::Error) -> ConnectionEnded {
+        ConnectionEnded
+    }
+}
+
+/// The head of a response, as far as clients use it.
+pub struct ResponseHead {
+    /// The HTTP status.
+    pub status: u16,
+    /// Whether the aggregator closes the connection after the response.
+    pub closes_connection: bool,
+    body_length: usize,
+}
+
+/// Reads and discards until the connection ends.
+pub async fn wait_for_end(stream: &mut TcpStream) {
+    let mut discarded = [0; 1024];
+    while matches!(stream.read(&mut discarded).await, Ok(length) if length > 0) {}
+}
+
+/// Reads one response with its body.
+///
+/// # Errors
+/// The connection ends before the response is complete.
+pub async fn read_response(stream: &mut TcpStream) -> Result<ResponseHead, ConnectionEnded> {
+    let mut received = Vec::new();
+    loop {
+        if let Some(head) = complete_response(&received) {
+            return Ok(head);
+        }
+        if stream.read_buf(&mut received).await? == 0 {
+            return Err(ConnectionEnded);
+        }
+    }
+}
+
+/// The head of the received response, once its body is complete.
+fn complete_response(received: &[u8]) -> Option<ResponseHead> {
+    let mut windows = received.windows(HEAD_END.len());
+    let head_length = windows.position(|window| window == HEAD_END)?;
+    let head = parse_head(&received[..head_length])?;
+    let response_length = head_length + HEAD_END.len() + head.body_length;
+    (received.len() >= response_length).then_some(head)
+}
+
+/// Parses the head of a response with a length, as the aggregator sends them.
+fn parse_head(head: &[u8]) -> Option<ResponseHead> {
+    let head = std::str::from_utf8(head).ok()?.to_ascii_lowercase();
+    let mut lines = head.split("\r\n");
+    let status = lines.next()?.split(' ').nth(1)?.parse().ok()?;
+    let mut body_length = 0;
+    let mut closes_connection = false;
+    for line in lines {
+        let (name, value) = line.split_once(':')?;
+        match name {
+            "content-length" => body_length = value.trim().parse().ok()?,
+            "connection" => closes_connection = value.trim() == "close",
+            _ => {}
+        }
+    }
+    Some(ResponseHead {
+        status,
+        body_length,
+        closes_connection,
+    })
+}
--- a/crates/testkit/src/bin/shutdown-stress-test/table.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/table.rs
@@ -1,10 +1,10 @@
 //! The printed results.
 
-use crate::judge::Verdict;
+use crate::shutdown_result::ShutdownResult;
 use aggregator_testkit::test_program;
 use std::time::Duration;
 
-/// The most lost requests, and the most crossings, that are printed of one scenario.
+/// Lost requests, and crossings, that are printed for one scenario, at most.
 const MAX_PRINTED_LINES: usize = 6;
 
 /// The results of one deadline and one kind of leaf server.
@@ -18,7 +18,7 @@
     lost: usize,
     killed: usize,
     longest: Duration,
-    breaches: Vec<String>,
+    failures: Vec<String>,
     crossings: Vec<String>,
 }
 
@@ -34,21 +34,21 @@
             lost: 0,
             killed: 0,
             longest: Duration::ZERO,
-            breaches: Vec::new(),
+            failures: Vec::new(),
             crossings: Vec::new(),
         }
     }
 
-    pub fn add(&mut self, verdict: &Verdict) {
+    pub fn add(&mut self, result: &ShutdownResult) {
         self.shutdowns += 1;
-        self.requests += verdict.requests;
-        self.answered += verdict.answered;
-        self.crossed += verdict.crossings.len();
-        self.crossings.extend(verdict.crossings.iter().cloned());
-        self.lost += verdict.lost;
-        self.killed += usize::from(verdict.was_killed);
-        self.longest = self.longest.max(verdict.duration);
-        self.breaches.extend(verdict.breaches.iter().cloned());
+        self.requests += result.requests;
+        self.answered += result.answered;
+        self.crossed += result.crossings.len();
+        self.crossings.extend(result.crossings.iter().cloned());
+        self.lost += result.lost;
+        self.killed += usize::from(result.was_killed);
+        self.longest = self.longest.max(result.duration);
+        self.failures.extend(result.failures.iter().cloned());
     }
 
     pub fn print(&self) {
@@ -64,8 +64,8 @@
             self.killed,
             self.longest.as_secs_f64(),
         );
-        for breach in self.breaches.iter().take(MAX_PRINTED_LINES) {
-            println!("    lost: {breach}");
+        for failure in self.failures.iter().take(MAX_PRINTED_LINES) {
+            println!("    failed: {failure}");
         }
         for crossing in self.crossings.iter().take(MAX_PRINTED_LINES) {
             println!("    crossed: {crossing}");
@@ -88,9 +88,9 @@
         self.rows.push(row);
     }
 
-    /// Whether nothing was breached.
-    pub fn holds(&self) -> bool {
-        self.rows.iter().all(|row| row.breaches.is_empty())
+    /// Whether there are no failures.
+    pub fn passed(&self) -> bool {
+        self.rows.iter().all(|row| row.failures.is_empty())
     }
 
     pub fn print_summary(&self, seed: u64) {
@@ -98,7 +98,7 @@
         println!(
             "{}: {} shutdowns, {} requests, {} crossed the end of their connection, {} lost, \
              {} killed, seed {seed}",
-            test_program::verdict(self.holds()),
+            test_program::verdict(self.passed()),
             sum(|row| row.shutdowns),
             sum(|row| row.requests),
             sum(|row| row.crossed),
