--- a/crates/core/src/engine/connection_table.rs
+++ b/crates/core/src/engine/connection_table.rs
@@ -229,21 +229,16 @@
         }
     }
 
-    /// Notes that a connection is idle from now on.
-    pub(super) fn begin_idle_period(&mut self, id: ConnectionId, now: Nanos) {
-        if let Some(connection) = self.connections.get_mut(&id) {
-            connection.idle_since = now;
-        }
-    }
-
-    /// Notes the idle timer of a connection; false if it has one that is not due yet.
-    pub(super) fn set_idle_timer(&mut self, id: ConnectionId, due: Nanos) -> bool {
-        let without_timer = |connection: &&mut ReplicaConnection| connection.idle_timer.is_none();
-        let Some(connection) = self.connections.get_mut(&id).filter(without_timer) else {
+    /// Notes that a connection is idle from now on. True if its idle timer has to be set for
+    /// `due`; false if it has one already, which checks the connection when it is due.
+    pub(super) fn begin_idle_period(&mut self, id: ConnectionId, now: Nanos, due: Nanos) -> bool {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
-        connection.idle_timer = Some(due);
-        true
+        connection.idle_since = now;
+        let needs_timer = connection.idle_timer.is_none();
+        connection.idle_timer.get_or_insert(due);
+        needs_timer
     }
 
     /// Checks a connection whose idle timer is due.
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -48,19 +48,15 @@
         if !self.leads_to_ready_replica(id) {
             return self.close_connection(now, id);
         }
-        self.connections.begin_idle_period(id, now);
         let due = now + self.idle_period();
-        if self.connections.set_idle_timer(id, due) {
+        if self.connections.begin_idle_period(id, now, due) {
             self.timers.set(due, Timer::IdleTimeout(id));
         }
     }
 
     fn leads_to_ready_replica(&self, id: ConnectionId) -> bool {
-        let Some(replica) = self.connections.replica_of(id) else {
-            return false;
-        };
-        // A replica whose address has changed no longer lists the connections to the old one.
-        self.endpoints.is_ready(replica) && self.endpoints.has_connection(replica, id)
+        let replica = self.connections.replica_of(id);
+        replica.is_some_and(|replica| self.endpoints.has_ready_connection(replica, id))
     }
 
     fn idle_period(&self) -> Nanos {
--- a/crates/core/src/engine/endpoint_table.rs
+++ b/crates/core/src/engine/endpoint_table.rs
@@ -70,10 +70,12 @@
         Some(&replica.connections)
     }
 
-    /// Whether a connection leads to the present address of a replica.
-    pub(super) fn has_connection(&self, id: ReplicaId, connection: ConnectionId) -> bool {
-        self.connections_of(id)
-            .is_some_and(|connections| connections.contains(&connection))
+    /// Whether a connection leads to the present address of a replica that takes new requests.
+    pub(super) fn has_ready_connection(&self, id: ReplicaId, connection: ConnectionId) -> bool {
+        let replica = self.replicas.get(&id);
+        replica.is_some_and(|replica| {
+            replica.state == ReplicaState::Ready && replica.connections.contains(&connection)
+        })
     }
 
     /// Adds a connection to a replica and returns the address to connect to.
--- a/crates/core/tests/reducer/connections.rs
+++ b/crates/core/tests/reducer/connections.rs
@@ -120,10 +120,10 @@
     const MAX_CONNECTIONS: usize = 409;
     let settings = SETTINGS.replace("open_cap=60", "open_cap=9999");
     let mut harness = EngineHarness::with_settings(&settings, 500);
-    let mut most = 0;
+    let mut peak = 0;
     for _ in 0..600 {
         harness.send_query(1, &[1.0]);
-        most = most.max(harness.connections.len());
+        peak = peak.max(harness.connections.len());
     }
-    assert_eq!(most, MAX_CONNECTIONS, "of 1,024 descriptors 40 percent");
+    assert_eq!(peak, MAX_CONNECTIONS, "of 1,024 descriptors 40 percent");
 }
