--- a/crates/core/src/engine/effect.rs
+++ b/crates/core/src/engine/effect.rs
@@ -61,9 +61,9 @@
         /// The number of the watch.
         watch: u64,
         /// The version of the list that is known: later changes are requested.
-        from: u64,
+        from_version: u64,
         /// How long the watch may take to answer.
-        answer_within: Nanos,
+        answer_timeout: Nanos,
     },
     /// The drain period of a shutdown has begun: let frontends of other protocols close each
     /// connection after its response.
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -77,8 +77,8 @@
         self.watch.number += 1;
         self.effects.push(Effect::StartWatch {
             watch: self.watch.number,
-            from: self.endpoints.version(),
-            answer_within: self.watch.answer_timeout,
+            from_version: self.endpoints.version(),
+            answer_timeout: self.watch.answer_timeout,
         });
     }
 }
--- a/crates/core/src/engine/input.rs
+++ b/crates/core/src/engine/input.rs
@@ -24,7 +24,7 @@
         /// The client.
         client: ClientId,
         /// When the last byte of the request was received.
-        arrived: Nanos,
+        arrived_at: Nanos,
         /// The request, or why it is invalid.
         request: Result<ClientRequest, RequestError>,
     },
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -205,9 +205,9 @@
             Input::ClientConnected { client } => self.on_client_connected(now, client),
             Input::RequestReceived {
                 client,
-                arrived,
+                arrived_at,
                 request,
-            } => self.on_request(now, client, arrived, request),
+            } => self.on_request(now, client, arrived_at, request),
             Input::ClientDisconnected { client } => self.on_client_disconnected(now, client),
             Input::ConnectionOpened { connection } => self.connections.on_opened(connection, now),
             Input::FrameWritten { connection } => self.connections.on_frame_written(connection),
--- a/crates/core/src/net/client_connection/serving.rs
+++ b/crates/core/src/net/client_connection/serving.rs
@@ -141,7 +141,7 @@
         }
         let input = Input::RequestReceived {
             client: self.client,
-            arrived,
+            arrived_at: arrived,
             request,
         };
         match self.shared.inputs.send(input).await {
--- a/crates/core/src/net/driver/mod.rs
+++ b/crates/core/src/net/driver/mod.rs
@@ -101,9 +101,9 @@
             Effect::SendGossip { to, bytes } => self.send_gossip(to, &bytes),
             Effect::StartWatch {
                 watch,
-                from,
-                answer_within,
-            } => self.start_watch(watch, from, Duration::from_nanos(answer_within)),
+                from_version,
+                answer_timeout,
+            } => self.start_watch(watch, from_version, Duration::from_nanos(answer_timeout)),
             Effect::StartDraining => self.enter_phase(ServingPhase::Draining),
             Effect::StopListening => self.enter_phase(ServingPhase::ListeningStopped),
             Effect::ReleaseReplies => self.replies.release(),
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -82,7 +82,7 @@
         let request = Ok(ClientRequest::Query(query));
         let received = Input::RequestReceived {
             client,
-            arrived,
+            arrived_at: arrived,
             request,
         };
         let is_connected = connected.send(Input::ClientConnected { client }).await;
--- a/crates/core/tests/support/engine_harness.rs
+++ b/crates/core/tests/support/engine_harness.rs
@@ -180,7 +180,7 @@
     pub fn send_request(&mut self, client: ClientId, request: ClientRequest) {
         self.apply(Input::RequestReceived {
             client,
-            arrived: self.now,
+            arrived_at: self.now,
             request: Ok(request),
         });
     }
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -132,7 +132,7 @@
     let waited = query("waited", 1, &[1.0], 5000);
     harness.apply(Input::RequestReceived {
         client,
-        arrived: now - 190 * MS,
+        arrived_at: now - 190 * MS,
         request: Ok(ClientRequest::Query(waited)),
     });
     harness.open_all_connections();
