--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -4,7 +4,7 @@
 use super::attempt_table::OpenAttempt;
 use super::ids::{AttemptId, ConnectionId};
 use super::leaf_connection::CallEntry;
-use super::query_table::BegunAttempt;
+use super::query_table::NewAttempt;
 use super::timers::Timer;
 use super::{Engine, MILLISECOND};
 use crate::api::{AttemptEnded, AttemptOutcome, Event, LoadReport, Nanos, ReplicaId, RequestId};
@@ -24,17 +24,22 @@
     /// Queues an attempt at a connection to its replica.
     pub(super) fn start_attempt(&mut self, now: Nanos, request: AttemptRequest) {
         let crosses_zones = self.is_in_other_zone(request.replica);
-        let Some(begun) = self.queries.begin_attempt(request.part, crosses_zones) else {
+        let AttemptRequest {
+            part, times_out_at, ..
+        } = request;
+        let Some(attempt) = self
+            .queries
+            .begin_attempt(part, crosses_zones, times_out_at)
+        else {
             self.counters.faults.unknown_target += 1;
-            tracing::error!(part = request.part, "attempt at a part that has ended");
+            tracing::error!(part, "attempt at a part that has ended");
             return;
         };
         self.counters.sent.attempts += 1;
-        self.counters.sent.retries += u64::from(begun.id.number > 0);
-        let times_out_at = begun.timeout(request.times_out_at);
-        match self.place_attempt(now, request.replica, &begun, times_out_at) {
-            Ok(connection) => self.queue_attempt(now, request, begun, connection, times_out_at),
-            Err(outcome) => self.on_attempt_not_placed(begun.id, request.replica, outcome),
+        self.counters.sent.retries += u64::from(attempt.id.number > 0);
+        match self.place_attempt(now, request.replica, &attempt) {
+            Ok(connection) => self.queue_attempt(now, request, attempt, connection),
+            Err(outcome) => self.on_attempt_not_placed(attempt.id, request.replica, outcome),
         }
     }
 
@@ -48,14 +53,13 @@
         &mut self,
         now: Nanos,
         replica: ReplicaId,
-        begun: &BegunAttempt,
-        times_out_at: Nanos,
+        attempt: &NewAttempt,
     ) -> Result<ConnectionId, AttemptOutcome> {
-        let within_limit = usize::from(begun.id.number) < self.settings.max_attempts;
-        if !within_limit || times_out_at <= now || !self.endpoints.is_ready(replica) {
+        let within_limit = usize::from(attempt.id.number) < self.settings.max_attempts;
+        if !within_limit || attempt.times_out_at <= now || !self.endpoints.is_ready(replica) {
             return Err(AttemptOutcome::NotSent);
         }
-        self.find_or_open_connection(now, replica, Some(&begun.wire_id))
+        self.find_or_open_connection(now, replica, Some(&attempt.wire_id))
             .ok_or(AttemptOutcome::Unreachable)
     }
 
@@ -63,14 +67,19 @@
         &mut self,
         now: Nanos,
         request: AttemptRequest,
-        begun: BegunAttempt,
+        attempt: NewAttempt,
         connection: ConnectionId,
-        times_out_at: Nanos,
     ) {
-        let id = begun.id;
+        let NewAttempt {
+            id,
+            shard,
+            wire_id,
+            text,
+            times_out_at,
+        } = attempt;
         let entry = CallEntry {
             attempt: id,
-            wire_id: begun.wire_id,
+            wire_id,
         };
         let max_parts_per_call = self.settings.max_parts_per_call;
         self.connections
@@ -80,7 +89,7 @@
             part = id.part,
             attempt = id.number,
             replica = request.replica.0,
-            shard = begun.shard,
+            shard,
             times_out_in_ms = times_out_at.saturating_sub(now) / MILLISECOND,
             "attempt queued"
         );
@@ -90,8 +99,8 @@
             requested_at: now,
             times_out_at,
             latest_start: request.latest_start,
-            shard: begun.shard,
-            text: begun.text,
+            shard,
+            text,
         };
         self.attempts.insert(id, attempt);
     }
--- a/crates/core/src/engine/frames.rs
+++ b/crates/core/src/engine/frames.rs
@@ -40,20 +40,20 @@
     }
 
     fn write_frame(&mut self, now: Nanos, connection: ConnectionId, frame: OutgoingFrame) {
-        match self.encode_frame(now, frame) {
+        match self.build_leaf_request(now, frame) {
             Some(frame) => self.effects.push(Effect::WriteFrame { connection, frame }),
             // All its attempts have ended: continue as if it were written.
             None => self.connections.on_frame_written(connection),
         }
     }
 
-    /// The frame as it is sent; none for a call whose attempts have all ended.
-    fn encode_frame(&mut self, now: Nanos, frame: OutgoingFrame) -> Option<LeafRequest> {
+    /// Builds the request of a frame; none for a call whose attempts have all ended.
+    fn build_leaf_request(&mut self, now: Nanos, frame: OutgoingFrame) -> Option<LeafRequest> {
         match frame {
             OutgoingFrame::Call(entries) => {
                 let entries = entries.into_iter();
                 let parts: Vec<CallPart> = entries
-                    .filter_map(|entry| self.encode_part(now, entry))
+                    .filter_map(|entry| self.build_call_part(now, entry))
                     .collect();
                 if parts.is_empty() {
                     return None;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The entry of a call as it is sent; none if its attempt has ended.
-    fn encode_part(&self, now: Nanos, entry: CallEntry) -> Option<CallPart> {
+    /// Builds an entry of a call; none if its attempt has ended.
+    fn build_call_part(&self, now: Nanos, entry: CallEntry) -> Option<CallPart> {
         let attempt = self.attempts.get(entry.attempt)?;
         Some(attempt.call_part(now, entry.wire_id))
     }
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -131,16 +131,16 @@
         query: RequestId,
         group: u32,
         request: &QueryRequest,
-        &QueryPart { shard, weight, .. }: &QueryPart,
+        part: &QueryPart,
     ) -> RequestId {
         let id = self.ids.allocate();
-        let part = OpenPart::new(query, &request.name, shard, weight, request.text.clone());
-        self.queries.insert_part(id, part);
+        let open_part = OpenPart::new(query, request, part);
+        self.queries.insert_part(id, open_part);
         self.events.push(Event::PartReceived(PartReceived {
             id,
             group,
-            shard,
-            weight,
+            shard: part.shard,
+            weight: part.weight,
         }));
         id
     }
--- a/crates/core/src/engine/query_table.rs
+++ b/crates/core/src/engine/query_table.rs
@@ -3,6 +3,7 @@
 use super::ids::{AttemptId, ClientId, WireId};
 use super::usage::JoinKey;
 use crate::api::{Nanos, RequestId};
+use crate::protocol::query::{QueryPart, QueryRequest};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -45,19 +46,13 @@
 
 impl OpenPart {
     /// A part without attempts. Its id in frames is made of the query's name and the shard.
-    pub(super) fn new(
-        query: RequestId,
-        query_name: &str,
-        shard: u32,
-        weight: f64,
-        text: Bytes,
-    ) -> OpenPart {
+    pub(super) fn new(query: RequestId, request: &QueryRequest, part: &QueryPart) -> OpenPart {
         OpenPart {
             query,
-            shard,
-            weight,
-            wire_id: format!("{query_name}.{shard}").into(),
-            text,
+            shard: part.shard,
+            weight: part.weight,
+            wire_id: format!("{}.{}", request.name, part.shard).into(),
+            text: request.text.clone(),
             attempts: 0,
             cross_zone_attempts: 0,
             value: None,
@@ -74,23 +69,16 @@
     }
 }
 
-/// An attempt that has been counted, and has no connection yet.
+/// An attempt that has been counted and has no connection yet.
 #[derive(Debug)]
-pub(super) struct BegunAttempt {
+pub(super) struct NewAttempt {
     pub(super) id: AttemptId,
     pub(super) shard: u32,
     /// What stands for its part in frames.
     pub(super) wire_id: WireId,
     /// The query's text.
     pub(super) text: Bytes,
-    query_deadline: Nanos,
-}
-
-impl BegunAttempt {
-    /// When it times out: as requested, but never after its query's deadline.
-    pub(super) fn timeout(&self, requested: Option<Nanos>) -> Nanos {
-        requested.map_or(self.query_deadline, |at| at.min(self.query_deadline))
-    }
+    pub(super) times_out_at: Nanos,
 }
 
 /// A query that has ended, with its parts.
@@ -168,15 +156,17 @@
         self.parts.insert(id, part);
     }
 
-    /// Counts an attempt at a part; none if the part has ended.
+    /// Counts an attempt at a part; none if the part has ended. It times out as requested, but no
+    /// later than its query's deadline.
     pub(super) fn begin_attempt(
         &mut self,
         id: RequestId,
         crosses_zones: bool,
-    ) -> Option<BegunAttempt> {
+        requested_timeout: Option<Nanos>,
+    ) -> Option<NewAttempt> {
         let part = self.parts.get_mut(&id)?;
-        let query_deadline = self.queries.get(&part.query)?.deadline;
-        Some(BegunAttempt {
+        let deadline = self.queries.get(&part.query)?.deadline;
+        Some(NewAttempt {
             id: AttemptId {
                 part: id,
                 number: part.count_attempt(crosses_zones),
@@ -184,7 +174,7 @@
             shard: part.shard,
             wire_id: part.wire_id.clone(),
             text: part.text.clone(),
-            query_deadline,
+            times_out_at: requested_timeout.map_or(deadline, |at| at.min(deadline)),
         })
     }
 
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -3,7 +3,7 @@
 
 use super::effect::Effect;
 use super::queries::ArrivedQuery;
-use super::query_table::{EndedQuery, OpenPart};
+use super::query_table::EndedQuery;
 use super::timers::Timer;
 use super::usage::{self, JoinKey, QueryOutcome, QueryUsage};
 use super::watermark_tracker::WatermarkTracker;
@@ -72,10 +72,8 @@
             return;
         };
         let EndedQuery { query, parts } = ended;
-        let total = |count: fn(&OpenPart) -> u8| {
-            let counts = parts.iter().map(|part| u32::from(count(part)));
-            counts.sum()
-        };
+        let attempts = parts.iter().map(|part| u32::from(part.attempts));
+        let cross_zone_attempts = parts.iter().map(|part| u32::from(part.cross_zone_attempts));
         let usage = QueryUsage {
             sequence: watermarks.next_sequence(),
             tenant: query.tenant,
@@ -83,8 +81,8 @@
             arrived_at: query.arrived_at,
             outcome,
             parts: parts.len() as u32,
-            attempts: total(|part| part.attempts),
-            cross_zone_attempts: total(|part| part.cross_zone_attempts),
+            attempts: attempts.sum(),
+            cross_zone_attempts: cross_zone_attempts.sum(),
             is_retry: query.is_retry,
             join_key: query.join_key,
             has_client_key: usage::is_client_key(query.join_key),
