--- a/crates/core/src/engine/clients.rs
+++ b/crates/core/src/engine/clients.rs
@@ -9,6 +9,8 @@
 use crate::protocol::query::{ClientRequest, QueryReply};
 
 impl Engine {
+    /// Adds a client. One that connects after the drain period of a shutdown is closed once it has
+    /// no request; before it, idle clients may be closed to make room.
     pub(super) fn on_client_connected(&mut self, now: Nanos, client: ClientId) {
         self.counters.connections.clients += 1;
         self.clients.insert(client, now);
--- a/crates/core/src/engine/effect.rs
+++ b/crates/core/src/engine/effect.rs
@@ -70,7 +70,8 @@
     StartDraining,
     /// The drain period of a shutdown is over: accept no more clients.
     StopListening,
-    /// Record a query that has ended. This precedes its reply, which waits for the record.
+    /// Record a query that has ended. This precedes its reply, which waits until the record is
+    /// written, for a bounded time.
     RecordUsage(QueryUsage),
     /// Record up to when the usage records are complete.
     RecordWatermark(UsageWatermark),
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -21,9 +21,15 @@
 }
 
 impl Engine {
-    /// Admits a query, or rejects it without an event for the policy. In this order: nothing is
-    /// done for a client that has disconnected; a query with the id of an open query is invalid;
-    /// over the capacity for queries and parts, or without time left, a query is rejected.
+    /// Admits a query, or rejects it at once, by these checks in this order:
+    ///
+    /// 1. A query whose client has disconnected is dropped.
+    /// 2. A query with the id of an open query is an invalid request.
+    /// 3. Over the capacity for open queries and parts (`limits.open_cap`), it is rejected.
+    /// 4. If its client has no time left, or the process exits, it is rejected.
+    ///
+    /// The policy may still reject an admitted query at the end of the batch (`admission.rs` of the
+    /// policy).
     pub(super) fn on_query(&mut self, now: Nanos, query: ArrivedQuery) {
         let (client, name) = (query.client, &query.request.name);
         if !self.clients.contains(client) {
--- a/crates/core/src/engine/timers.rs
+++ b/crates/core/src/engine/timers.rs
@@ -11,7 +11,7 @@
 pub(super) enum Timer {
     /// A timer of the policy, by its token.
     Policy(u64),
-    /// An attempt times out.
+    /// An attempt times out: see [`Engine::cancel_attempt`].
     AttemptTimeout(AttemptId),
     /// A connection should have been established.
     ConnectTimeout(ConnectionId),
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -1,5 +1,8 @@
 //! The usage log: a record for each query that ended, and watermarks that state up to when the
 //! records are complete. Nothing is recorded before [`Engine::record_usage`] is called.
+//!
+//! [`Effect::RecordUsage`] precedes the reply to the query. That the reply waits until the record
+//! is written is ensured in [`crate::net::pending_replies`].
 
 use super::effect::Effect;
 use super::queries::ArrivedQuery;
--- a/crates/core/tests/reducer/endpoints.rs
+++ b/crates/core/tests/reducer/endpoints.rs
@@ -4,8 +4,8 @@
 use crate::support::engine_harness::{address, EngineHarness, MS, SETTINGS, START};
 use aggregator_core::engine::Input;
 
-/// Discovery is one service for all aggregators. If all whose watch was rejected retried at the same
-/// time, they would overload it, and none would get a list.
+/// Discovery is one service for all aggregators. If all whose watch was rejected retried at the
+/// same time, they would overload it, and none would get a list.
 #[test]
 fn a_polled_list_is_watched_on_the_policys_request_and_not_in_step() {
     let settings =
