--- a/crates/usage-ledger/src/closing_decision.rs
+++ b/crates/usage-ledger/src/closing_decision.rs
@@ -10,8 +10,8 @@
 pub struct MemberProgress {
     /// The aggregator's name.
     pub member: String,
-    /// Its records are complete before this time, in Unix milliseconds; `None` if no record of it
-    /// was ever collected.
+    /// Its records are complete before this time, in Unix milliseconds; `None` if nothing was
+    /// ever collected from it.
     pub complete_until_ms: Option<i64>,
 }
 
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -14,7 +14,7 @@
 /// The shortest valid period, in milliseconds.
 const MIN_PERIOD_MS: i64 = 1000;
 
-// What holds where the schema has no such key; the same as its defaults.
+// The values if the schema lacks a key; the same as the defaults of the schema.
 const DEFAULT_COLLECTION_TIME: Duration = Duration::from_millis(200);
 const DEFAULT_EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 const DEFAULT_EXPORT_RETRY: Duration = Duration::from_millis(500);
@@ -22,39 +22,39 @@
 /// An aggregator whose log the settlement follows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Where its log is collected.
+    /// The address at which its log is collected.
     pub address: SocketAddr,
-    /// From when it takes part, in Unix milliseconds.
+    /// The time from which it takes part, in Unix milliseconds.
     pub from_ms: i64,
-    /// Until when it takes part, in Unix milliseconds.
+    /// The time until which it takes part, in Unix milliseconds.
     pub until_ms: i64,
 }
 
 /// Prices of one class, in micro-units. The store keeps them as JSON under the published names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Price {
-    /// Of a complete answer.
+    /// The price of a complete answer.
     #[serde(rename = "whole")]
     pub complete: u64,
-    /// Of a partial answer, before its share is taken.
+    /// The price of a partial answer, which is multiplied by its share.
     pub partial: u64,
 }
 
-/// Where documents go.
+/// The destinations of documents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExportTarget {
-    /// The folder that they are put into.
+    /// The folder for documents.
     pub folder: Option<PathBuf>,
-    /// Where they are posted.
+    /// The URL to which documents are posted.
     pub url: Option<String>,
     /// How long the receiver may take for one document.
     pub timeout: Duration,
-    /// The first pause before a document that failed is sent again.
+    /// The pause before the first retry of a document.
     pub retry_delay: Duration,
 }
 
 impl ExportTarget {
-    /// Whether documents go anywhere.
+    /// Whether there is any destination.
     pub fn has_destination(&self) -> bool {
         self.folder.is_some() || self.url.is_some()
     }
@@ -65,25 +65,25 @@
 pub struct LedgerSettings {
     /// The SQLite file.
     pub store_path: Option<PathBuf>,
-    /// The first pause before a member that failed is asked again.
+    /// The pause before the first retry after the collection from a member has failed.
     pub retry_delay: Duration,
-    /// A member that says nothing for so long is asked anew.
+    /// The connection to a member is renewed if no message arrives for this time.
     pub idle_timeout: Duration,
     /// The billing periods.
     pub calendar: Calendar,
-    /// The longest after a first request that a retry may arrive, in milliseconds.
+    /// The longest time from a first request to the arrival of a retry, in milliseconds.
     pub horizon_ms: i64,
-    /// The most that two aggregators' clocks differ, in milliseconds.
+    /// The largest difference between the clocks of two aggregators, in milliseconds.
     pub skew_ms: i64,
-    /// How long a period waits for missing members, in milliseconds.
+    /// The grace period for missing members after a period could have closed, in milliseconds.
     pub grace_ms: i64,
     /// The aggregators, by name.
     pub members: BTreeMap<String, Member>,
     /// Prices by class.
     pub prices: BTreeMap<String, Price>,
-    /// Answered requests in a period past which further ones are listed apart, by tenant.
+    /// The number of answered requests per period by tenant; requests beyond it are listed apart.
     pub allowances: BTreeMap<String, u64>,
-    /// Where documents go.
+    /// The destinations of documents.
     pub export: ExportTarget,
 }
 
@@ -91,7 +91,7 @@
     /// Reads the settings.
     ///
     /// # Errors
-    /// Values that contradict each other, or that only their use shows to be wrong.
+    /// Values are invalid, or contradict each other.
     pub fn read(settings: &Settings, schema: &Schema) -> Result<LedgerSettings, Problems> {
         let reader = Reader { settings, schema };
         let settlement = settings.section(schema, SETTLEMENT.name);
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -11,7 +11,7 @@
 /// The shortest valid interval between two marks.
 const MIN_MARK_INTERVAL: Duration = Duration::from_millis(10);
 
-// What holds where the schema has no such key; the same as its defaults.
+// The values if the schema lacks a key; the same as the defaults of the schema.
 const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 const DEFAULT_KEEP_BYTES: u64 = 1 << 30;
 const DEFAULT_QUEUE_ENTRIES: u64 = 8192;
@@ -21,19 +21,19 @@
 /// The usage log of one aggregator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageLogSettings {
-    /// Where the log is.
+    /// The folder of the log.
     pub directory: PathBuf,
-    /// Size at which a segment is closed.
+    /// The size at which a segment is closed.
     pub segment_bytes: u64,
-    /// The most that the log may take.
+    /// The maximum size of the log.
     pub keep_bytes: u64,
-    /// Entries that may wait for the writer.
+    /// The capacity of the queue of the writer.
     pub queue_entries: usize,
-    /// How long an answer waits for its record.
+    /// The longest time that a reply waits for its record to be written.
     pub max_reply_delay: Duration,
-    /// Interval at which the log says up to when it is complete.
+    /// The interval of marks, which state up to which time the log is complete.
     pub mark_interval: Duration,
-    /// Where the log is offered for collection; `None` if it is not.
+    /// The address at which the log is offered for collection; `None` if it is not.
     pub listen_address: Option<SocketAddr>,
 }
 
@@ -41,7 +41,7 @@
     /// Reads the settings; `None` if no log is kept.
     ///
     /// # Errors
-    /// Values that contradict each other.
+    /// Values contradict each other.
     pub fn read(
         settings: &Settings,
         schema: &Schema,
--- a/crates/usage-ledger/src/statement.rs
+++ b/crates/usage-ledger/src/statement.rs
@@ -73,7 +73,7 @@
 pub struct MemberState {
     /// The aggregator's name.
     pub member: String,
-    /// Its records were complete up to this time; `None` if no record of it was ever collected.
+    /// Its records were complete up to this time; `None` if nothing was ever collected.
     #[serde(rename = "complete")]
     pub complete_until: Option<String>,
     /// Whether the period was closed without some of its records.
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -1,4 +1,4 @@
-//! What settling one period tells the settling of the next, and settling itself.
+//! Settles periods from stored records, and stores what one period carries over to the next.
 //!
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
@@ -10,7 +10,7 @@
 use rusqlite::{params, Connection};
 use std::collections::BTreeSet;
 
-/// Tables of record ids by period. All have the same columns.
+/// The tables of record ids by period. All have the same columns.
 #[derive(Clone, Copy)]
 enum IdTable {
     Carried,
@@ -35,7 +35,7 @@
     Ok(settler.finish())
 }
 
-/// Stores what a settled period carries over. True if that has changed.
+/// Stores what a settled period carries over. Returns true if it has changed.
 pub(super) fn save(db: &Connection, period: Period, settled: &SettledPeriod) -> Result<bool> {
     let start = period.start_ms;
     let carry_over = &settled.carry_over;
@@ -47,7 +47,7 @@
     Ok(changed)
 }
 
-/// What the last period before a time carries over.
+/// What the last period that starts before a time carries over.
 fn load_before(db: &Connection, before: i64) -> Result<CarryOver> {
     let last = "SELECT max(start) FROM period WHERE start < ?";
     let last: Option<i64> = db.query_row(last, [before], |row| row.get(0))?;
@@ -61,7 +61,7 @@
     })
 }
 
-/// The ids that a table has for the period that starts at this time.
+/// The ids in a table for the period that starts at this time.
 fn load_ids(db: &Connection, table: IdTable, period: i64) -> Result<BTreeSet<RecordId>> {
     let table = table.name();
     let select = format!("SELECT at, member, incarnation, sequence FROM {table} WHERE period = ?");
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -1,7 +1,7 @@
 //! Closing periods.
 //!
-//! Transaction boundary: one transaction a period holds its statement and lines, the adjustments of
-//! earlier periods, the corrections that stand in it, and the documents for the outbox.
+//! Transaction boundary: one transaction per period, for its statement and lines, the adjustments
+//! of earlier periods, its corrections, and the documents for the outbox.
 
 use super::database::Store;
 use super::error::{Result, StoreError};
@@ -19,20 +19,20 @@
 use rusqlite::{params, Connection, OptionalExtension};
 use std::collections::{BTreeMap, HashMap};
 
-/// What closing a period needs beside the store.
+/// The settings and circumstances with which a period is closed.
 #[derive(Clone, Debug)]
 pub struct ClosingTerms<'a> {
-    /// How records are joined.
+    /// The bounds within which retries are joined.
     pub bounds: JoinBounds,
     /// Prices by class.
     pub prices: &'a BTreeMap<String, Price>,
     /// Allowances by tenant.
     pub allowances: &'a BTreeMap<String, u64>,
-    /// Members that took part.
+    /// The members that took part.
     pub members: Vec<String>,
-    /// Of them, those without whose records the period closes.
+    /// The members among them whose records are missing.
     pub missing: &'a [String],
-    /// Unix milliseconds.
+    /// The time of closing, in Unix milliseconds.
     pub now_ms: i64,
 }
 
@@ -65,6 +65,13 @@
     names: &'a HashMap<u32, String>,
 }
 
+/// A period that was settled as part of closing.
+struct SettlementResult {
+    lines: LineCounts,
+    /// Whether the period carries over other records than before.
+    carry_over_changed: bool,
+}
+
 impl Closing<'_> {
     fn run(&self, statuses: &[MemberStatus]) -> Result<Statement> {
         self.insert_period()?;
@@ -98,23 +105,23 @@
         Ok(())
     }
 
-    /// What late records have changed of earlier periods.
+    /// The adjustments of earlier periods that late records have changed.
     fn adjustment_lines(&self) -> Result<Vec<LineRow>> {
         let mut lines = Vec::new();
         while let Some(earlier) = dirty::first_before(self.db, self.period.start_ms)? {
-            let (counts, changed) = self.settle(earlier.period)?;
-            if changed {
+            let result = self.settle(earlier.period)?;
+            if result.carry_over_changed {
                 // The next period may have counted records that this one counts now, or the other
-                // way round. The one that closes now is settled after all of them in any case.
+                // way round. The period that is being closed is settled last in any case.
                 dirty::mark_following(self.db, earlier.period, self.period.start_ms)?;
             }
-            lines.extend(self.adjust(&earlier, &counts)?);
+            lines.extend(self.adjust(&earlier, &result.lines)?);
         }
         Ok(lines)
     }
 
     fn adjust(&self, earlier: &dirty::DirtyPeriod, now: &LineCounts) -> Result<Vec<LineRow>> {
-        let stated = lines::stated(self.db, earlier.period)?;
+        let stated = lines::load_stated_usage(self.db, earlier.period)?;
         let adjust = |(key, counts)| {
             let price = self.price(&earlier.prices, key);
             let due = now.get(&key);
@@ -134,7 +141,7 @@
 
     /// The lines of the period itself.
     fn own_lines(&self) -> Result<Vec<LineRow>> {
-        let (counts, _) = self.settle(self.period)?;
+        let lines = self.settle(self.period)?.lines;
         let line = |(key, counts)| {
             let price = self.price(self.terms.prices, key);
             LineRow {
@@ -146,16 +153,18 @@
                 is_unpriced: price.is_none(),
             }
         };
-        Ok(counts.into_iter().map(line).collect())
+        Ok(lines.into_iter().map(line).collect())
     }
 
-    /// Settles a period from its records, and stores what it carries over. True if that has
-    /// changed.
-    fn settle(&self, period: Period) -> Result<(LineCounts, bool)> {
+    /// Settles a period from its records, and stores what it carries over.
+    fn settle(&self, period: Period) -> Result<SettlementResult> {
         let settled = carry_over::settle(self.db, period, self.terms.bounds)?;
-        let changed = carry_over::save(self.db, period, &settled)?;
+        let carry_over_changed = carry_over::save(self.db, period, &settled)?;
         dirty::clear(self.db, period)?;
-        Ok((settled.lines, changed))
+        Ok(SettlementResult {
+            lines: settled.lines,
+            carry_over_changed,
+        })
     }
 
     fn price(&self, prices: &BTreeMap<String, Price>, key: LineKey) -> Option<Price> {
--- a/crates/usage-ledger/src/store/correction.rs
+++ b/crates/usage-ledger/src/store/correction.rs
@@ -1,7 +1,7 @@
 //! Corrections by an operator.
 //!
-//! Transaction boundary: one transaction a correction holds it and, if its period is closed, the
-//! credit or debit in the outbox.
+//! Transaction boundary: one transaction per correction, for the correction and, if its period is
+//! closed, the credit or debit in the outbox.
 
 use super::database::Store;
 use super::error::{Result, StoreError};
@@ -12,11 +12,11 @@
 use rusqlite::{params, Connection, OptionalExtension, Row};
 
 impl Store {
-    /// Enters a correction: into the statement of its period if that is still open, else as a
-    /// document of its own, which is returned.
+    /// Enters a correction. If its period is open, the correction becomes part of the statement;
+    /// otherwise it becomes a credit or debit document, which is returned.
     ///
     /// # Errors
-    /// There is one with this id already, or the store can't be written.
+    /// There is a correction with this id, or the store can't be written.
     pub fn enter_correction(
         &mut self,
         correction: &CorrectionLine,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The corrections that wait for the statement on `period`, which then has them.
+/// Assigns the corrections that wait for the statement of `period` to it, and returns them.
 pub(super) fn take_waiting(db: &Connection, period: Period) -> Result<Vec<CorrectionLine>> {
     let mut select = db.prepare(
         "SELECT id, tenant, amount, reason, author FROM correction
--- a/crates/usage-ledger/src/store/database.rs
+++ b/crates/usage-ledger/src/store/database.rs
@@ -1,4 +1,4 @@
-//! The open database, and the numbers of names in it.
+//! The open database, and the ids of names in it.
 
 use super::error::Result;
 use super::schema;
@@ -12,7 +12,7 @@
 /// SQLite's page cache: a negative number is a size in KiB.
 const CACHE_SIZE: i64 = -8192;
 
-/// The kinds of names that have numbers.
+/// The kinds of names that have ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum NameKind {
     Member,
@@ -21,7 +21,7 @@
 }
 
 impl NameKind {
-    /// As it stands in the table of names.
+    /// The value of the column `kind`.
     fn as_str(self) -> &'static str {
         match self {
             NameKind::Member => "member",
@@ -34,15 +34,15 @@
 /// An open store.
 pub struct Store {
     pub(super) db: Connection,
-    /// Numbers of names that were looked up before.
+    /// The ids of names that were looked up before.
     name_ids: HashMap<(NameKind, String), u32>,
 }
 
 impl Store {
-    /// Opens the store, and brings it to the present version of the schema.
+    /// Opens the store, and migrates it to the current version of the schema.
     ///
     /// # Errors
-    /// It can't be opened, or a later program made it.
+    /// The file can't be opened, or a later version of the program has written it.
     pub fn open(path: &Path) -> Result<Store> {
         let mut db = Connection::open(path)?;
         db.busy_timeout(BUSY_TIMEOUT)?;
@@ -56,13 +56,13 @@
         })
     }
 
-    /// Begins a transaction that holds the write lock from the start.
+    /// Begins a transaction that has the write lock from the start.
     pub(super) fn begin(&mut self) -> Result<Transaction<'_>> {
         let behavior = TransactionBehavior::Immediate;
         Ok(self.db.transaction_with_behavior(behavior)?)
     }
 
-    /// The number of a name; a new one gets the next number.
+    /// The id of a name. A new name is added.
     pub(super) fn name_id(&mut self, kind: NameKind, name: &str) -> Result<u32> {
         let cache_key = (kind, name.to_string());
         if let Some(id) = self.name_ids.get(&cache_key) {
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -1,4 +1,5 @@
-//! Closed periods that late records have changed: they are settled again when the next one closes.
+//! Dirty periods: closed periods that late records have changed. They are settled again when the
+//! next period closes.
 //!
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
@@ -16,33 +17,33 @@
     pub(super) prices: BTreeMap<String, Price>,
 }
 
-/// A record has arrived late: marks the periods dirty that should have seen it.
+/// Marks the closed periods dirty that a late record belongs to.
 ///
-/// If it arrived before `closed_until`, the end of the last closed period, at a time for which no
-/// period was ever made, a period is made for it.
+/// Inserts a period if there is none at `arrived_at_ms` and the record arrived before
+/// `closed_until_ms`, the end of the last closed period. Times are in Unix milliseconds.
 pub(super) fn mark_late_arrival(
     db: &Connection,
-    at: i64,
-    closed_until: i64,
+    arrived_at_ms: i64,
+    closed_until_ms: i64,
     calendar: &Calendar,
     bounds: JoinBounds,
 ) -> Result<()> {
     let mark = "UPDATE period SET dirty = 1 WHERE start - ?2 <= ?1 AND end + ?3 > ?1";
     db.prepare_cached(mark)?
-        .execute([at, bounds.skew_ms, bounds.lookahead_ms()])?;
+        .execute([arrived_at_ms, bounds.skew_ms, bounds.lookahead_ms()])?;
     let count = "SELECT count(*) FROM period WHERE start <= ? AND end > ?";
     let holding: i64 = db
         .prepare_cached(count)?
-        .query_row([at, at], |row| row.get(0))?;
-    if at < closed_until && holding == 0 {
-        insert_missing_period(db, at, calendar)?;
+        .query_row([arrived_at_ms, arrived_at_ms], |row| row.get(0))?;
+    if arrived_at_ms < closed_until_ms && holding == 0 {
+        insert_missing_period(db, arrived_at_ms, calendar)?;
     }
     Ok(())
 }
 
 fn insert_missing_period(db: &Connection, at: i64, calendar: &Calendar) -> Result<()> {
     let period = calendar.period_at(at);
-    // Not over its neighbours, should the calendar have been another then.
+    // The calendar may have changed since: the period must not overlap its neighbours.
     let after = "SELECT min(start) FROM period WHERE start > ?";
     let after: Option<i64> = db.query_row(after, [at], |row| row.get(0))?;
     let before = "SELECT max(end) FROM period WHERE end <= ?";
@@ -53,7 +54,8 @@
     Ok(())
 }
 
-/// The first dirty period before a time. One at a time: settling it may make the next one dirty.
+/// The first dirty period before a time. Only one is returned, since settling it may make the next
+/// one dirty.
 pub(super) fn first_before(db: &Connection, before: i64) -> Result<Option<DirtyPeriod>> {
     let select =
         "SELECT start, end, prices FROM period WHERE dirty AND start < ? ORDER BY start LIMIT 1";
@@ -71,15 +73,15 @@
     Ok(Some(DirtyPeriod { period, prices }))
 }
 
-/// The period has been settled again.
+/// Marks a period as settled.
 pub(super) fn clear(db: &Connection, period: Period) -> Result<()> {
     let clear = "UPDATE period SET dirty = 0 WHERE start = ?";
     db.execute(clear, [period.start_ms])?;
     Ok(())
 }
 
-/// What `period` carries over has changed: marks the one after it dirty, if that begins before a
-/// time.
+/// Marks the period after `period` dirty if it begins before a time, because what `period` carries
+/// over has changed.
 pub(super) fn mark_following(db: &Connection, period: Period, before: i64) -> Result<()> {
     db.execute(
         "UPDATE period SET dirty = 1 WHERE start = (SELECT min(start) FROM period WHERE start > ?)
--- a/crates/usage-ledger/src/store/error.rs
+++ b/crates/usage-ledger/src/store/error.rs
@@ -1,12 +1,12 @@
-//! What can go wrong with the store.
+//! Errors of the store.
 
-/// What can go wrong with the store.
+/// An error of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// SQLite failed.
     #[error("the store: {0}")]
     Sqlite(#[from] rusqlite::Error),
-    /// A later program has changed the schema.
+    /// A later version of the program has changed the schema.
     #[error("the store is of version {found}, made by a later program: this one knows {known}")]
     NewerSchema {
         /// The file's version.
@@ -14,13 +14,13 @@
         /// The latest version that this program knows.
         known: usize,
     },
-    /// The period to close has a statement already.
+    /// The period to close already has a statement.
     #[error("the period {period} is closed")]
     PeriodClosed {
         /// The period's name.
         period: String,
     },
-    /// There is a correction with this id already.
+    /// A correction with this id exists.
     #[error("there is a correction {id} already")]
     DuplicateCorrection {
         /// The correction's id.
--- a/crates/usage-ledger/src/store/ingest/batch.rs
+++ b/crates/usage-ledger/src/store/ingest/batch.rs
@@ -1,4 +1,4 @@
-//! Taking one batch into the store.
+//! Writes one batch into the store.
 
 use super::header_ids::HeaderIds;
 use super::run_progress::RunProgress;
@@ -10,19 +10,19 @@
 use crate::wire::{entry::What, Batch, Damage, Entry, Record};
 use rusqlite::{params, CachedStatement, Connection};
 
-/// What a batch of records came to.
+/// The counts of records in a batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IngestSummary {
-    /// Records that were not in the store.
+    /// Records that are new to the store.
     pub new: u64,
-    /// Records that were there already.
+    /// Records that the store already had.
     pub known: u64,
-    /// Of the new ones, those that a closed period should have seen.
+    /// New records that belong to closed periods.
     pub late: u64,
 }
 
 impl Store {
-    /// Takes a batch of a member's log.
+    /// Writes a batch of the log of a member into the store.
     ///
     /// # Errors
     /// The store can't be written.
@@ -45,7 +45,7 @@
             db: &transaction,
             calendar,
             bounds,
-            closed_until: closed_until(&transaction)?,
+            closed_until_ms: closed_until_ms(&transaction)?,
             progress: RunProgress::load(&transaction, run)?,
             ids,
             ingested: IngestSummary::default(),
@@ -60,12 +60,12 @@
     }
 }
 
-/// A batch that is being taken, within its transaction.
+/// A batch that is being written, within its transaction.
 struct Ingestion<'a> {
     db: &'a Connection,
     calendar: &'a Calendar,
     bounds: JoinBounds,
-    closed_until: i64,
+    closed_until_ms: i64,
     ids: HeaderIds,
     progress: RunProgress,
     ingested: IngestSummary,
@@ -93,16 +93,24 @@
         }
         self.ingested.new += 1;
         self.progress.on_record(record.sequence as i64);
-        let at = record.arrived_ms as i64;
-        // A closed period has seen a while past its end, where its retries are.
-        if at < self.closed_until.saturating_add(self.bounds.lookahead_ms()) {
+        let arrived_at_ms = record.arrived_ms as i64;
+        // Settling a period also reads the retries that arrive after its end.
+        let lookahead_ms = self.bounds.lookahead_ms();
+        let settled_until_ms = self.closed_until_ms.saturating_add(lookahead_ms);
+        if arrived_at_ms < settled_until_ms {
             self.ingested.late += 1;
-            dirty::mark_late_arrival(self.db, at, self.closed_until, self.calendar, self.bounds)?;
+            dirty::mark_late_arrival(
+                self.db,
+                arrived_at_ms,
+                self.closed_until_ms,
+                self.calendar,
+                self.bounds,
+            )?;
         }
         Ok(())
     }
 
-    /// False if the record was there already.
+    /// Returns false if the store already had the record.
     fn insert_if_new(&self, insert: &mut CachedStatement<'_>, record: &Record) -> Result<bool> {
         let run = self.ids.run;
         let class = self.ids.class(record);
@@ -142,7 +150,7 @@
 }
 
 /// The end of the last closed period, in Unix milliseconds.
-fn closed_until(db: &Connection) -> Result<i64> {
+fn closed_until_ms(db: &Connection) -> Result<i64> {
     let select = "SELECT coalesce(max(end), ?) FROM period";
     Ok(db.query_row(select, [i64::MIN], |row| row.get(0))?)
 }
--- a/crates/usage-ledger/src/store/ingest/header_ids.rs
+++ b/crates/usage-ledger/src/store/ingest/header_ids.rs
@@ -1,13 +1,13 @@
-//! The numbers that the names of a segment's header have in the store.
+//! The ids of the names in the header of a segment.
 
 use crate::store::database::{NameKind, Store};
 use crate::store::error::Result;
 use crate::store::uncertainty::RunKey;
 use crate::wire::{Header, Record};
 
-/// Where an aggregator knows no tenants, all requests are of this one.
+/// The tenant of all requests at an aggregator without tenants.
 const DEFAULT_TENANT: &str = "all";
-/// The class of records whose class the header does not name.
+/// The class of records whose class is not in the header.
 const UNKNOWN_CLASS: &str = "unknown";
 
 /// A class in the store.
@@ -17,7 +17,7 @@
     pub(super) client_timeout_ms: i64,
 }
 
-/// The numbers that a header's names have in the store.
+/// The ids that the names of a header have in the store.
 pub(super) struct HeaderIds {
     pub(super) run: RunKey,
     tenant_ids: Vec<u32>,
@@ -27,7 +27,7 @@
 }
 
 impl HeaderIds {
-    /// Looks up the names of a header; new names are added to the store.
+    /// Looks up the names of a header. Adds new names to the store.
     pub(super) fn of(store: &mut Store, member: &str, header: &Header) -> Result<HeaderIds> {
         let member_id = store.name_id(NameKind::Member, member)?;
         let mut tenant_ids = Vec::new();
@@ -58,7 +58,7 @@
         })
     }
 
-    /// The tenant of a record.
+    /// The id of the tenant of a record.
     pub(super) fn tenant_id(&self, record: &Record) -> u32 {
         let tenant = self.tenant_ids.get(record.tenant as usize);
         tenant.copied().unwrap_or(self.default_tenant_id)
--- a/crates/usage-ledger/src/store/ingest/mod.rs
+++ b/crates/usage-ledger/src/store/ingest/mod.rs
@@ -1,8 +1,9 @@
-//! Taking records from members' logs.
+//! Ingestion: writes batches from the logs of members into the store.
 //!
-//! Transaction boundary: one transaction a batch holds its records and damage, the member's new
-//! position, and the closed periods that the records make dirty. A batch that arrives again changes
-//! nothing. Numbers for new names are committed before it; an unused one does no harm.
+//! Transaction boundary: one transaction per batch, for its records and damage, the new position of
+//! the member, and the closed periods that become dirty. A batch that is delivered again changes
+//! nothing. The ids of new names are committed before the batch; an id without records is
+//! harmless.
 
 mod batch;
 mod header_ids;
--- a/crates/usage-ledger/src/store/ingest/run_progress.rs
+++ b/crates/usage-ledger/src/store/ingest/run_progress.rs
@@ -1,21 +1,21 @@
-//! How far one run of a member is known: a row of the table `position`.
+//! How far one run of a member has been collected: a row of the table `position`.
 
 use crate::store::error::Result;
 use crate::store::uncertainty::RunKey;
 use crate::wire::Mark;
 use rusqlite::{params, Connection, OptionalExtension};
 
-/// How far one run of a member is known.
+/// How far one run of a member has been collected.
 pub(super) struct RunProgress {
-    /// The last record.
-    sequence: i64,
-    /// All records before this time are known, in Unix milliseconds.
+    /// The highest sequence number of a record or mark.
+    last_sequence: i64,
+    /// All records that arrived before this time are in the store, in Unix milliseconds.
     complete_until_ms: i64,
-    /// The last record that a mark has named.
-    marked: i64,
-    /// The run has said that it ended.
-    ended: bool,
-    /// Records that were never written.
+    /// The highest sequence number of a mark.
+    marked_sequence: i64,
+    /// Whether there is a closing mark.
+    has_ended: bool,
+    /// The number of records that were never written.
     lost_records: i64,
 }
 
@@ -28,19 +28,19 @@
             params![run.member_id, run.incarnation as i64],
             |row| {
                 Ok(RunProgress {
-                    sequence: row.get(0)?,
+                    last_sequence: row.get(0)?,
                     complete_until_ms: row.get(1)?,
-                    marked: row.get(2)?,
-                    ended: row.get(3)?,
+                    marked_sequence: row.get(2)?,
+                    has_ended: row.get(3)?,
                     lost_records: row.get(4)?,
                 })
             },
         );
         Ok(stored.optional()?.unwrap_or(RunProgress {
-            sequence: 0,
+            last_sequence: 0,
             complete_until_ms: i64::MIN,
-            marked: 0,
-            ended: false,
+            marked_sequence: 0,
+            has_ended: false,
             lost_records: 0,
         }))
     }
@@ -51,33 +51,34 @@
             params![
                 run.member_id,
                 run.incarnation as i64,
-                self.sequence,
+                self.last_sequence,
                 self.complete_until_ms,
-                self.marked,
-                self.ended,
+                self.marked_sequence,
+                self.has_ended,
                 self.lost_records
             ],
         )?;
         Ok(())
     }
 
-    /// A new record: those between the last one and this are lost, until they arrive after all.
+    /// Counts a new record. The records between the last one and this one count as lost until they
+    /// arrive.
     pub(super) fn on_record(&mut self, sequence: i64) {
-        let expected = self.sequence + 1;
+        let expected = self.last_sequence + 1;
         self.lost_records += if sequence >= expected {
             sequence - expected
         } else {
             -1
         };
-        self.sequence = self.sequence.max(sequence);
+        self.last_sequence = self.last_sequence.max(sequence);
     }
 
     pub(super) fn on_mark(&mut self, mark: &Mark) {
         let sequence = mark.sequence as i64;
-        self.lost_records += (sequence - self.sequence).max(0);
-        self.sequence = self.sequence.max(sequence);
-        self.marked = self.marked.max(sequence);
+        self.lost_records += (sequence - self.last_sequence).max(0);
+        self.last_sequence = self.last_sequence.max(sequence);
+        self.marked_sequence = self.marked_sequence.max(sequence);
         self.complete_until_ms = self.complete_until_ms.max(mark.complete_ms as i64);
-        self.ended |= mark.end;
+        self.has_ended |= mark.end;
     }
 }
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -10,7 +10,7 @@
 use rusqlite::{params_from_iter, Connection, Row};
 use std::collections::{BTreeMap, HashMap};
 
-/// A line of a statement, with numbers in place of names.
+/// A line of a statement, with ids in place of names.
 pub(super) struct LineRow {
     /// The period it counts.
     pub(super) period: Period,
@@ -20,7 +20,7 @@
     pub(super) counts: UsageCounts,
     /// Micro-units.
     pub(super) amount: i64,
-    /// The class has no price.
+    /// Whether the class has no price.
     pub(super) is_unpriced: bool,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Stores the line as one of the statement on `statement`.
+    /// Stores the line as part of the statement of the period `statement`.
     pub(super) fn insert(&self, db: &Connection, statement: Period) -> Result<()> {
         let mut values = vec![
             statement.start_ms,
@@ -55,7 +55,7 @@
     }
 }
 
-/// What all statements so far have said of a period.
+/// The usage of a period in all statements so far.
 #[derive(Default)]
 pub(super) struct StatedUsage {
     pub(super) lines: LineCounts,
@@ -63,8 +63,8 @@
     pub(super) amounts: BTreeMap<LineKey, i64>,
 }
 
-/// What all statements so far have said of `period`.
-pub(super) fn stated(db: &Connection, period: Period) -> Result<StatedUsage> {
+/// The usage of `period` in all statements so far.
+pub(super) fn load_stated_usage(db: &Connection, period: Period) -> Result<StatedUsage> {
     let mut select = db.prepare(
         "SELECT tenant, class, sum(uses), sum(whole), sum(partial), sum(share), sum(refused), sum(failed), sum(gone),
            sum(tries), sum(parts), sum(attempts), sum(crossed), sum(ambiguous), sum(amount)
@@ -83,7 +83,7 @@
     Ok(stated)
 }
 
-/// The counts of a row whose first two columns are the line's key.
+/// The counts of a row, which follow the two columns of the key.
 fn read_counts(row: &Row<'_>) -> rusqlite::Result<UsageCounts> {
     let mut values = [0; UsageCounts::COLUMNS.len()];
     for (index, value) in values.iter_mut().enumerate() {
--- a/crates/usage-ledger/src/store/mod.rs
+++ b/crates/usage-ledger/src/store/mod.rs
@@ -1,17 +1,20 @@
 //! The settlement's store: one SQLite file.
 //!
 //! One process writes at a time; others may read. Each operation that changes more than one row is
-//! one transaction, so that a crash at any point leaves the store as it was before or after it.
+//! one transaction, so that after a crash the store is as it was before or after the operation.
+//!
+//! The names of tables and columns are those of schema version 1. They are mapped to the names of
+//! the code where rows are read and written.
 //!
 //! | module | what it does | transaction |
 //! | --- | --- | --- |
 //! | `schema` | versions and migrations | one for all missing versions |
-//! | `ingest` | takes batches of records | one a batch |
-//! | `closing` | closes a period and adjusts earlier ones | one a period |
-//! | `correction` | enters corrections | one a correction |
-//! | `outbox` | documents and their delivery | one a delivery |
+//! | `ingest` | writes batches of records | one per batch |
+//! | `closing` | closes a period and adjusts earlier ones | one per period |
+//! | `correction` | enters corrections | one per correction |
+//! | `outbox` | documents and their delivery | one per delivery |
 //! | `queries` | positions, members, periods, statements | none |
-//! | `verification` | checks what the store claims | none |
+//! | `verification` | checks statements and documents against the records | none |
 
 mod carry_over;
 mod closing;
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -1,4 +1,4 @@
-//! What the store knows of members, periods and statements.
+//! Queries for members, periods and statements.
 //!
 //! Transaction boundary: none; each method reads one consistent snapshot.
 
@@ -10,49 +10,49 @@
 use rusqlite::{params, OptionalExtension, Row};
 use std::collections::{BTreeMap, HashMap};
 
-/// How far a member's log has been collected.
+/// How far the log of a member has been collected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
     /// The aggregator's name.
     pub member: String,
-    /// The last record of its last run.
+    /// The position of the last record of its last run.
     pub position: LogPosition,
     /// Its records are complete before this time, in Unix milliseconds.
     pub complete_until_ms: i64,
-    /// Its last run has said that it ended.
+    /// Whether its last run ended with a closing mark.
     pub ended: bool,
-    /// Records of all its runs.
+    /// The number of records of all its runs.
     pub records: i64,
-    /// Records that were never written.
+    /// The number of records that were never written.
     pub lost_records: i64,
-    /// Runs that ended without a closing mark.
+    /// The number of earlier runs that ended without a closing mark.
     pub unclosed_runs: i64,
-    /// Stretches of its log that can't be read.
+    /// The number of ranges of its log that can't be read.
     pub damaged_ranges: i64,
 }
 
 /// A statement as it is stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredStatement {
-    /// What its text says.
+    /// The statement.
     pub statement: Statement,
-    /// SHA-256 of the text in hexadecimal, as it was when the period closed.
+    /// SHA-256 of the JSON text in hexadecimal, computed when the period was closed.
     pub hash: String,
-    /// The statement as JSON.
+    /// The statement as JSON text.
     pub body: String,
 }
 
-/// A period that was closed, or that records made which arrived before the last close.
+/// A closed period. Includes periods before the last closed one that only late records have made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClosedPeriod {
-    /// When it starts and ends.
+    /// Start and end.
     pub period: Period,
-    /// Late records have changed it: it is settled again when the next one closes.
+    /// Whether late records have changed it, so that it is settled again when the next one closes.
     pub late_records_pending: bool,
 }
 
 impl Store {
-    /// The names of members, tenants and classes by their numbers.
+    /// The names of members, tenants and classes by their ids.
     ///
     /// # Errors
     /// The store can't be read.
@@ -62,7 +62,7 @@
         Ok(names.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// Up to where a member's log is in the store.
+    /// The position up to which the store has the log of a member.
     ///
     /// # Errors
     /// The store can't be read.
@@ -79,7 +79,8 @@
         Ok(position.unwrap_or_default())
     }
 
-    /// How far the log of each member has been collected that was ever heard of, by name.
+    /// How far the logs of members have been collected, sorted by name. Members from which nothing
+    /// was ever collected are left out.
     ///
     /// # Errors
     /// The store can't be read.
@@ -112,8 +113,8 @@
         Ok(statuses.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// How many records one run of a member has, by `TENANT CLASS` as the aggregator's own counters
-    /// have them.
+    /// The number of records of one run of a member, by `TENANT CLASS`, which are also the keys of
+    /// the aggregator's own counters.
     ///
     /// # Errors
     /// The store can't be read.
--- a/crates/usage-ledger/src/store/records.rs
+++ b/crates/usage-ledger/src/store/records.rs
@@ -1,4 +1,4 @@
-//! Reading usage records.
+//! Reads usage records: the mapping of the table `record` to [`UsageRecord`].
 //!
 //! Transaction boundary: none of its own; it runs in the caller's transaction or, outside of one,
 //! reads one consistent snapshot a query.
@@ -40,12 +40,12 @@
     flags
 }
 
-/// Calls `visit` with the records that arrived in this range, in the order of their ids, one after
-/// another: memory holds only one, however long a period is.
+/// Calls `on_record` with each record that arrived in this range, in the order of their ids. Only
+/// one record is in memory at a time.
 pub(super) fn for_each(
     db: &Connection,
     arrivals: Range<i64>,
-    mut visit: impl FnMut(UsageRecord),
+    mut on_record: impl FnMut(UsageRecord),
 ) -> Result<()> {
     let uncertain = uncertainty::uncertain_tails(db, None)?;
     let mut select = db.prepare_cached(
@@ -61,14 +61,14 @@
         };
         let tail = uncertain.get(&run);
         record.reply_uncertain = tail.is_some_and(|tail| record.sequence > tail.after_sequence);
-        visit(record);
+        on_record(record);
     }
     Ok(())
 }
 
 fn read_record(row: &Row<'_>) -> rusqlite::Result<UsageRecord> {
     let flags: i64 = row.get(11)?;
-    // SQLite's integers are signed; the bits are those of the key.
+    // SQLite's integers are signed: the key is stored as an `i64` with the same bits.
     let key: i64 = row.get(12)?;
     Ok(UsageRecord {
         arrived_at_ms: row.get(0)?,
@@ -89,7 +89,8 @@
     })
 }
 
-/// The outcome of a stored number; one that a later version may have written counts as failed.
+/// The outcome of a stored number. An unknown number, which only a later version can have written,
+/// counts as failed.
 fn outcome(number: i32, share: u32) -> RecordedOutcome {
     match WireOutcome::try_from(number) {
         Ok(WireOutcome::Whole) => RecordedOutcome::Complete,
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -1,5 +1,5 @@
-//! Runs of aggregators that ended without a closing mark: whether their last answers left is
-//! uncertain, and retries of them may have to be joined in another way.
+//! Runs of aggregators that ended without a closing mark, for example in a crash. The last replies
+//! of such a run may not have been sent, so retries may belong to its answered requests.
 //!
 //! Transaction boundary: none of its own; it runs in the caller's transaction.
 
@@ -15,19 +15,21 @@
     pub(super) incarnation: u64,
 }
 
-/// The last answers of a run, of which it is uncertain whether they left.
+/// The last records of a run, whose replies may not have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UncertainTail {
     /// Records after this one are uncertain.
     pub(super) after_sequence: u64,
-    /// None of them arrived before this time, in Unix milliseconds.
+    /// The earliest possible arrival of such a record, in Unix milliseconds.
     pub(super) since_ms: i64,
 }
 
 pub(super) type UncertainTails = HashMap<RunKey, UncertainTail>;
 
-/// The uncertain tails of all members or of one: a later run of the member has begun, and this one
-/// never said that it ended.
+/// The uncertain tails of one member, or of all members if `member_id` is `None`.
+///
+/// A run has an uncertain tail if it has no closing mark although a later run of the member has
+/// begun.
 pub(super) fn uncertain_tails(db: &Connection, member_id: Option<u32>) -> Result<UncertainTails> {
     let mut select = db.prepare_cached(
         "SELECT member, incarnation, marked, complete FROM position p WHERE NOT ended AND member = coalesce(?, member)
@@ -47,8 +49,8 @@
     Ok(tails.collect::<rusqlite::Result<_>>()?)
 }
 
-/// Marks the closed periods dirty that have seen a tail which became uncertain, or certain again:
-/// whoever retried its requests may be joined in another way now.
+/// Marks the closed periods dirty that contain records of a tail that became uncertain, or certain
+/// again. Retries of its requests may now be joined in another way.
 pub(super) fn mark_changed_tails(
     db: &Connection,
     before: &UncertainTails,
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -1,7 +1,7 @@
-//! Checking what the store claims.
+//! Verification: checks statements and documents against their hashes and the records.
 //!
-//! Transaction boundary: none; it reads while others may write, so a period that closes meanwhile
-//! may be reported.
+//! Transaction boundary: none. Another process may write at the same time, so a period that is
+//! closed during the verification may be reported.
 
 use super::database::Store;
 use super::error::Result;
@@ -13,25 +13,25 @@
 use crate::statement::Statement;
 use std::collections::HashMap;
 
-/// What SQLite's integrity check says of an intact file.
+/// The result of SQLite's integrity check for an intact file.
 const INTACT: &str = "ok";
 
-/// What a verification has come to.
+/// The result of a verification.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerificationReport {
-    /// Statements, documents and periods that were checked.
+    /// The number of statements, documents and periods that were checked.
     pub checked: u64,
-    /// What is wrong.
+    /// All faults that were found.
     pub faults: Vec<VerificationFault>,
 }
 
-/// Something in the store that is not as it was made, or does not add up.
+/// An inconsistency in the store.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VerificationFault {
-    /// SQLite finds its file damaged.
+    /// SQLite reports that its file is damaged.
     #[error("the file is damaged: {finding}")]
     DamagedFile {
-        /// What SQLite says of it.
+        /// The report of SQLite.
         finding: String,
     },
     /// The text of a statement does not have the hash that is stored with it.
@@ -46,14 +46,14 @@
         /// The statement's period.
         period: String,
     },
-    /// The lines and corrections of a statement, or its tenants' amounts, are not its total.
+    /// The sum of lines and corrections, or that of the amounts of tenants, differs from the total.
     #[error("statement {period}: its lines come to {sum}, its total is {total}")]
     WrongTotal {
         /// The statement's period.
         period: String,
         /// The sum of lines and corrections, in micro-units.
         sum: i64,
-        /// The total that the statement names, in micro-units.
+        /// The total in the statement, in micro-units.
         total: i64,
     },
     /// The text of a document does not have the hash that is stored with it.
@@ -62,7 +62,7 @@
         /// The document's id.
         id: String,
     },
-    /// The statements together have not counted what the records come to.
+    /// The statements together differ from the present counts of the records.
     #[error(
         "period {period}: {tenant:?} {class:?}: statements differ from the records by {requests} uses"
     )]
@@ -73,20 +73,20 @@
         tenant: Option<String>,
         /// The class's name; `None` if its number has none.
         class: Option<String>,
-        /// Logical requests of the records, less those of the statements.
+        /// Logical requests of the records, minus those of the statements.
         requests: i64,
     },
 }
 
-/// A verification under way.
+/// The state of a verification.
 struct Verification<'a> {
     store: &'a Store,
     report: VerificationReport,
 }
 
 impl Store {
-    /// Checks the chain of statements, that lines add up to totals, that statements and documents
-    /// are as they were made, and that the statements together come to what the records do.
+    /// Checks the file, the chain of statements, their totals, the hashes of statements and
+    /// documents, and the counts of all statements against the records.
     ///
     /// # Errors
     /// The store can't be read.
@@ -184,7 +184,7 @@
         names: &HashMap<u32, String>,
     ) -> Result<()> {
         let settled = carry_over::settle(&self.store.db, period, bounds)?;
-        let stated = lines::stated(&self.store.db, period)?;
+        let stated = lines::load_stated_usage(&self.store.db, period)?;
         for (key, counts) in adjustments(&settled.lines, &stated.lines) {
             self.add_fault(VerificationFault::RecordsDiffer {
                 period: period.name(),
