--- a/crates/aggregator/src/cli/ledger/context.rs
+++ b/crates/aggregator/src/cli/ledger/context.rs
@@ -23,13 +23,19 @@
 }
 
 impl LedgerContext {
-    /// Reads the settings; they have to name a store.
+    /// Reads the settings.
+    ///
+    /// # Errors
+    /// The settings are invalid, or name no store.
     pub fn open(files: &Files) -> Result<LedgerContext, LedgerError> {
         let settings = settings::read(files.settings.as_deref())?;
         LedgerContext::new(read_ledger_settings(&settings)?)
     }
 
-    /// Takes settings that are read already; they have to name a store.
+    /// Uses settings that were read before.
+    ///
+    /// # Errors
+    /// The settings name no store.
     pub fn new(settings: LedgerSettings) -> Result<LedgerContext, LedgerError> {
         let store_path = settings
             .store_path
@@ -41,7 +47,7 @@
         })
     }
 
-    /// Opens the store; one that does not exist is an error, since a reader must not create it.
+    /// Opens the store. A missing store is an error, since a command that reads must not create it.
     pub fn existing_store(&self) -> Result<Store, LedgerError> {
         if !self.store_path.exists() {
             return Err(LedgerError::StoreMissing(self.store_path.clone()));
@@ -52,15 +58,14 @@
         })
     }
 
-    /// The closed or open period that begins at a time as `ledger periods` shows it.
+    /// The period that begins at `time`, in the form in which `ledger periods` shows it.
     pub fn period_starting_at(&self, store: &Store, time: &str) -> Result<Period, LedgerError> {
         let timestamp: jiff::Timestamp = time
             .parse()
             .map_err(|_| LedgerError::InvalidTime(time.into()))?;
         let start_ms = timestamp.as_millisecond();
-        let stored = store.periods()?.into_iter().map(|closed| closed.period);
+        let mut stored = store.periods()?.into_iter().map(|closed| closed.period);
         let period = stored
-            .into_iter()
             .find(|period| period.start_ms == start_ms)
             .unwrap_or_else(|| self.settings.calendar.period_at(start_ms));
         if period.start_ms != start_ms {
--- a/crates/aggregator/src/cli/ledger/correct.rs
+++ b/crates/aggregator/src/cli/ledger/correct.rs
@@ -7,7 +7,7 @@
 use usage_ledger::statement::CorrectionLine;
 use usage_ledger::store::sha256_hex;
 
-/// Characters of a generated correction id.
+/// Number of characters of a generated correction id.
 const GENERATED_ID_LENGTH: usize = 16;
 
 /// The arguments of `ledger correct`.
@@ -30,7 +30,7 @@
     id: Option<String>,
 }
 
-/// Enters the correction and prints what becomes of it.
+/// Enters the correction, and prints where it will appear.
 pub fn run(context: &LedgerContext, arguments: CorrectArguments) -> Result<(), LedgerError> {
     let mut store = context.existing_store()?;
     let period = context.period_starting_at(&store, &arguments.period)?;
--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -11,6 +11,7 @@
 use usage_ledger::period::format_timestamp;
 use usage_ledger::wire::{entry::What, Damage, Header, Record};
 
+/// The published names of the columns.
 const COLUMNS: [&str; 14] = [
     "arrived",
     "mixer",
@@ -28,7 +29,7 @@
     "key",
 ];
 
-/// Entries of a log that are read at a time.
+/// Number of entries that are read at a time.
 const BATCH_ENTRIES: usize = 4096;
 
 /// The arguments of `ledger dump`.
@@ -40,7 +41,7 @@
     format: FormatArguments,
 }
 
-/// Prints all records of the source that is named, in its order.
+/// Prints all records of the log, or of the store if no log is given, in the order of the source.
 pub fn run(files: &Files, arguments: &DumpArguments) -> Result<(), LedgerError> {
     let format = arguments.format.format;
     match &arguments.log {
@@ -49,17 +50,17 @@
     }
 }
 
-/// One record, wherever it is stored. Names are unknown where the source does not have them.
+/// One record of a log or of the store. Names that the source does not have are `None`.
 struct RecordRow<'a> {
-    arrived_ms: i64,
-    mixer: Option<&'a str>,
+    arrived_at_ms: i64,
+    aggregator: Option<&'a str>,
     incarnation: u64,
     sequence: u64,
     tenant: Option<&'a str>,
     class: Option<&'a str>,
     outcome: String,
-    /// Of a partial answer, in millionths; zero otherwise.
-    share: u32,
+    /// The share of a partial answer, in millionths; 0 otherwise.
+    share_millionths: u32,
     parts: u32,
     attempts: u32,
     cross_zone_attempts: u32,
@@ -72,14 +73,14 @@
     /// The values in the order of [`COLUMNS`].
     fn values(&self) -> Vec<Value> {
         vec![
-            json!(format_timestamp(self.arrived_ms)),
-            json!(self.mixer),
+            json!(format_timestamp(self.arrived_at_ms)),
+            json!(self.aggregator),
             json!(self.incarnation),
             json!(self.sequence),
             json!(self.tenant),
             json!(self.class),
             json!(self.outcome),
-            json!(self.share),
+            json!(self.share_millionths),
             json!(self.parts),
             json!(self.attempts),
             json!(self.cross_zone_attempts),
@@ -92,7 +93,7 @@
 
 fn dump_store(context: &LedgerContext, format: OutputFormat) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
-    let names = store.names()?;
+    let names = store.names_by_id()?;
     let mut report = Report::new(&COLUMNS);
     for record in store.records(i64::MIN, i64::MAX)? {
         report.push(stored_row(&names, &record).values());
@@ -103,14 +104,14 @@
 fn stored_row<'a>(names: &'a HashMap<u32, String>, record: &UsageRecord) -> RecordRow<'a> {
     let name = |id: u32| names.get(&id).map(String::as_str);
     RecordRow {
-        arrived_ms: record.arrived_at_ms,
-        mixer: name(record.member_id),
+        arrived_at_ms: record.arrived_at_ms,
+        aggregator: name(record.member_id),
         incarnation: record.incarnation,
         sequence: record.sequence,
         tenant: name(record.tenant_id),
         class: name(record.class_id),
         outcome: record.outcome.published_name().into(),
-        share: record.outcome.share_millionths(),
+        share_millionths: record.outcome.share_millionths(),
         parts: record.parts,
         attempts: record.attempts,
         cross_zone_attempts: record.cross_zone_attempts,
@@ -148,14 +149,14 @@
     let tenant = header.tenants.get(record.tenant as usize);
     let class = header.classes.get(record.class as usize);
     RecordRow {
-        arrived_ms: record.arrived_ms as i64,
-        mixer: Some(&header.mixer),
+        arrived_at_ms: record.arrived_ms as i64,
+        aggregator: Some(&header.mixer),
         incarnation: header.incarnation,
         sequence: record.sequence,
         tenant: tenant.map(String::as_str),
         class: class.map(|class| class.name.as_str()),
         outcome: record.outcome().as_str_name().to_lowercase(),
-        share: record.share,
+        share_millionths: record.share,
         parts: record.parts,
         attempts: record.attempts,
         cross_zone_attempts: record.crossed,
--- a/crates/aggregator/src/cli/ledger/error.rs
+++ b/crates/aggregator/src/cli/ledger/error.rs
@@ -1,4 +1,4 @@
-//! Why a command on the ledger failed.
+//! Errors of the `ledger` commands.
 
 use crate::cli::output::OutputError;
 use crate::error::ErrorClass;
@@ -9,7 +9,7 @@
 use usage_ledger::export::DeliveryError;
 use usage_ledger::store;
 
-/// Why a command on the ledger failed.
+/// An error of a `ledger` command.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
     /// The settings are invalid.
@@ -18,7 +18,7 @@
     /// The settings name no store.
     #[error("no store: [settlement] store has to name it in the settings (--settings FILE)")]
     StoreNotNamed,
-    /// The settings name nothing that documents could be sent to.
+    /// The settings name no destination for documents.
     #[error("[export] names neither a folder nor a url")]
     NoExportTarget,
 
@@ -33,7 +33,7 @@
         /// The start of the period that contains it.
         start: String,
     },
-    /// The argument of `--within` is not a length of time.
+    /// The argument of `--within` is not a duration.
     #[error("--within {text}: {reason}")]
     InvalidWithin {
         /// The argument.
@@ -41,7 +41,7 @@
         /// Why it is invalid.
         reason: String,
     },
-    /// The argument of `--counters` does not have the form that it should.
+    /// The argument of `--counters` is not of the form `NAME=FILE`.
     #[error("'{0}' is not NAME=FILE")]
     InvalidCounters(String),
     /// There are neither clients' records nor counters to compare with.
@@ -82,7 +82,7 @@
         /// Why it can't be read.
         source: io::Error,
     },
-    /// A file has to be CSV with certain columns and is not.
+    /// A file is not CSV with the expected columns.
     #[error("{}: {source}", path.display())]
     InvalidCsv {
         /// The file.
@@ -90,7 +90,7 @@
         /// What is wrong with it.
         source: csv::Error,
     },
-    /// A file has to be JSON and is not.
+    /// A file is not JSON.
     #[error("{}: {source}", path.display())]
     InvalidJson {
         /// The file.
@@ -99,7 +99,7 @@
         source: serde_json::Error,
     },
 
-    /// The ledger differs from what it was compared with.
+    /// The ledger differs from the clients' records or from counters.
     #[error("{0} differences")]
     Differences(usize),
     /// Verification has found faults.
@@ -118,7 +118,7 @@
 }
 
 impl LedgerError {
-    /// Who has to act on the error.
+    /// The class of the error, which decides on the exit code.
     pub fn class(&self) -> ErrorClass {
         match self {
             LedgerError::Settings(_) | LedgerError::StoreNotNamed | LedgerError::NoExportTarget => {
--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -12,7 +12,7 @@
 
 const COLUMNS: [&str; 5] = ["document", "in_folder", "posted", "attempts", "error"];
 
-/// The longest backoff between two attempts, so that `--within` is kept to.
+/// The maximum pause between two attempts, so that the limit of `--within` is not exceeded by much.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// The arguments of `ledger export`.
@@ -28,7 +28,7 @@
     format: FormatArguments,
 }
 
-/// Sends what waits in the outbox unless only a list is asked for, then prints all documents.
+/// Sends the documents in the outbox, unless `--list` is given, and prints all documents.
 pub fn run(context: &LedgerContext, arguments: &ExportArguments) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
     if !arguments.list {
--- a/crates/aggregator/src/cli/ledger/mod.rs
+++ b/crates/aggregator/src/cli/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! `query-aggregator ledger ...`: the settlement process, and the questions and corrections that
-//! operators have about the ledger. One file a subcommand.
+//! `query-aggregator ledger ...`: the settlement process, and commands that inspect, check and
+//! correct the ledger. One file per subcommand.
 
 mod context;
 mod correct;
--- a/crates/aggregator/src/cli/ledger/reconcile.rs
+++ b/crates/aggregator/src/cli/ledger/reconcile.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
-use usage_ledger::reconcile::{self, ClientRequest, ReconciliationReport};
+use usage_ledger::reconcile::{self, ClientUsageRow, ReconciliationReport};
 use usage_ledger::store::{MemberStatus, Store};
 
 const TOTAL_COLUMNS: [&str; 8] = [
@@ -67,7 +67,7 @@
     store: &Store,
     path: &Path,
 ) -> Result<ReconciliationReport, LedgerError> {
-    let uses = read_client_uses(path).map_err(|source| LedgerError::InvalidCsv {
+    let rows = read_client_rows(path).map_err(|source| LedgerError::InvalidCsv {
         path: path.into(),
         source,
     })?;
@@ -78,12 +78,12 @@
         calendar,
         context.settings.join_bounds(),
         all_times,
-        &uses,
+        &rows,
     )?;
     Ok(reconciled)
 }
 
-fn read_client_uses(path: &Path) -> Result<Vec<ClientRequest>, csv::Error> {
+fn read_client_rows(path: &Path) -> Result<Vec<ClientUsageRow>, csv::Error> {
     csv::Reader::from_path(path)?.into_deserialize().collect()
 }
 
@@ -123,7 +123,7 @@
     Ok(differences.print(format)?)
 }
 
-/// A counter of an aggregator that the ledger does not confirm.
+/// A counter of an aggregator that differs from the number of records in the ledger.
 struct CounterDifference {
     member: String,
     counter: String,
--- a/crates/aggregator/src/cli/ledger/serve.rs
+++ b/crates/aggregator/src/cli/ledger/serve.rs
@@ -13,9 +13,10 @@
 use usage_ledger::settings::LedgerSettings;
 use usage_ledger::settlement::{self, SettlementSignal};
 
+/// Number of threads of the asynchronous runtime.
 const WORKER_THREADS: usize = 2;
 
-/// Collects, settles and exports until a signal requests the shutdown.
+/// Runs the settlement until a signal requests the shutdown.
 pub fn run(files: &Files) -> Result<(), LedgerError> {
     let settings = settings::read(files.settings.as_deref())?;
     let context = LedgerContext::new(read_ledger_settings(&settings)?)?;
@@ -49,7 +50,7 @@
         let sender = sender.clone();
         tokio::spawn(async move {
             if signals.recv().await.is_some() {
-                // The receiver is gone once the settlement has ended.
+                // Sending fails if the settlement has already ended.
                 let _ = sender.send(SettlementSignal::Shutdown).await;
             }
         });
@@ -78,7 +79,7 @@
     Ok(())
 }
 
-/// What the process was started with, for comparison with the settings as they are now.
+/// The state at the start of the process, with which reloaded settings are compared.
 struct Reloader {
     files: Files,
     settings: Settings,
--- a/crates/aggregator/src/cli/ledger/statement.rs
+++ b/crates/aggregator/src/cli/ledger/statement.rs
@@ -18,7 +18,7 @@
     format: FormatArguments,
 }
 
-/// Prints the statement of a period, or the last one. JSON is the document as it is stored.
+/// Prints the statement of a period, or the last one. JSON output has all tenants in any case.
 pub fn run(context: &LedgerContext, arguments: &StatementArguments) -> Result<(), LedgerError> {
     let statement = find(context, arguments.period.as_deref())?;
     let view = StatementView {
@@ -50,7 +50,7 @@
     found.ok_or(LedgerError::NoSuchStatement)
 }
 
-/// What is shown of a statement: all of it, or one tenant's part.
+/// The part of a statement that is shown: all of it, or the part of one tenant.
 struct StatementView<'a> {
     statement: &'a Statement,
     tenant: Option<&'a str>,
@@ -115,7 +115,7 @@
         row
     }
 
-    /// What a table of lines leaves out.
+    /// The text after the table of lines: the period, incomplete members, and totals.
     fn summary(&self) -> String {
         let statement = self.statement;
         let mut text = format!(
--- a/crates/aggregator/src/cli/ledger/status.rs
+++ b/crates/aggregator/src/cli/ledger/status.rs
@@ -1,4 +1,4 @@
-//! `ledger status`: how far each member's records are in the ledger, and what waits to be sent.
+//! `ledger status`: how far the logs of members have been collected, and what is still to be sent.
 
 use super::{LedgerContext, LedgerError};
 use crate::cli::output::{self, OutputFormat, Report};
@@ -19,7 +19,7 @@
     "damaged",
 ];
 
-/// Prints one row for each member that is configured or has records; in a table also a summary.
+/// Prints one row per member that is configured or has records, and a summary after a table.
 pub fn run(context: &LedgerContext, format: OutputFormat) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
     member_report(context, &store)?.print(format)?;
--- a/crates/aggregator/src/cli/ledger/verify.rs
+++ b/crates/aggregator/src/cli/ledger/verify.rs
@@ -18,7 +18,7 @@
     log: Vec<PathBuf>,
 }
 
-/// What was checked and what is wrong with it.
+/// The number of checked items, and the faults that were found.
 #[derive(Default)]
 struct Verification {
     segments: u64,
@@ -28,7 +28,7 @@
     faults: Vec<Fault>,
 }
 
-/// Something in a usage log or in the store that is not as it should be.
+/// A fault in a usage log or in the store.
 #[derive(Debug, thiserror::Error)]
 enum Fault {
     #[error("{segment}: its header can't be read, at offset 0")]
@@ -41,7 +41,9 @@
     Store(#[from] VerificationFault),
 }
 
-/// Checks the logs and, if one is named or no log is, the store; any fault is an error.
+/// Checks the given logs and the store. Any fault is an error.
+///
+/// The store is skipped if logs are given and the settings name no store.
 pub fn run(files: &Files, arguments: &VerifyArguments) -> Result<(), LedgerError> {
     let mut verification = Verification::default();
     for directory in &arguments.log {
@@ -77,7 +79,7 @@
     fn check_segment(&mut self, segment: &Segment, bytes: &[u8], is_last: bool) {
         let name = segment.name();
         let entries_start = match log::parse_header(bytes) {
-            Some((_, start)) => start,
+            Some(header) => header.entries_start,
             None => {
                 let segment = name.clone();
                 self.faults.push(Fault::UnreadableHeader { segment });
@@ -88,14 +90,14 @@
         for item in &read.items {
             match item {
                 log::SegmentItem::Entry(_) => self.entries += 1,
-                log::SegmentItem::Damage(from, to) => self.faults.push(Fault::DamagedBytes {
+                log::SegmentItem::Damage { from, to } => self.faults.push(Fault::DamagedBytes {
                     segment: name.clone(),
                     from: *from,
                     to: *to,
                 }),
             }
         }
-        // The last segment may be in the middle of a write.
+        // An aggregator may be writing to the last segment.
         if read.end < bytes.len() && !is_last {
             self.faults.push(Fault::TruncatedRecord {
                 segment: name,
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -1,6 +1,8 @@
 //! Reads a log that is still being written, from any position on.
 
-use super::format::{parse_header, read_items, SegmentItem, MAGIC, MAX_HEADER_BYTES};
+use super::format::{
+    parse_header, read_items, SegmentHeader, SegmentItem, MAGIC, MAX_HEADER_BYTES,
+};
 use super::position::LogPosition;
 use super::segment::{segments, Segment};
 use crate::wire::{entry::What, Batch, Damage, Entry, Header};
@@ -13,8 +15,8 @@
 /// Upper bound of the length of magic number and frame head, which precede the header, in bytes.
 const HEADER_MARGIN_BYTES: u64 = 64;
 
-/// The header of a segment, and the offset of its first entry.
-fn read_header(segment: &Segment) -> io::Result<Option<(Header, usize)>> {
+/// Reads the header of a segment; `None` if it is damaged.
+fn read_header(segment: &Segment) -> io::Result<Option<SegmentHeader>> {
     let mut bytes = Vec::new();
     File::open(&segment.path)?
         .take(MAX_HEADER_BYTES as u64 + HEADER_MARGIN_BYTES)
@@ -148,7 +150,7 @@
 
     fn open_segment(&self, segment: Segment) -> io::Result<OpenSegment> {
         let (header, offset) = match read_header(&segment)? {
-            Some((header, offset)) => (Some(header), offset),
+            Some(found) => (Some(found.header), found.entries_start),
             None => (self.header_of_run(segment.incarnation)?, MAGIC.len()),
         };
         Ok(OpenSegment {
@@ -165,7 +167,7 @@
             .iter()
             .filter(|segment| segment.incarnation == incarnation)
             .find_map(|segment| read_header(segment).ok().flatten());
-        Ok(header.map(|(header, _)| header))
+        Ok(header.map(|found| found.header))
     }
 
     fn read_chunk(&self, open: &OpenSegment, max_entries: usize) -> io::Result<Chunk> {
@@ -193,7 +195,7 @@
             match item {
                 SegmentItem::Entry(entry) if self.is_delivered(&open.segment, &entry) => {}
                 SegmentItem::Entry(entry) => chunk.entries.push(entry),
-                SegmentItem::Damage(from, to) => chunk.damage.push(Damage {
+                SegmentItem::Damage { from, to } => chunk.damage.push(Damage {
                     segment: open.segment.name(),
                     from: open.offset + from,
                     to: open.offset + to,
--- a/crates/usage-ledger/src/log/format.rs
+++ b/crates/usage-ledger/src/log/format.rs
@@ -61,8 +61,13 @@
 pub enum SegmentItem {
     /// An entry that could be read.
     Entry(Entry),
-    /// The bytes from one offset up to another are no frames, but a frame follows them.
-    Damage(u64, u64),
+    /// Bytes that are no frames, followed by a valid frame.
+    Damage {
+        /// Offset of the first damaged byte.
+        from: u64,
+        /// Offset of the next frame.
+        to: u64,
+    },
 }
 
 /// The result of [`read_items`].
@@ -74,11 +79,23 @@
     pub end: usize,
 }
 
-/// The header of a segment, and the offset of its first entry; `None` if it can't be read.
-pub fn parse_header(bytes: &[u8]) -> Option<(Header, usize)> {
+/// The header of a segment.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SegmentHeader {
+    /// The header.
+    pub header: Header,
+    /// Offset of the first entry.
+    pub entries_start: usize,
+}
+
+/// Parses the header of a segment; `None` if it can't be read.
+pub fn parse_header(bytes: &[u8]) -> Option<SegmentHeader> {
     let rest = bytes.strip_prefix(MAGIC)?;
     let frame = frame(rest, 0, MAX_HEADER_BYTES)?;
-    Some((Header::decode(frame.body).ok()?, MAGIC.len() + frame.end))
+    Some(SegmentHeader {
+        header: Header::decode(frame.body).ok()?,
+        entries_start: MAGIC.len() + frame.end,
+    })
 }
 
 /// Reads at most `max_items` items from offset `at` on. Unreadable bytes are skipped up to the next
@@ -99,8 +116,10 @@
         let Some(next) = candidates.find(|at| entry(bytes, *at).is_some()) else {
             break;
         };
-        read.items
-            .push(SegmentItem::Damage(read.end as u64, next as u64));
+        read.items.push(SegmentItem::Damage {
+            from: read.end as u64,
+            to: next as u64,
+        });
         read.end = next;
     }
     read
--- a/crates/usage-ledger/src/log/mod.rs
+++ b/crates/usage-ledger/src/log/mod.rs
@@ -14,7 +14,8 @@
 
 pub use follower::LogFollower;
 pub use format::{
-    append_frame, parse_header, read_items, SegmentContent, SegmentItem, MAGIC, VERSION,
+    append_frame, parse_header, read_items, SegmentContent, SegmentHeader, SegmentItem, MAGIC,
+    VERSION,
 };
 pub use position::LogPosition;
 pub use segment::{cut_torn_tail, remove_settled, segments, Segment};
--- a/crates/usage-ledger/src/log/segment.rs
+++ b/crates/usage-ledger/src/log/segment.rs
@@ -76,7 +76,7 @@
 /// The file can't be read or cut.
 pub fn cut_torn_tail(segment: &Segment) -> io::Result<u64> {
     let bytes = fs::read(&segment.path)?;
-    let Some((_, entries_at)) = parse_header(&bytes) else {
+    let Some(header) = parse_header(&bytes) else {
         // Records may follow a damaged header, but not one that was never written completely.
         let has_entries = bytes.len() > MAGIC.len() + FRAME_HEAD_BYTES
             && !read_items(&bytes, MAGIC.len(), 1).items.is_empty();
@@ -86,7 +86,7 @@
         fs::remove_file(&segment.path)?;
         return Ok(bytes.len() as u64);
     };
-    let end = read_items(&bytes, entries_at, usize::MAX).end;
+    let end = read_items(&bytes, header.entries_start, usize::MAX).end;
     let torn = (bytes.len() - end) as u64;
     if torn > 0 {
         let file = fs::OpenOptions::new().write(true).open(&segment.path)?;
--- a/crates/usage-ledger/src/reconcile/client_request.rs
+++ b/crates/usage-ledger/src/reconcile/client_usage_row.rs
@@ -4,7 +4,7 @@
 
 /// One logical request as a client has recorded it. The field names are the columns of the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ClientRequest {
+pub struct ClientUsageRow {
     /// When the first request was sent, in Unix milliseconds.
     pub at_ms: i64,
     /// The tenant's name.
@@ -20,7 +20,7 @@
     pub key: String,
 }
 
-impl ClientRequest {
+impl ClientUsageRow {
     /// Whether the client received an answer, complete or partial.
     pub(super) fn is_answered(&self) -> bool {
         self.outcome == "whole" || self.outcome == "partial"
--- a/crates/usage-ledger/src/reconcile/comparison.rs
+++ b/crates/usage-ledger/src/reconcile/comparison.rs
@@ -1,6 +1,6 @@
 //! The comparison of the two sides, request by request.
 
-use super::client_request::ClientRequest;
+use super::client_usage_row::ClientUsageRow;
 use super::report::{
     DifferenceKind, ReconciliationReport, RequestDifference, RequestTotals, TotalKey,
 };
@@ -20,14 +20,14 @@
     calendar: &Calendar,
     bounds: JoinBounds,
     arrivals: Range<i64>,
-    clients: &[ClientRequest],
+    client_rows: &[ClientUsageRow],
 ) -> Result<ReconciliationReport, StoreError> {
     let mut comparison = Comparison {
         calendar,
         report: ReconciliationReport::default(),
         unmatched: BTreeMap::new(),
     };
-    let names = store.names()?;
+    let names = store.names_by_id()?;
     let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
     let mut add = |request: LogicalRequest| {
         let first = request.first();
@@ -43,12 +43,12 @@
         joiner.push(record, &mut add);
     }
     joiner.finish(&mut add);
-    let clients = clients.iter();
-    let mut clients: Vec<&ClientRequest> = clients
-        .filter(|client| arrivals.contains(&client.at_ms))
+    let client_rows = client_rows.iter();
+    let mut client_rows: Vec<&ClientUsageRow> = client_rows
+        .filter(|row| arrivals.contains(&row.at_ms))
         .collect();
-    clients.sort_by_key(|client| client.at_ms);
-    Ok(comparison.match_clients(&clients))
+    client_rows.sort_by_key(|row| row.at_ms);
+    Ok(comparison.match_client_rows(&client_rows))
 }
 
 /// The properties of a logical request that both sides have.
@@ -85,13 +85,13 @@
         self.unmatched.entry(key).or_default().push_back(request);
     }
 
-    fn match_clients(mut self, clients: &[&ClientRequest]) -> ReconciliationReport {
+    fn match_client_rows(mut self, client_rows: &[&ClientUsageRow]) -> ReconciliationReport {
         for requests in self.unmatched.values_mut() {
             let requests = requests.make_contiguous();
             requests.sort_by_key(|request| request.first().id());
         }
-        for client in clients {
-            self.match_client(client);
+        for row in client_rows {
+            self.match_client_row(row);
         }
         for (key, requests) in std::mem::take(&mut self.unmatched) {
             for request in requests {
@@ -107,25 +107,25 @@
         self.report
     }
 
-    fn match_client(&mut self, client: &ClientRequest) {
+    fn match_client_row(&mut self, row: &ClientUsageRow) {
         let key = RequestKey {
-            tenant: client.tenant.clone(),
-            class: client.class.clone(),
-            key: client.key.clone(),
+            tenant: row.tenant.clone(),
+            class: row.class.clone(),
+            key: row.key.clone(),
         };
-        let answered = client.is_answered();
-        let total = self.total(client.at_ms, &key);
+        let is_answered = row.is_answered();
+        let total = self.total(row.at_ms, &key);
         total.client_requests += 1;
-        total.client_answered += u64::from(answered);
+        total.client_answered += u64::from(is_answered);
         let request = self.unmatched.get_mut(&key).and_then(VecDeque::pop_front);
         let ledger_outcome = request.map(|request| request.outcome);
         let kind = match ledger_outcome {
             None => DifferenceKind::OnlyAtClient,
-            Some(outcome) if outcomes_match(outcome, client) => return,
+            Some(outcome) if outcomes_match(outcome, row) => return,
             Some(_) => DifferenceKind::OutcomeDiffers,
         };
         let ledger_name = ledger_outcome.map(RecordedOutcome::published_name);
-        self.add_difference(kind, &key, client.at_ms, ledger_name, Some(&client.outcome));
+        self.add_difference(kind, &key, row.at_ms, ledger_name, Some(&row.outcome));
     }
 
     fn add_difference(
@@ -149,10 +149,10 @@
 }
 
 /// Whether both sides have the same answer, or neither has one.
-fn outcomes_match(ledger: RecordedOutcome, client: &ClientRequest) -> bool {
+fn outcomes_match(ledger: RecordedOutcome, row: &ClientUsageRow) -> bool {
     if ledger.is_answered() {
-        ledger.published_name() == client.outcome
+        ledger.published_name() == row.outcome
     } else {
-        !client.is_answered()
+        !row.is_answered()
     }
 }
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -43,7 +43,7 @@
     /// It is closed already, or the store can't be written.
     pub fn close_period(&mut self, period: Period, terms: &ClosingTerms<'_>) -> Result<Statement> {
         let statuses = self.member_statuses()?;
-        let names = self.names()?;
+        let names = self.names_by_id()?;
         let transaction = self.begin()?;
         let closing = Closing {
             db: &transaction,
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn names(&self) -> Result<HashMap<u32, String>> {
+    pub fn names_by_id(&self) -> Result<HashMap<u32, String>> {
         let mut select = self.db.prepare("SELECT id, text FROM name")?;
         let names = select.query_map([], |row| Ok((row.get(0)?, row.get(1)?)))?;
         Ok(names.collect::<rusqlite::Result<_>>()?)
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -167,7 +167,7 @@
     }
 
     fn check_periods(&mut self, bounds: JoinBounds) -> Result<()> {
-        let names = self.store.names()?;
+        let names = self.store.names_by_id()?;
         for closed in self.store.periods()? {
             if !closed.late_records_pending {
                 self.check_period(closed.period, bounds, &names)?;
--- a/crates/usage-ledger/src/writer/handle.rs
+++ b/crates/usage-ledger/src/writer/handle.rs
@@ -19,7 +19,7 @@
 pub struct UsageLogWriter {
     pub(super) queue: Option<SyncSender<Entry>>,
     pub(super) written: watch::Receiver<u64>,
-    pub(super) counts: Arc<WriterCounters>,
+    pub(super) counters: Arc<WriterCounters>,
     pub(super) max_reply_delay: Duration,
     pub(super) collection_address: Option<SocketAddr>,
     pub(super) thread: Option<JoinHandle<()>>,
@@ -35,8 +35,8 @@
     }
 
     /// The counters of this run.
-    pub fn counts(&self) -> &WriterCounters {
-        &self.counts
+    pub fn counters(&self) -> &WriterCounters {
+        &self.counters
     }
 
     /// The sequence number of the last record that was written or lost.
@@ -56,7 +56,7 @@
 
     /// Counts a record that could not be queued.
     pub fn count_lost_record(&self) {
-        let lost = self.counts.lost_records.fetch_add(1, Ordering::Relaxed) + 1;
+        let lost = self.counters.lost_records.fetch_add(1, Ordering::Relaxed) + 1;
         if lost.is_power_of_two() {
             tracing::error!(lost, "usage records lost: the log takes none");
         }
@@ -65,7 +65,7 @@
     /// Counts a reply that was sent before its record was written.
     pub fn count_unrecorded_reply(&self) {
         let late = self
-            .counts
+            .counters
             .unrecorded_replies
             .fetch_add(1, Ordering::Relaxed)
             + 1;
@@ -92,9 +92,9 @@
         } else {
             tracing::error!("the usage log did not take its last records in time");
         }
-        let written = self.counts.written_records.load(Ordering::Relaxed);
-        let lost = self.counts.lost_records.load(Ordering::Relaxed);
-        let late = self.counts.unrecorded_replies.load(Ordering::Relaxed);
+        let written = self.counters.written_records.load(Ordering::Relaxed);
+        let lost = self.counters.lost_records.load(Ordering::Relaxed);
+        let late = self.counters.unrecorded_replies.load(Ordering::Relaxed);
         tracing::info!(written, lost, late, "usage log closed");
     }
 }
--- a/crates/usage-ledger/src/writer/start.rs
+++ b/crates/usage-ledger/src/writer/start.rs
@@ -62,9 +62,9 @@
     let incarnation = next_incarnation(now, existing.last());
     let (queue, entries) = sync_channel(settings.queue_entries);
     let (publish_written, written) = watch::channel(0);
-    let counts = Arc::<WriterCounters>::default();
+    let counters = Arc::<WriterCounters>::default();
     let header = tables.into_header(incarnation);
-    let thread = WriterThread::new(disk, lock, settings, header, publish_written, &counts);
+    let thread = WriterThread::new(disk, lock, settings, header, publish_written, &counters);
     let thread = std::thread::Builder::new()
         .name("usage log".into())
         .spawn(move || thread.run(&entries))
@@ -73,7 +73,7 @@
     Ok(UsageLogWriter {
         queue: Some(queue),
         written,
-        counts,
+        counters,
         max_reply_delay: settings.max_reply_delay,
         collection_address: None,
         thread: Some(thread),
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -49,7 +49,7 @@
     header: Header,
     open: Option<OpenSegment>,
     publish_written: watch::Sender<u64>,
-    counts: Arc<WriterCounters>,
+    counters: Arc<WriterCounters>,
     /// When the last write failed; `None` if it succeeded.
     failed_at: Option<Instant>,
 }
@@ -61,7 +61,7 @@
         settings: &UsageLogSettings,
         header: Header,
         publish_written: watch::Sender<u64>,
-        counts: &Arc<WriterCounters>,
+        counters: &Arc<WriterCounters>,
     ) -> WriterThread<D> {
         WriterThread {
             disk,
@@ -72,7 +72,7 @@
             header,
             open: None,
             publish_written,
-            counts: counts.clone(),
+            counters: counters.clone(),
             failed_at: None,
         }
     }
@@ -96,12 +96,12 @@
 
     fn write(&mut self, batch: &EncodedBatch) {
         let counter = match self.append(batch) {
-            Ok(()) => &self.counts.written_records,
+            Ok(()) => &self.counters.written_records,
             Err(error) => {
                 if self.failed_at.replace(Instant::now()).is_none() {
                     tracing::error!(%error, "the usage log can't be written: records are lost until it can");
                 }
-                &self.counts.lost_records
+                &self.counters.lost_records
             }
         };
         counter.fetch_add(batch.records, Ordering::Relaxed);
--- a/crates/usage-ledger/tests/log/reading.rs
+++ b/crates/usage-ledger/tests/log/reading.rs
@@ -11,7 +11,7 @@
     log_of(folder.path(), 1 << 20, 6);
     let segment = log::segments(folder.path()).unwrap().remove(0);
     let complete = fs::read(&segment.path).unwrap();
-    let (_, start) = log::parse_header(&complete).unwrap();
+    let start = log::parse_header(&complete).unwrap().entries_start;
     let ends: Vec<usize> = (1..=6)
         .map(|n| log::read_items(&complete, start, n).end)
         .collect();
@@ -44,7 +44,7 @@
     log_of(folder.path(), 1 << 20, 8);
     let segment = log::segments(folder.path()).unwrap().remove(0);
     let complete = fs::read(&segment.path).unwrap();
-    let (_, start) = log::parse_header(&complete).unwrap();
+    let start = log::parse_header(&complete).unwrap().entries_start;
     let ends: Vec<usize> = std::iter::once(start)
         .chain((1..=8).map(|n| log::read_items(&complete, start, n).end))
         .collect();
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -40,8 +40,8 @@
     writer.close();
     assert_eq!(
         (
-            writer.counts().lost_records.load(Ordering::SeqCst),
-            writer.counts().written_records.load(Ordering::SeqCst)
+            writer.counters().lost_records.load(Ordering::SeqCst),
+            writer.counters().written_records.load(Ordering::SeqCst)
         ),
         (6, 6)
     );
@@ -103,7 +103,7 @@
     let second = writer::start_on(FileSystem, &bounded, names(), 0);
     assert!(second.err().unwrap().to_string().contains("another mixer"));
     write(&mut writer, 1..=1000);
-    let lost = writer.counts().lost_records.load(Ordering::SeqCst);
+    let lost = writer.counters().lost_records.load(Ordering::SeqCst);
     let held: u64 = log::segments(folder.path())
         .unwrap()
         .iter()
@@ -117,6 +117,6 @@
     log::remove_settled(folder.path(), EVERYTHING).unwrap();
     std::thread::sleep(Duration::from_millis(120));
     write(&mut writer, 1001..=1003);
-    assert_eq!(writer.counts().lost_records.load(Ordering::SeqCst), lost);
+    assert_eq!(writer.counters().lost_records.load(Ordering::SeqCst), lost);
     writer.close();
 }
--- a/crates/usage-ledger/tests/rate.rs
+++ b/crates/usage-ledger/tests/rate.rs
@@ -34,11 +34,11 @@
     let mut sum = before;
     sum += after - before;
     assert_eq!(sum, after);
-    let most = Price {
+    let maximum = Price {
         complete: u64::MAX,
         partial: u64::MAX,
     };
-    assert_eq!(line_amount(&line(i64::MAX, i64::MAX), most), i64::MAX);
+    assert_eq!(line_amount(&line(i64::MAX, i64::MAX), maximum), i64::MAX);
 }
 
 #[test]
--- a/crates/usage-ledger/tests/store/reconciliation.rs
+++ b/crates/usage-ledger/tests/store/reconciliation.rs
@@ -4,12 +4,12 @@
     batch, calendar, complete_record, period, rejected, StoreHarness, BOUNDS, FIRST, PERIOD,
 };
 use usage_ledger::reconcile::{
-    reconcile_with_clients, ClientRequest, DifferenceKind, RequestTotals, TotalKey,
+    reconcile_with_clients, ClientUsageRow, DifferenceKind, RequestTotals, TotalKey,
 };
 use usage_ledger::wire::entry::What;
 
-fn client_use(at_ms: i64, outcome: &str, key: u64) -> ClientRequest {
-    ClientRequest {
+fn client_usage_row(at_ms: i64, outcome: &str, key: u64) -> ClientUsageRow {
+    ClientUsageRow {
         at_ms,
         tenant: "t".into(),
         class: "c".into(),
@@ -31,10 +31,10 @@
     ];
     harness.ingest("n0", &batch(1, records));
     let clients = [
-        client_use(FIRST + 2 * PERIOD, "whole", 10),
-        client_use(FIRST + PERIOD + 1, "whole", 12),
-        client_use(FIRST + 20, "whole", 6),
-        client_use(FIRST, "whole", 2),
+        client_usage_row(FIRST + 2 * PERIOD, "whole", 10),
+        client_usage_row(FIRST + PERIOD + 1, "whole", 12),
+        client_usage_row(FIRST + 20, "whole", 6),
+        client_usage_row(FIRST, "whole", 2),
     ];
     let range = FIRST..FIRST + 2 * PERIOD;
     let reconciled =
