--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -1,7 +1,7 @@
 //! Reads a log that is still being written, from any position on.
 
 use super::format::{
-    parse_header, read_items, SegmentHeader, SegmentItem, MAGIC, MAX_HEADER_BYTES,
+    parse_header, read_items, SegmentContent, SegmentHeader, SegmentItem, MAGIC, MAX_HEADER_BYTES,
 };
 use super::position::LogPosition;
 use super::segment::{segments, Segment};
@@ -33,6 +33,36 @@
     offset: u64,
 }
 
+impl OpenSegment {
+    /// Reads items from the offset on, until there is one or the end of the file is reached.
+    fn read_items(&self, max_items: usize) -> io::Result<ReadItems> {
+        let mut file = File::open(&self.segment.path)?;
+        file.seek(SeekFrom::Start(self.offset))?;
+        let mut bytes = Vec::new();
+        let mut wanted = CHUNK_BYTES;
+        loop {
+            let missing = wanted - bytes.len() as u64;
+            let received = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
+            let content = read_items(&bytes, 0, max_items);
+            if !content.items.is_empty() || received < missing {
+                return Ok(ReadItems {
+                    content,
+                    length: bytes.len() as u64,
+                });
+            }
+            // All bytes are damaged: more are read to find the next frame.
+            wanted *= 2;
+        }
+    }
+}
+
+/// Items of a segment, by offsets from the position where reading started.
+struct ReadItems {
+    content: SegmentContent,
+    /// Number of bytes that were read from the file.
+    length: u64,
+}
+
 /// The result of one read of an open segment.
 struct Chunk {
     entries: Vec<Entry>,
@@ -112,22 +142,34 @@
             self.open = Some(open);
             return Ok(Step::Advanced);
         }
-        let Some(later) = later else {
-            self.open = Some(open);
-            return Ok(Step::CaughtUp);
-        };
+        match later {
+            Some(later) => self.finish_segment(open, chunk.unread, later),
+            None => {
+                self.open = Some(open);
+                Ok(Step::CaughtUp)
+            }
+        }
+    }
+
+    /// Continues with the segment `later`. The last `unread` bytes of `finished` are damage, since it
+    /// does not grow any more.
+    fn finish_segment(
+        &mut self,
+        finished: OpenSegment,
+        unread: u64,
+        later: Segment,
+    ) -> io::Result<Step> {
         self.open = Some(self.open_segment(later)?);
-        if chunk.unread == 0 {
+        if unread == 0 {
             return Ok(Step::Advanced);
         }
-        // Unreadable bytes at the end of a segment that does not grow any more.
         let damage = Damage {
-            segment: open.segment.name(),
-            from: chunk.end,
-            to: chunk.end + chunk.unread,
+            segment: finished.segment.name(),
+            from: finished.offset,
+            to: finished.offset + unread,
         };
         Ok(Step::Batch(Batch {
-            header: open.header,
+            header: finished.header,
             entries: Vec::new(),
             damage: vec![damage],
         }))
@@ -171,27 +213,14 @@
     }
 
     fn read_chunk(&self, open: &OpenSegment, max_entries: usize) -> io::Result<Chunk> {
-        let mut file = File::open(&open.segment.path)?;
-        file.seek(SeekFrom::Start(open.offset))?;
-        let mut bytes = Vec::new();
-        let mut wanted = CHUNK_BYTES;
-        // If a whole chunk is damaged, a longer one is read to find the next frame.
-        let found = loop {
-            let missing = wanted - bytes.len() as u64;
-            let got = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
-            let found = read_items(&bytes, 0, max_entries);
-            if !found.items.is_empty() || got < missing {
-                break found;
-            }
-            wanted *= 2;
-        };
+        let read = open.read_items(max_entries)?;
         let mut chunk = Chunk {
             entries: Vec::new(),
             damage: Vec::new(),
-            end: open.offset + found.end as u64,
-            unread: bytes.len() as u64 - found.end as u64,
+            end: open.offset + read.content.end as u64,
+            unread: read.length - read.content.end as u64,
         };
-        for item in found.items {
+        for item in read.content.items {
             match item {
                 SegmentItem::Entry(entry) if self.is_delivered(&open.segment, &entry) => {}
                 SegmentItem::Entry(entry) => chunk.entries.push(entry),
