--- a/crates/core/src/engine/connection_table.rs
+++ b/crates/core/src/engine/connection_table.rs
@@ -1,5 +1,6 @@
 //! The connections to leaf servers and what is scheduled on them.
 
+use super::idle_timer::{IdleCheck, IdleTimer};
 use super::ids::{AttemptId, ConnectionId, HealthCheckId};
 use super::leaf_connection::{
     CallEntry, CallPlacement, ConnectionEnd, LeafConnection, LeafConnectionPhase, LostWork,
@@ -12,33 +13,18 @@
 struct ReplicaConnection {
     replica: ReplicaId,
     state: LeafConnection,
-    /// Since when nothing has been queued or in flight.
-    idle_since: Nanos,
-    /// When the idle timer is due. There is one at a time, however often the connection becomes
-    /// idle.
-    idle_timer: Option<Nanos>,
+    idle_timer: IdleTimer,
 }
 
 /// A connection that has ended.
 #[derive(Debug)]
 pub(super) struct EndedConnection {
     pub(super) replica: ReplicaId,
-    /// When its idle timer is due.
+    /// When its idle timer is due; none if it is not set.
     pub(super) idle_timer: Option<Nanos>,
     pub(super) lost: LostWork,
 }
 
-/// What an idle timer has found.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum IdleCheck {
-    /// The connection is in use, or has ended.
-    InUse,
-    /// The connection has been used in the meantime: the timer is due again then.
-    DueLater(Nanos),
-    /// The connection has been idle for the whole period.
-    Expired,
-}
-
 /// What is known about an attempt that was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CancelledAttempt {
@@ -102,8 +88,7 @@
         let connection = ReplicaConnection {
             replica,
             state: LeafConnection::new(now),
-            idle_since: now,
-            idle_timer: None,
+            idle_timer: IdleTimer::new(now),
         };
         self.connections.insert(id, connection);
     }
@@ -117,7 +102,7 @@
         let connection = self.connections.remove(&id)?;
         Some(EndedConnection {
             replica: connection.replica,
-            idle_timer: connection.idle_timer,
+            idle_timer: connection.idle_timer.due(),
             lost: connection.state.end(end),
         })
     }
@@ -229,16 +214,11 @@
         }
     }
 
-    /// Notes that a connection is idle from now on. True if its idle timer has to be set for
-    /// `due`; false if it has one already, which checks the connection when it is due.
+    /// A connection is idle from now on. True if its idle timer has to be set for `due`; false if
+    /// it is set already.
     pub(super) fn begin_idle_period(&mut self, id: ConnectionId, now: Nanos, due: Nanos) -> bool {
-        let Some(connection) = self.connections.get_mut(&id) else {
-            return false;
-        };
-        connection.idle_since = now;
-        let needs_timer = connection.idle_timer.is_none();
-        connection.idle_timer.get_or_insert(due);
-        needs_timer
+        let connection = self.connections.get_mut(&id);
+        connection.is_some_and(|connection| connection.idle_timer.begin(now, due))
     }
 
     /// Checks a connection whose idle timer is due.
@@ -252,14 +232,9 @@
             return IdleCheck::InUse;
         };
         if !connection.state.is_idle() {
-            connection.idle_timer = None;
+            connection.idle_timer.clear();
             return IdleCheck::InUse;
         }
-        let due = connection.idle_since + idle_period;
-        if due <= now {
-            return IdleCheck::Expired;
-        }
-        connection.idle_timer = Some(due);
-        IdleCheck::DueLater(due)
+        connection.idle_timer.check(now, idle_period)
     }
 }
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -1,7 +1,7 @@
 //! Connections to leaf servers: when they are opened, idle and closed.
 
-use super::connection_table::IdleCheck;
 use super::effect::Effect;
+use super::idle_timer::IdleCheck;
 use super::ids::ConnectionId;
 use super::leaf_connection::{ConnectionEnd, LeafConnectionPhase};
 use super::timers::Timer;
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -6,7 +6,7 @@
 //! of inputs the [`Policy`] decides on them, and its actions are executed (`actions.rs`).
 //!
 //! The state is in tables, one for each kind of thing, which keep their fields private:
-//! `client_table`, `connection_table` (with a [`leaf_connection`] for each connection),
+//! `client_table`, `connection_table` (a [`leaf_connection`] and an `idle_timer` a connection),
 //! `endpoint_table`, `query_table`, `attempt_table` and `watermark_tracker`; the small ones of
 //! `health_checks`, `timers` and `shutdown` are in the same file as their handlers. The handlers
 //! are methods of [`Engine`]: `clients`, `connections`, `endpoints`, `frames`, `queries`,
@@ -25,6 +25,7 @@
 mod endpoints;
 mod frames;
 mod health_checks;
+mod idle_timer;
 mod ids;
 mod input;
 pub mod leaf_connection;
