--- a/crates/aggregator/src/logging.rs
+++ b/crates/aggregator/src/logging.rs
@@ -1,6 +1,6 @@
 //! Structured logs on standard error: text or JSON, by level and by target.
 //!
-//! A field has the same name in all lines: `client`, `link`, `id` (a query), `replica`, `class` and
+//! A field has the same name in all lines: `client`, `connection`, `id` (a query), `replica`, `class` and
 //! `tenant` by number, `address`, `segment`, `member`, `period`, `error`; a duration ends in its
 //! unit (`_ms`).
 
--- a/crates/aggregator/src/process/reload.rs
+++ b/crates/aggregator/src/process/reload.rs
@@ -1,7 +1,7 @@
 //! Reload of the configuration, the settings and the certificate while the process runs.
 //!
-//! Each of the three is validated completely before any of it is applied. An invalid one is logged,
-//! and the previous one stays in force.
+//! Each of the three is validated before it is applied. An invalid one is logged and the previous
+//! one stays in force; the other two are still applied.
 
 use crate::configuration;
 use crate::files::Files;
--- a/crates/core/src/config/aggregator_settings.rs
+++ b/crates/core/src/config/aggregator_settings.rs
@@ -36,13 +36,13 @@
     pub max_streams: usize,
     /// The most attempts of one part.
     pub max_attempts: usize,
-    /// The most queries and parts that are open.
+    /// No query is accepted while so many queries and parts, in sum, are open.
     pub max_open: usize,
     /// How long a connection to a leaf server may take to open.
     pub connect_timeout: Nanos,
-    /// How long an idle connection is kept.
+    /// A leaf server closes a connection that has been idle for this time; we close it earlier.
     pub idle_timeout: Nanos,
-    /// The longest `Retry-After` for a rejected client; none where the settings allow none.
+    /// The `Retry-After` that a client rejected on arrival gets; none where the settings allow none.
     pub retry_after: Option<Nanos>,
     /// Aggregators may exchange gossip messages.
     pub gossip_allowed: bool,
--- a/crates/core/src/engine/client_table.rs
+++ b/crates/core/src/engine/client_table.rs
@@ -20,7 +20,7 @@
     query: Option<RequestId>,
     /// When its last reply was sent, or it connected.
     idle_since: Nanos,
-    /// It has sent a query that was admitted.
+    /// It has sent a query that was passed to the policy.
     has_sent_query: bool,
     /// Its connection is to be closed.
     close_requested: bool,
@@ -97,7 +97,7 @@
     }
 
     /// Picks the clients to close when `newest` connects, and marks them, so that none is picked
-    /// twice before its connection has ended. Those without an admitted query are picked first,
+    /// twice before its connection has ended. Those that have sent no such query are picked first,
     /// then those that have been idle for longest.
     pub(super) fn pick_evictions(&mut self, now: Nanos, newest: ClientId) -> Vec<ClientId> {
         if self.clients.len() <= self.capacity / 2 {
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -107,8 +107,7 @@
         Some(id)
     }
 
-    /// Closes a connection from our side. What is in flight on it ends as if the connection had
-    /// failed.
+    /// Closes a connection from our side. What is in flight on it ends as [`ConnectionEnd`] states.
     pub(super) fn close_connection(&mut self, now: Nanos, id: ConnectionId) {
         self.effects
             .push(Effect::CloseConnection { connection: id });
--- a/crates/core/src/engine/counters.rs
+++ b/crates/core/src/engine/counters.rs
@@ -27,7 +27,7 @@
     /// Of the records, those of each tenant and class that the settings name: `TENANT CLASS`.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub recorded_of: BTreeMap<String, u64>,
-    /// Reloads of the configuration.
+    /// Reloads of the platform's configuration. A reload of our own settings is not counted.
     pub reloads: ReloadCounters,
     /// Events that must never happen; each is logged with its cause.
     pub faults: FaultCounters,
@@ -36,9 +36,9 @@
 /// What clients have sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReceivedCounters {
-    /// Queries that were admitted.
+    /// Queries that were passed to the policy.
     pub queries: u64,
-    /// Parts of the queries that were admitted.
+    /// Their parts.
     pub parts: u64,
     /// Of the queries, those marked as retries.
     pub retries: u64,
@@ -105,7 +105,7 @@
     }
 }
 
-/// How the queries that were admitted ended.
+/// How the queries that were passed to the policy ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct QueryCounters {
     /// With a complete answer.
@@ -131,7 +131,7 @@
     pub connect_failed: u64,
     /// Connections to leaf servers that failed or were closed by the leaf server.
     pub lost: u64,
-    /// Connections to leaf servers that became unresponsive.
+    /// Connections to leaf servers that became unresponsive and get no new attempts.
     pub silent: u64,
     /// Connections to leaf servers that were closed because of a malformed response.
     pub malformed: u64,
@@ -139,7 +139,7 @@
     pub idle_closed: u64,
 }
 
-/// Reloads of the configuration.
+/// Reloads of the platform's configuration. A reload of our own settings is not counted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReloadCounters {
     /// Those that were applied.
--- a/crates/core/src/engine/leaf_connection/in_flight.rs
+++ b/crates/core/src/engine/leaf_connection/in_flight.rs
@@ -1,4 +1,5 @@
-//! The attempts of a connection that have not ended, by the ids that stand for them in frames.
+//! The attempts of a connection that have not ended, by the ids that stand for them in frames. They
+//! include those that are still queued.
 
 use super::write_queue::CallEntry;
 use crate::api::Nanos;
--- a/crates/core/src/engine/leaf_connection/write_queue.rs
+++ b/crates/core/src/engine/leaf_connection/write_queue.rs
@@ -36,7 +36,7 @@
 }
 
 /// Frames in the order in which they are written. The socket takes one at a time: what is still in
-/// the queue can be removed without a trace.
+/// the queue can be removed, and the leaf server receives nothing of it.
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
     /// Frames that wait for the socket, oldest first.
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -1,5 +1,5 @@
-//! Queries, from their arrival to their admission or rejection, and their removal. The replies are
-//! composed in [`super::replies`].
+//! Queries: which are passed to the policy and which are rejected on arrival, and their removal. The
+//! replies are composed in [`super::replies`].
 
 use super::ids::{AttemptId, ClientId};
 use super::query_table::{EndedQuery, OpenPart, OpenQuery};
@@ -12,7 +12,7 @@
 /// Subtracted from the client timeout: the network both ways, and a delay on our side.
 const CLIENT_TIMEOUT_MARGIN: Nanos = 8 * MILLISECOND;
 
-/// A query that has arrived and is not admitted yet.
+/// A query that has arrived and is not passed to the policy yet.
 #[derive(Debug)]
 pub(super) struct ArrivedQuery {
     pub(super) client: ClientId,
@@ -21,15 +21,15 @@
 }
 
 impl Engine {
-    /// Admits a query, or rejects it at once, by these checks in this order:
+    /// Passes a query to the policy, or rejects it on arrival, by these checks in this order:
     ///
     /// 1. A query whose client has disconnected is dropped.
     /// 2. A query with the id of an open query is an invalid request.
     /// 3. Over the capacity for open queries and parts (`limits.open_cap`), it is rejected.
     /// 4. If its client has no time left, or the process exits, it is rejected.
     ///
-    /// The policy may still reject an admitted query at the end of the batch (`admission.rs` of the
-    /// policy).
+    /// Admission follows at the end of the batch: the policy may reject the query too
+    /// (`admission.rs` of the policy).
     pub(super) fn on_query(&mut self, now: Nanos, query: ArrivedQuery) {
         let (client, name) = (query.client, &query.request.name);
         if !self.clients.contains(client) {
@@ -63,7 +63,7 @@
             tracing::info!(client, name, timeout_ms, "query rejected: no time left");
             return self.reject_on_arrival(now, &query);
         }
-        self.admit_query(now, query, client_timeout);
+        self.accept_query(now, query, client_timeout);
     }
 
     /// How long the client still waits for a reply that is sent by us.
@@ -84,7 +84,7 @@
         self.send_reply(now, query.client, QueryReply::Rejected { retry_after });
     }
 
-    fn admit_query(&mut self, now: Nanos, query: ArrivedQuery, client_timeout: Nanos) {
+    fn accept_query(&mut self, now: Nanos, query: ArrivedQuery, client_timeout: Nanos) {
         let ArrivedQuery {
             client,
             arrived_at,
@@ -116,7 +116,7 @@
             name = request.name,
             class = request.class,
             client_timeout_ms = client_timeout / MILLISECOND,
-            "query admitted"
+            "query passed to the policy"
         );
         let query = OpenQuery {
             name: request.name.as_str().into(),
@@ -161,7 +161,7 @@
     }
 
     /// Removes a query and its parts. Attempts that are in flight end on their own. Those that
-    /// still wait for a connection are never sent, whether or not cancellation is allowed.
+    /// were not given to a socket are never sent, whether or not cancellation is allowed.
     pub(super) fn end_query(&mut self, now: Nanos, id: RequestId) -> Option<EndedQuery> {
         let ended = self.queries.remove(id)?;
         for part in &ended.query.parts {
--- a/crates/core/src/engine/replies.rs
+++ b/crates/core/src/engine/replies.rs
@@ -36,11 +36,12 @@
     }
 
     /// Fails a query that the policy has not ended in time, which is a fault: the policy must end
-    /// each admitted query before its client times out.
+    /// each query before its client times out.
     pub(super) fn on_reply_deadline(&mut self, now: Nanos, id: RequestId) {
         self.counters.faults.reply_deadline += 1;
         let name = self.queries.get(id).map(|query| &*query.name);
         tracing::error!(id, name, "query still open at its reply deadline");
+        // The policy forgets the query by the same event as on a disconnect.
         self.events.push(Event::ClientDisconnected { id });
         self.fail_query(now, id);
     }
--- a/crates/core/src/net/driver/mod.rs
+++ b/crates/core/src/net/driver/mod.rs
@@ -172,7 +172,7 @@
 
     fn begin_exit(&mut self, counters: &EngineCounters, exit_deadline: Nanos) {
         let counters = serde_json::to_string(counters).unwrap_or_default();
-        tracing::info!(counters, "served all that was taken");
+        tracing::info!(counters, "exit requested");
         self.exit_deadline = Some(self.shared.clock.instant(exit_deadline));
     }
 }
--- a/crates/core/src/net/pending_replies.rs
+++ b/crates/core/src/net/pending_replies.rs
@@ -31,11 +31,12 @@
 /// The usage recorder, and the replies that wait for it in the order of their records.
 pub struct PendingReplies {
     recorder: Box<dyn UsageRecorder>,
-    /// The sequence up to which records are written.
+    /// The sequence up to which records are written, or lost because they could not be.
     written: watch::Receiver<u64>,
     max_delay: Duration,
     pending: VecDeque<PendingReply>,
-    /// The sequence of the latest record, whose reply comes next.
+    /// The sequence of the latest record. The next reply waits for it; a record of a query whose
+    /// client has disconnected has no reply of its own.
     latest_record: Option<u64>,
     /// How far the log was when a reply was last sent without its record. Until the log advances,
     /// no reply waits.
--- a/crates/core/src/net/usage_recorder.rs
+++ b/crates/core/src/net/usage_recorder.rs
@@ -11,7 +11,8 @@
     fn record(&mut self, usage: QueryUsage) -> bool;
     /// Queues a watermark: the time up to which the log is complete.
     fn record_watermark(&mut self, watermark: UsageWatermark);
-    /// The sequence up to which records have been handed to the operating system.
+    /// The sequence up to which records have been handed to the operating system, or were lost
+    /// because that failed.
     fn written(&self) -> watch::Receiver<u64>;
     /// The longest that a reply waits for its record.
     fn max_reply_delay(&self) -> Duration;
--- a/crates/core/src/protocol/query/mod.rs
+++ b/crates/core/src/protocol/query/mod.rs
@@ -90,9 +90,9 @@
         /// The results of the parts.
         hits: Vec<QueryHit>,
     },
-    /// The query was rejected before any part of it was forwarded.
+    /// The query was rejected: a retry by the client does no harm.
     Rejected {
-        /// When the client may retry.
+        /// How long the client should wait before it retries.
         retry_after: Option<Nanos>,
     },
     /// The query was not answered in time.
--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -11,7 +11,7 @@
         part: RequestId,
         /// The replica to send it to.
         replica: ReplicaId,
-        /// The attempt times out then.
+        /// The attempt times out then; 0 stands for the deadline of its query.
         until: Nanos,
         /// The attempt is dropped if it has not been sent by then.
         latest_start: Option<Nanos>,
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -99,7 +99,7 @@
     pub overload_window: Nanos,
     /// The limit on retries, if one is set.
     pub retry_budget: Option<RetryBudget>,
-    /// Connections without use are closed after this time.
+    /// A leaf server closes a connection that has been idle for this time; we close it earlier.
     pub idle_timeout: Nanos,
     /// No attempt may be sent to a replica this long after the notice that it is draining or gone.
     pub drain_notice: Nanos,
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: which queries are rejected at once, before any part is sent.
+//! Admission: which queries are rejected before any part is sent. Later ends are decided in
+//! [`super::completion`].
 //!
 //! The design leaves rejections to us. A query that can't be answered within its latency objective
 //! only delays others, so it is rejected; [`Rejection`] lists the conditions in the order in which
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -100,8 +100,8 @@
 #[derive(Debug)]
 struct ReplicaUpdate {
     end: AttemptEnd,
-    /// The replica failed. An attempt that we cancelled counts as a failure if it was overdue and
-    /// the replica had not responded since it was sent.
+    /// There was no result, which raises the smoothed latency. An attempt that we cancelled counts
+    /// as a failure only if it was overdue and the replica had not responded since it was sent.
     is_failure: bool,
     /// The replica's smoothed latency so far, ns.
     smoothed_latency: f64,
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -77,7 +77,8 @@
     }
 
     /// Whether the last attempt is slow, this is confirmed by the rest of the query or by a replica
-    /// that has not responded since, and another replica is likely to be faster.
+    /// that has not responded since, another replica is likely to be faster, and the hedging budget
+    /// allows it. What holds for every further attempt is checked in `may_attempt`.
     fn should_hedge(
         &mut self,
         query: &QueryState,
--- a/crates/policy/src/policy/client_timeouts.rs
+++ b/crates/policy/src/policy/client_timeouts.rs
@@ -1,4 +1,5 @@
-//! The client timeout of first attempts, by which retries are recognized.
+//! Estimates from client timeouts how much of its latency objective a query has spent on earlier
+//! attempts of its client.
 
 use super::tuning;
 use crate::api::{Nanos, QueryClass, QueryReceived};
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -1,4 +1,4 @@
-//! How many hedged requests may be sent.
+//! The budget of hedged requests. Which attempts are hedged is decided in [`super::attempts`].
 //!
 //! Invariant: hedged requests add load, so their number is limited. The limit falls with the share
 //! of hedged requests that lose against the first attempt.
@@ -22,12 +22,12 @@
         self.loss_rate = blend(self.loss_rate, is_lost, tuning::HEDGE_LOSS_WEIGHT);
     }
 
-    /// Whether one more hedged request is within the budget. `open_parts` are those of queries that
-    /// have not ended.
+    /// Whether one more hedged request is within the budget. Retries use the budget up too.
+    /// `open_parts` are those of queries that have not ended.
     pub fn allows_hedge(&self, limiter: &RetryLimiter, open_parts: usize) -> bool {
-        let parts = limiter.recently_received().max(open_parts) as f64;
+        let received = limiter.recently_received().max(open_parts) as f64;
         let factor = tuning::MAX_HEDGE_FACTOR - tuning::HEDGE_FACTOR_SLOPE * self.loss_rate;
-        let further = tuning::HEDGE_RATIO * parts * factor.clamp(0.0, 1.0);
+        let further = tuning::HEDGE_RATIO * received * factor.clamp(0.0, 1.0);
         (limiter.recently_retried() as f64) < tuning::MIN_HEDGES + further
     }
 }
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start: how many parts a replica that is warming up may be sent.
 //!
-//! Invariant: the sum over all aggregators stays below what overloads such a replica. Each
-//! aggregator bases its allowance on the results that a replica returns to it on average; the
-//! number of parts sent would be no measure while all replicas warm up. Dozens of aggregators with
-//! one part each would still overload it, so an allowance below one is rounded up or down at
-//! random, with a seed of its own in each window.
+//! Aim: the sum over all aggregators stays below what overloads such a replica. The aggregators do
+//! not communicate, so this holds in expectation and not as a hard limit. Each aggregator bases its
+//! allowance on the results that a replica returns to it on average; the number of parts sent would
+//! be no measure while all replicas warm up. Dozens of aggregators with one part each would still
+//! overload it, so an allowance is rounded up or down at random, anew in each overload window.
 
 use super::context::Context;
 use super::tuning;
--- a/crates/policy/src/policy/tuning.rs
+++ b/crates/policy/src/policy/tuning.rs
@@ -43,7 +43,7 @@
 pub const CROSS_ZONE_PENALTY: f64 = 4.0;
 
 // Retries and hedging.
-/// Least time for which received and retried parts count as recent.
+/// Least time for which received queries and parts, and retries, count as recent.
 pub const RECENT_WINDOW: Nanos = 2 * SECOND;
 /// Least share of the objective to wait before another attempt, which limits the retries during a
 /// brief outage.
@@ -52,9 +52,10 @@
 pub const MAX_WAIT_SHARE: f64 = 0.4;
 /// Share of a retry budget that classes with partial answers may use.
 pub const PARTIAL_BUDGET_SHARE: f64 = 0.5;
-/// Hedged requests that are always within the hedging budget.
+/// Recent retries and hedged requests below which a hedged request is always within the budget.
 pub const MIN_HEDGES: f64 = 3.0;
-/// Further hedged requests, as a share of the parts that are open or were received recently.
+/// What the budget grows by, as a share of the parts that are open, or of the queries and parts
+/// received recently, whichever are more.
 pub const HEDGE_RATIO: f64 = 0.15;
 /// Weight of one hedged request in the share of hedged requests that lose.
 pub const HEDGE_LOSS_WEIGHT: f64 = 0.1;
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -119,13 +119,13 @@
         Some(first.sent + class.idempotency_window)
     }
 
-    /// Whether one more attempt now does no harm, even if an earlier one has been executed.
-    pub fn is_safe_to_repeat(&self, class: &QueryClass, now: Nanos) -> bool {
+    /// Whether one more attempt at `at` does no harm, even if an earlier one has been executed.
+    pub fn is_safe_to_repeat(&self, class: &QueryClass, at: Nanos) -> bool {
         match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotentWithKey => {
                 let expiry = self.idempotency_expiry(class);
-                expiry.is_none_or(|expiry| now <= expiry)
+                expiry.is_none_or(|expiry| at <= expiry)
             }
             Idempotency::NonIdempotent => self.first_executed().is_none(),
         }
