--- a/crates/aggregator/tests/reload.rs
+++ b/crates/aggregator/tests/reload.rs
@@ -47,7 +47,7 @@
     program.write_config(&config(&old));
     program.signal("-HUP", "read again").await;
     let _third_watch = old.accept_watch().await;
-    program.signal("-TERM", "served all").await;
+    program.signal("-TERM", "exit requested").await;
     assert!(program.wait_for_exit());
 }
 
@@ -71,6 +71,6 @@
     program.signal("-HUP", "read again").await;
     let _second_watch = discovery.accept_watch().await;
     assert_eq!(child_processes(program.id()), "");
-    program.signal("-TERM", "served all").await;
+    program.signal("-TERM", "exit requested").await;
     assert!(program.wait_for_exit());
 }
