--- a/crates/aggregator/src/settings/log.rs
+++ b/crates/aggregator/src/settings/log.rs
@@ -14,7 +14,7 @@
             Kind::Choice(&["error", "warn", "info", "debug", "trace"]),
             Some("info"),
             "The least level that is logged. \
-             QUERY_AGGREGATOR_LOG in the environment goes before it.",
+             QUERY_AGGREGATOR_LOG in the environment takes precedence.",
         ),
         Key::reloadable(
             "targets",
--- a/crates/core/src/config/aggregator_settings.rs
+++ b/crates/core/src/config/aggregator_settings.rs
@@ -53,6 +53,10 @@
 }
 
 /// Parses the aggregator's settings from lines of `key=value`.
+///
+/// # Errors
+///
+/// A required key is missing, or the value of a key can't be used.
 pub fn parse_aggregator_settings(text: &str) -> Result<AggregatorSettings, PlatformSettingsError> {
     let values = KeyValues::parse(text)?;
     let classes = values.names("classes")?;
--- a/crates/core/src/config/platform.rs
+++ b/crates/core/src/config/platform.rs
@@ -62,6 +62,10 @@
 
 impl Config {
     /// Parses and checks the text of a configuration file.
+    ///
+    /// # Errors
+    ///
+    /// The text is no JSON of the expected form, or one of its settings or addresses can't be used.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let file: ConfigFile = serde_json::from_str(text)?;
         let settings_text = flatten_settings(&file.settings)?;
--- a/crates/core/src/config/policy_settings.rs
+++ b/crates/core/src/config/policy_settings.rs
@@ -8,6 +8,10 @@
 const DEFAULT_DRAIN_NOTICE_NS: Nanos = 2_000_000_000;
 
 /// Parses the policy's settings from lines of `key=value`.
+///
+/// # Errors
+///
+/// A required key is missing, or the value of a key can't be used.
 pub fn parse_policy_settings(text: &str) -> Result<PolicySettings, PlatformSettingsError> {
     let values = KeyValues::parse(text)?;
     let class_count = values.positive("classes.count")? as usize;
--- a/crates/core/src/engine/frames.rs
+++ b/crates/core/src/engine/frames.rs
@@ -103,13 +103,13 @@
                 self.on_part_result(now, id, result);
             }
             LeafResponse::HealthCheckResult { ok, report } => {
-                self.on_health_check_result(now, id, ok, &report)
+                self.on_health_check_result(now, id, ok, &report);
             }
             LeafResponse::ProtocolError(message) => {
-                tracing::warn!(connection = id, message, "leaf server rejected a frame")
+                tracing::warn!(connection = id, message, "leaf server rejected a frame");
             }
             LeafResponse::Malformed(wire_id) => {
-                self.on_malformed_response(now, id, wire_id.as_deref())
+                self.on_malformed_response(now, id, wire_id.as_deref());
             }
         }
     }
--- a/crates/core/src/engine/leaf_connection/mod.rs
+++ b/crates/core/src/engine/leaf_connection/mod.rs
@@ -152,7 +152,7 @@
         match self.queue.finish() {
             Some(OutgoingFrame::Call(call)) => self.in_flight.on_written(&call),
             Some(OutgoingFrame::HealthCheck(check)) => {
-                self.written_health_checks.push_back(Some(check))
+                self.written_health_checks.push_back(Some(check));
             }
             Some(OutgoingFrame::Cancel(_)) | None => {}
         }
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -213,12 +213,12 @@
             Input::ConnectionOpened { connection } => self.connections.on_opened(connection, now),
             Input::FrameWritten { connection } => self.connections.on_frame_written(connection),
             Input::FrameReceived { connection, frame } => {
-                self.on_frame_received(now, connection, frame)
+                self.on_frame_received(now, connection, frame);
             }
             Input::ConnectionClosed { connection } => self.on_connection_closed(now, connection),
             Input::EndpointsUpdated(update) => self.on_endpoints_updated(now, &update),
             Input::GossipReceived { from, bytes } => {
-                self.events.push(Event::GossipReceived { from, bytes })
+                self.events.push(Event::GossipReceived { from, bytes });
             }
             Input::WatchEnded { watch } => self.on_watch_ended(watch),
             Input::ConfigurationReloaded { usable } => self.on_configuration_reloaded(usable),
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -72,7 +72,7 @@
         let remaining = query.request.timeout.saturating_sub(spent);
         match self.shutdown.answer_deadline() {
             // The process ends: nothing more is forwarded.
-            Some(_) if self.shutdown.has_exited() => 0,
+            Some(_) if self.shutdown.is_exit_requested() => 0,
             Some(answer_deadline) => remaining.min(answer_deadline.saturating_sub(now)),
             None => remaining,
         }
--- a/crates/core/src/engine/shutdown.rs
+++ b/crates/core/src/engine/shutdown.rs
@@ -68,7 +68,7 @@
     is_drain_period_over: bool,
     /// Frontends that may still hand over a request.
     running_frontends: usize,
-    has_exited: bool,
+    is_exit_requested: bool,
 }
 
 impl ShutdownState {
@@ -87,14 +87,14 @@
     }
 
     /// The engine has requested the exit of the process.
-    pub(super) fn has_exited(&self) -> bool {
-        self.has_exited
+    pub(super) fn is_exit_requested(&self) -> bool {
+        self.is_exit_requested
     }
 
     /// The exit deadline if a shutdown was requested and the exit was not: notes the exit.
     fn begin_exit(&mut self) -> Option<Nanos> {
-        let schedule = self.schedule.filter(|_| !self.has_exited)?;
-        self.has_exited = true;
+        let schedule = self.schedule.filter(|_| !self.is_exit_requested)?;
+        self.is_exit_requested = true;
         Some(schedule.exit_deadline)
     }
 }
@@ -152,7 +152,7 @@
 
     /// Exits although something has not ended: a client does not read, or does not close.
     pub(super) fn on_exit_deadline(&mut self) {
-        if !self.shutdown.has_exited() {
+        if !self.shutdown.is_exit_requested() {
             self.log_shutdown_state("exit deadline");
         }
         self.exit();
--- a/crates/core/src/engine/timers.rs
+++ b/crates/core/src/engine/timers.rs
@@ -73,12 +73,12 @@
         match timer {
             Timer::Policy(token) => self.events.push(Event::TimerFired { token }),
             Timer::AttemptTimeout(attempt) => {
-                self.cancel_attempt(now, attempt, AttemptOutcome::TimedOut)
+                self.cancel_attempt(now, attempt, AttemptOutcome::TimedOut);
             }
             Timer::ConnectTimeout(connection) => self.on_connect_timeout(now, connection),
             Timer::IdleTimeout(connection) => self.on_idle_timeout(now, connection),
             Timer::HealthCheckTimeout(check) => {
-                self.on_health_check_ended(now, check, AttemptOutcome::TimedOut, LoadReport::new())
+                self.on_health_check_ended(now, check, AttemptOutcome::TimedOut, LoadReport::new());
             }
             Timer::ReplyDeadline(query) => self.on_reply_deadline(now, query),
             Timer::UsageWatermark => self.record_watermark(now),
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -126,7 +126,7 @@
     }
 
     pub(super) fn record_watermark(&mut self, now: Nanos) {
-        let exited = self.shutdown.has_exited();
+        let exited = self.shutdown.is_exit_requested();
         let Some(watermarks) = self.watermarks.as_mut().filter(|_| !exited) else {
             return;
         };
--- a/crates/core/src/net/client_connection/ending.rs
+++ b/crates/core/src/net/client_connection/ending.rs
@@ -54,7 +54,7 @@
             "client connection ended"
         ),
         Err(error) => {
-            tracing::debug!(client, requests, responses, "client connection: {error}")
+            tracing::debug!(client, requests, responses, "client connection: {error}");
         }
     }
 }
--- a/crates/core/src/protocol/discovery.rs
+++ b/crates/core/src/protocol/discovery.rs
@@ -50,6 +50,10 @@
 pub struct MalformedUpdate(#[from] serde_json::Error);
 
 /// Parses one message of a watch; none for an empty message, which is the agent's heartbeat.
+///
+/// # Errors
+///
+/// The message is no endpoint update.
 pub fn parse_message(bytes: &[u8]) -> Result<Option<EndpointUpdate>, MalformedUpdate> {
     let bytes = bytes.trim_ascii();
     if bytes.is_empty() {
--- a/crates/core/tests/connection.rs
+++ b/crates/core/tests/connection.rs
@@ -315,12 +315,12 @@
         }
         (3..=4, Some(connection)) => harness.open_connection(connection),
         (5..=6, Some(connection)) => {
-            harness.respond_to_oldest(connection, ends[selector as usize % 4])
+            harness.respond_to_oldest(connection, ends[selector as usize % 4]);
         }
         (7, Some(connection)) => harness.lose_connection(connection),
         (8, _) => {
             let status = statuses[selector as usize / 4 % 3];
-            harness.list_replica(1 + selector % 4, status, harness.now)
+            harness.list_replica(1 + selector % 4, status, harness.now);
         }
         (9, _) => harness.disconnect_some_client(selector),
         (10, Some(connection)) => harness.send_malformed(connection, selector.is_multiple_of(2)),
--- a/crates/core/tests/protocol.rs
+++ b/crates/core/tests/protocol.rs
@@ -106,6 +106,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one list of cases")]
 fn invalid_requests_get_distinct_statuses() {
     let status = |text: &str| parse(text).unwrap_err();
     assert_eq!(status("nonsense\r\n\r\n"), 400);
--- a/crates/ini-config/src/parser.rs
+++ b/crates/ini-config/src/parser.rs
@@ -24,7 +24,7 @@
         values: FileValues::default(),
         problems: Vec::new(),
     };
-    for (header, properties) in ini.iter() {
+    for (header, properties) in &ini {
         parser.parse_section(header.unwrap_or_default().trim(), properties);
     }
     parser.finish()
@@ -73,7 +73,7 @@
                 .insert_named_section(section.schema.name, section.name, line);
         }
         let mut occurrences: BTreeMap<&str, usize> = BTreeMap::new();
-        for (key, text) in properties.iter() {
+        for (key, text) in properties {
             let occurrence = occurrences.entry(key).or_default();
             self.parse_property(&section, key, text, *occurrence);
             *occurrence += 1;
@@ -81,7 +81,7 @@
     }
 
     fn report_keys_outside_sections(&mut self, properties: &ini::Properties) {
-        for (key, _) in properties.iter() {
+        for (key, _) in properties {
             let kind = ProblemKind::KeyOutsideSection { key: key.into() };
             self.report(self.lines.key("", key, 0), kind);
         }
--- a/crates/opensearch-gateway/src/settings/schema.rs
+++ b/crates/opensearch-gateway/src/settings/schema.rs
@@ -23,7 +23,7 @@
             "listen",
             Kind::Address,
             None,
-            "Where the front listens; a listener of its own. Off without it.",
+            "The address that the frontend listens on, of its own. Off without it.",
         ),
         Key::new(
             "connections",
@@ -83,7 +83,7 @@
             "client-ca",
             Kind::Text,
             None,
-            "PEM file of who vouches for clients; their certificates are optional.",
+            "PEM file of the certificate authorities for clients; client certificates are optional.",
         ),
         Key::new(
             "proxies",
--- a/crates/opensearch-gateway/tests/query_dsl.rs
+++ b/crates/opensearch-gateway/tests/query_dsl.rs
@@ -10,6 +10,7 @@
 use support::parse_request;
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one list of cases")]
 fn unsupported_requests_are_rejected_with_the_path_at_fault() {
     let nested = |depth: usize| {
         (0..depth).fold(
--- a/crates/policy/tests/outlier.rs
+++ b/crates/policy/tests/outlier.rs
@@ -45,7 +45,7 @@
                 harness.end_attempt(ms + 1, id + 1, 0, replica, AttemptOutcome::ConnectionLost);
             }
             (false, _) => {
-                drop(harness.end_attempt(ms + 1, id + 1, 0, replica, AttemptOutcome::Error))
+                drop(harness.end_attempt(ms + 1, id + 1, 0, replica, AttemptOutcome::Error));
             }
         }
     }
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -260,7 +260,7 @@
             1 => member.state = ReplicaState::Gone,
             _ => {
                 (member.state, member.started) =
-                    (ReplicaState::Ready, self.now.saturating_sub(300 * MS))
+                    (ReplicaState::Ready, self.now.saturating_sub(300 * MS));
             }
         }
         if self.random.bool() {
@@ -391,7 +391,7 @@
             }
             Action::Answer { query, .. } => self.answered(*query),
             Action::Reject { query, .. } | Action::Fail { query } => {
-                drop(self.queries.remove(query))
+                drop(self.queries.remove(query));
             }
             Action::SetTimer { token, after } => {
                 self.plan(self.now + after, Event::TimerFired { token: *token });
@@ -417,6 +417,10 @@
         }
     }
 
+    #[allow(
+        clippy::too_many_lines,
+        reason = "the order of its random draws is part of the recording"
+    )]
     fn attempt(&mut self, part: RequestId, replica: ReplicaId, until: Nanos) {
         let count = self.attempts_of_part.entry(part).or_insert(0);
         let attempt = *count;
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A harness for a policy, and helpers that find what tests check in its actions.
 
-#![allow(dead_code)] // Each test file uses its own part of it.
+#![allow(dead_code, reason = "each test file uses its own part of it")]
 
 use aggregator_policy::api::{
     Action, AttemptEnded, AttemptOutcome, EndpointUpdateKind, Event, PartReceived, PolicySettings,
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -79,7 +79,7 @@
                     pending.by_instance.remove(&instance);
                 }
                 InstanceInput::Event(event) => {
-                    pending.by_instance.entry(instance).or_default().push(event)
+                    pending.by_instance.entry(instance).or_default().push(event);
                 }
             }
             if seen.insert(instance) {
