--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Continues with the segment `later`. The last `unread` bytes of `finished` are damage, since it
-    /// does not grow any more.
+    /// Continues with the segment `later`. The last `unread` bytes of `finished` are damage, since
+    /// it does not grow any more.
     fn finish_segment(
         &mut self,
         finished: OpenSegment,
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -12,13 +12,13 @@
 use usage_ledger::period_settler::{CarryOver, PeriodSettler};
 use usage_ledger::rate::UsageCounts;
 
-const SKEW: i64 = 20;
-const WINDOW: i64 = 100;
-const HORIZON: i64 = 150;
-const PERIOD: i64 = 400;
+const SKEW_MS: i64 = 20;
+const WINDOW_MS: i64 = 100;
+const HORIZON_MS: i64 = 150;
+const PERIOD_MS: i64 = 400;
 const BOUNDS: JoinBounds = JoinBounds {
-    horizon_ms: HORIZON,
-    skew_ms: SKEW,
+    horizon_ms: HORIZON_MS,
+    skew_ms: SKEW_MS,
 };
 
 fn first_record(arrived_at_ms: i64, sequence: u64) -> UsageRecord {
@@ -36,7 +36,7 @@
         is_retry: false,
         key: 2,
         has_idempotency_key: false,
-        client_timeout_ms: WINDOW,
+        client_timeout_ms: WINDOW_MS,
         reply_uncertain: false,
     }
 }
@@ -60,7 +60,7 @@
     )
 }
 
-/// The rule as the module states it, over everything at once: no streaming, nothing closed early.
+/// A naive implementation of the rule of the module, over all records at once.
 fn naive(mut records: Vec<UsageRecord>) -> Vec<Vec<RecordId>> {
     records.sort_by_key(UsageRecord::id);
     let is_first = |record: &&UsageRecord| !record.is_retry && !record.has_idempotency_key;
@@ -76,16 +76,16 @@
             )
         };
         let window = if retry.has_idempotency_key {
-            HORIZON
+            HORIZON_MS
         } else {
-            WINDOW
+            WINDOW_MS
         };
         let fits = |request: &&mut Vec<UsageRecord>| {
             let (first, last) = (request[0], request[request.len() - 1]);
             let open = retry.has_idempotency_key || last.reply_uncertain || !is_answered(&last);
             group(&first) == group(retry)
-                && first.arrived_at_ms + window + SKEW >= retry.arrived_at_ms
-                && last.arrived_at_ms <= retry.arrived_at_ms + SKEW
+                && first.arrived_at_ms + window + SKEW_MS >= retry.arrived_at_ms
+                && last.arrived_at_ms <= retry.arrived_at_ms + SKEW_MS
                 && open
         };
         let rank = |request: &&mut Vec<UsageRecord>| {
@@ -152,7 +152,7 @@
     })
 }
 
-/// Settles one period after the other, as the store does.
+/// Settles one period, as the store does.
 fn settle(records: &[UsageRecord], period: Period, before: &CarryOver) -> (LineCounts, CarryOver) {
     let arrivals = BOUNDS.arrivals(period);
     let records = records.iter().copied();
@@ -168,8 +168,8 @@
 
 fn period(n: i64) -> Period {
     Period {
-        start_ms: n * PERIOD,
-        end_ms: (n + 1) * PERIOD,
+        start_ms: n * PERIOD_MS,
+        end_ms: (n + 1) * PERIOD_MS,
     }
 }
 
@@ -201,7 +201,7 @@
         for request in join(records.clone()) {
             let first = request.first();
             let key = LineKey { tenant_id: first.tenant_id, class_id: first.class_id };
-            let lines = expected.entry(first.arrived_at_ms.div_euclid(PERIOD)).or_default();
+            let lines = expected.entry(first.arrived_at_ms.div_euclid(PERIOD_MS)).or_default();
             lines.entry(key).or_default().add(&request);
         }
         let mut carried = CarryOver::default();
@@ -213,8 +213,8 @@
         prop_assert!(expected.is_empty());
     }
 
-    /// Some records come only after the periods were closed: statements and adjustments together
-    /// come to what all records do, whatever the order.
+    /// Some records arrive only after their periods were closed: statements and adjustments
+    /// together count the same as all records, in any order.
     #[test]
     fn adjustments_account_for_late_records(records in arbitrary_records(), late in any::<u64>()) {
         let is_early = |record: &&UsageRecord| late >> (record.sequence % 64) & 1 == 0;
@@ -237,63 +237,93 @@
     }
 }
 
-#[test]
-fn retries_are_joined_one_to_one_and_in_order() {
-    let retry = |at, sequence| UsageRecord {
-        is_retry: true,
-        ..first_record(at, sequence)
-    };
-    let complete = |record: UsageRecord| UsageRecord {
-        outcome: RecordedOutcome::Complete,
-        ..record
-    };
-    // Two clients with the same text at the same moment are two logical requests, each with its
-    // retry.
-    let requests = join(vec![
-        first_record(0, 1),
-        first_record(0, 2),
-        complete(retry(30, 3)),
-        complete(retry(31, 4)),
-    ]);
-    assert_eq!(requests.len(), 2);
-    assert!(requests
-        .iter()
-        .all(|request| request.outcome == RecordedOutcome::Complete && request.records.len() == 2));
-    assert!(
-        !requests[0].ambiguous.is_empty(),
-        "either of two could be joined"
-    );
-    // Its first request never arrived: a logical request of its own.
-    let requests = join(vec![complete(retry(30, 1))]);
-    assert_eq!((requests.len(), requests[0].ambiguous.len()), (1, 0));
-    // An answered one has had its retries.
-    let requests = join(vec![complete(first_record(0, 1)), complete(retry(30, 2))]);
-    assert_eq!((requests.len(), requests[1].ambiguous.len()), (2, 1));
-    // Unless its aggregator died before the answer can have left for certain.
-    let died = UsageRecord {
-        reply_uncertain: true,
-        ..complete(first_record(0, 1))
-    };
-    assert_eq!(join(vec![died, complete(retry(30, 2))]).len(), 1);
-    // Past the class's client timeout it is no retry of that request.
-    assert_eq!(
-        join(vec![first_record(0, 1), retry(WINDOW + SKEW, 2)]).len(),
-        1
-    );
-    assert_eq!(
-        join(vec![first_record(0, 1), retry(WINDOW + SKEW + 1, 2)]).len(),
-        2
-    );
-    // A clock that is behind: the retry seems to come before its first request.
-    let requests = join(vec![first_record(100, 1), complete(retry(100 - SKEW, 2))]);
-    assert_eq!(
-        (requests.len(), requests[0].first().arrived_at_ms),
-        (1, 100)
-    );
-    assert_eq!(
-        join(vec![first_record(100, 1), complete(retry(99 - SKEW, 2))]).len(),
-        2
-    );
+mod retries {
+    use super::{first_record, join, SKEW_MS, WINDOW_MS};
+    use usage_ledger::join::{RecordedOutcome, UsageRecord};
+
+    fn retry(arrived_at_ms: i64, sequence: u64) -> UsageRecord {
+        UsageRecord {
+            is_retry: true,
+            ..first_record(arrived_at_ms, sequence)
+        }
+    }
+
+    fn complete(record: UsageRecord) -> UsageRecord {
+        UsageRecord {
+            outcome: RecordedOutcome::Complete,
+            ..record
+        }
+    }
+
+    #[test]
+    fn are_joined_one_to_one_and_in_order() {
+        // Two clients with the same query at the same time.
+        let requests = join(vec![
+            first_record(0, 1),
+            first_record(0, 2),
+            complete(retry(30, 3)),
+            complete(retry(31, 4)),
+        ]);
+        assert_eq!(requests.len(), 2);
+        assert!(requests
+            .iter()
+            .all(|request| request.outcome == RecordedOutcome::Complete
+                && request.records.len() == 2));
+        assert!(
+            !requests[0].ambiguous.is_empty(),
+            "either of two could be joined"
+        );
+    }
+
+    #[test]
+    fn without_a_first_request_start_a_logical_request() {
+        let requests = join(vec![complete(retry(30, 1))]);
+        assert_eq!((requests.len(), requests[0].ambiguous.len()), (1, 0));
+    }
+
+    #[test]
+    fn do_not_join_an_answered_request() {
+        let requests = join(vec![complete(first_record(0, 1)), complete(retry(30, 2))]);
+        assert_eq!((requests.len(), requests[1].ambiguous.len()), (2, 1));
+    }
+
+    #[test]
+    fn join_an_answered_request_whose_reply_is_uncertain() {
+        let uncertain = UsageRecord {
+            reply_uncertain: true,
+            ..complete(first_record(0, 1))
+        };
+        assert_eq!(join(vec![uncertain, complete(retry(30, 2))]).len(), 1);
+    }
+
+    #[test]
+    fn are_joined_within_the_client_timeout() {
+        assert_eq!(
+            join(vec![first_record(0, 1), retry(WINDOW_MS + SKEW_MS, 2)]).len(),
+            1
+        );
+        assert_eq!(
+            join(vec![first_record(0, 1), retry(WINDOW_MS + SKEW_MS + 1, 2)]).len(),
+            2
+        );
+    }
+
+    /// A clock that is behind: the retry seems to arrive before its first request.
+    #[test]
+    fn are_joined_within_the_clock_skew() {
+        let requests = join(vec![
+            first_record(100, 1),
+            complete(retry(100 - SKEW_MS, 2)),
+        ]);
+        assert_eq!(
+            (requests.len(), requests[0].first().arrived_at_ms),
+            (1, 100)
+        );
+        assert_eq!(
+            join(vec![first_record(100, 1), complete(retry(99 - SKEW_MS, 2))]).len(),
+            2
+        );
+    }
 }
 
 #[test]
@@ -307,7 +337,7 @@
     let records = vec![
         keyed(0, 1, RecordedOutcome::Complete),
         keyed(40, 2, RecordedOutcome::Partial(700_000)),
-        keyed(HORIZON, 3, RecordedOutcome::Rejected),
+        keyed(HORIZON_MS, 3, RecordedOutcome::Rejected),
         UsageRecord {
             tenant_id: 2,
             ..keyed(10, 4, RecordedOutcome::Complete)
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -47,7 +47,7 @@
     })
 }
 
-/// Writes records one after another, each waited for, so that none finds the queue full.
+/// Writes records one by one, and waits for each, so that the queue is never full.
 pub fn write(writer: &mut UsageLogWriter, sequences: std::ops::RangeInclusive<u64>) {
     let mut written = writer.written_sequence();
     for sequence in sequences {
@@ -71,7 +71,7 @@
     writer.close();
 }
 
-/// All that a follower finds.
+/// All records and damage that a follower has found.
 #[derive(Default)]
 pub struct Found {
     pub records: Vec<LogPosition>,
--- a/crates/usage-ledger/tests/log/reading.rs
+++ b/crates/usage-ledger/tests/log/reading.rs
@@ -48,7 +48,7 @@
     let ends: Vec<usize> = std::iter::once(start)
         .chain((1..=8).map(|n| log::read_items(&complete, start, n).end))
         .collect();
-    // A later segment: what is wrong at the end of this one is no write under way.
+    // With a later segment, an unreadable end can't be a write in progress.
     let mut again =
         writer::start_on(FileSystem, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
     write(&mut again, 1..=1);
@@ -77,7 +77,7 @@
             assert!(range.contains(&(at as u64)), "{at} is not in {range:?}");
         }
     }
-    // The header: its names are known from elsewhere in the run, or the records are kept without.
+    // A damaged header: the records are still read.
     let mut bytes = complete.clone();
     bytes[start - 1] ^= 1;
     fs::write(&segment.path, &bytes).unwrap();
@@ -107,7 +107,7 @@
         let rest = follow(folder.path(), *after, 1 + n % 90).records;
         assert_eq!(rest, all[n + 1..], "after {n}");
     }
-    // What is settled may go; the rest stays, and so does the last segment.
+    // Settled segments are removed; the others and the last one are kept.
     let before = log::segments(folder.path()).unwrap().len();
     let settled = all[120];
     let removed = log::remove_settled(folder.path(), settled).unwrap();
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -11,7 +11,7 @@
 use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::writer::{self, Disk, FileSystem};
 
-/// Writes half of what it is given and fails, for as long as the flag is set.
+/// Writes half of the bytes and fails, while the flag is set.
 struct FullDisk(Arc<AtomicBool>);
 
 impl Disk for FullDisk {
@@ -32,7 +32,7 @@
     let mut writer = writer::start_on(disk, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
     write(&mut writer, 1..=3);
     full.store(true, Ordering::SeqCst);
-    // Waited for each: what can't be written is not waited for.
+    // Each is waited for; the wait also ends for records that can't be written.
     write(&mut writer, 4..=9);
     full.store(false, Ordering::SeqCst);
     std::thread::sleep(Duration::from_millis(120));
@@ -51,7 +51,7 @@
     assert!(damage.is_empty(), "half a write is taken back: {damage:?}");
 }
 
-/// Completes a write only once it is released.
+/// Blocks each write until it is released.
 struct StalledDisk(Receiver<()>);
 
 impl Disk for StalledDisk {
@@ -75,7 +75,7 @@
     let taken = (1..=3000)
         .filter(|sequence| writer.try_enqueue(record(*sequence)))
         .count() as u64;
-    // The queue, and the batch that the writer has in hand.
+    // The capacity of the queue, and the batch that is being written.
     assert!((64..=64 + 1024).contains(&taken), "{taken}");
     assert_eq!(
         *writer.written_sequence().borrow(),
@@ -113,7 +113,7 @@
         lost > 0 && held <= bounded.keep_bytes,
         "{lost} lost, {held} bytes"
     );
-    // Once what it holds is settled, there is room again.
+    // Once segments are settled and removed, there is capacity again.
     log::remove_settled(folder.path(), EVERYTHING).unwrap();
     std::thread::sleep(Duration::from_millis(120));
     write(&mut writer, 1001..=1003);
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -18,11 +18,11 @@
 use usage_ledger::writer::{self, RunClass, RunTables, UsageLogWriter};
 
 const PERIOD_MS: i64 = 1000;
-/// A period that was over long before any test runs, in Unix milliseconds.
+/// The start of a period long past, in Unix milliseconds.
 const PERIOD_START: i64 = 1_000_000_000_000;
-/// How long a test waits for the service.
+/// The longest wait of a test for the service.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval at which a test looks for what it waits for.
+/// Interval at which a test polls a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until `condition` holds.
@@ -193,7 +193,7 @@
     assert!(!statement.members[0].is_missing);
     let document = "statement-2001-09-09T014640.000Z-t.json";
     wait_for("document", || service.exported().contains(&document.into()));
-    // What is in the store is removed from the log, up to the segment that is being written.
+    // Segments whose records are in the store are removed, except the last one.
     assert!(log::segments(&log_directory).unwrap().len() > 1);
     wait_for("acknowledgement", || {
         write_record(&mut writer, 501, PERIOD_START + PERIOD_MS);
--- a/crates/usage-ledger/tests/store/closing.rs
+++ b/crates/usage-ledger/tests/store/closing.rs
@@ -1,21 +1,20 @@
-//! Closing periods: late records, clocks, and runs that died.
+//! Closing periods: late records, clock skew, and runs without a closing mark.
 
 use crate::harness::{
     adjusted_requests, batch, complete_record, header, mark, own_requests, period, rejected, retry,
-    StoreHarness, FIRST, PERIOD,
+    StoreHarness, FIRST_MS, PERIOD_MS,
 };
 use usage_ledger::wire::{entry::What, Batch, Entry};
 
 #[test]
 fn late_records_adjust_the_next_statement_and_leave_closed_ones_unchanged() {
     let mut harness = StoreHarness::new();
-    // A retry whose first request's record is still at its aggregator, at the end of one period
-    // and the start of the next.
+    // A retry near the end of a period, whose first request is not collected yet.
     let orphan = batch(
         1,
         vec![
-            retry(complete_record(1, FIRST + PERIOD + 30, 4)),
-            mark(1, FIRST + 9000, false),
+            retry(complete_record(1, FIRST_MS + PERIOD_MS + 30, 4)),
+            mark(1, FIRST_MS + 9000, false),
         ],
     );
     harness.ingest("n0", &orphan);
@@ -31,15 +30,14 @@
     let first = harness.close(1, &["n1"]);
     assert_eq!((own_requests(&first), first.total), (1, 10));
     let before = harness.store.statements().unwrap();
-    // The silent member returns with the first request: one logical request, in the first one's
-    // period.
+    // The first request is collected late: one logical request, in the period of the first one.
     let late = harness.ingest(
         "n1",
         &batch(
             7,
             vec![
-                rejected(1, FIRST + PERIOD - 20, 4),
-                mark(1, FIRST + 9000, false),
+                rejected(1, FIRST_MS + PERIOD_MS - 20, 4),
+                mark(1, FIRST_MS + 9000, false),
             ],
         ),
     );
@@ -67,14 +65,18 @@
     let mut harness = StoreHarness::new();
     harness.ingest(
         "n0",
-        &batch(1, vec![What::Record(complete_record(1, FIRST + 10, 2))]),
+        &batch(1, vec![What::Record(complete_record(1, FIRST_MS + 10, 2))]),
     );
     harness.close(0, &[]);
     harness.ingest(
         "n0",
         &batch(
             1,
-            vec![What::Record(complete_record(2, FIRST - 5 * PERIOD + 10, 4))],
+            vec![What::Record(complete_record(
+                2,
+                FIRST_MS - 5 * PERIOD_MS + 10,
+                4,
+            ))],
         ),
     );
     let next = harness.close(1, &[]);
@@ -88,15 +90,15 @@
 #[test]
 fn clock_skew_and_a_clock_that_steps_back_count_each_request_once() {
     let mut harness = StoreHarness::new();
-    // n1 is behind: the retry that it took seems to come before the first request, across
-    // the end of the period.
+    // The clock of n1 is behind: its retry seems to arrive before the first request, in the
+    // previous period.
     harness.ingest(
         "n0",
         &batch(
             1,
             vec![
-                rejected(1, FIRST + PERIOD + 5, 4),
-                mark(1, FIRST + 5000, false),
+                rejected(1, FIRST_MS + PERIOD_MS + 5, 4),
+                mark(1, FIRST_MS + 5000, false),
             ],
         ),
     );
@@ -105,8 +107,8 @@
         &batch(
             1,
             vec![
-                retry(complete_record(1, FIRST + PERIOD - 10, 4)),
-                mark(1, FIRST + 5000, false),
+                retry(complete_record(1, FIRST_MS + PERIOD_MS - 10, 4)),
+                mark(1, FIRST_MS + 5000, false),
             ],
         ),
     );
@@ -120,20 +122,20 @@
         ),
         (1, 1, 2)
     );
-    // A restart steps a clock back: its records are late by then, and counted all the same.
+    // A clock steps back at a restart: the records are late, and still counted.
     harness.ingest(
         "n0",
         &batch(
             2,
             vec![
-                What::Record(complete_record(1, FIRST + 500, 6)),
-                mark(1, FIRST + 900, false),
+                What::Record(complete_record(1, FIRST_MS + 500, 6)),
+                mark(1, FIRST_MS + 900, false),
             ],
         ),
     );
     assert_eq!(
         harness.store.member_statuses().unwrap()[0].complete_until_ms,
-        FIRST + 900,
+        FIRST_MS + 900,
         "its last run is the one that counts"
     );
     let second = harness.close(2, &[]);
@@ -145,11 +147,11 @@
 }
 
 #[test]
-fn an_answer_of_a_run_that_died_right_after_it_may_be_retried() {
+fn an_answer_of_a_run_without_a_closing_mark_may_be_retried() {
     let mut harness = StoreHarness::new();
     let last = vec![
-        mark(0, FIRST, false),
-        What::Record(complete_record(1, FIRST + 10, 4)),
+        mark(0, FIRST_MS, false),
+        What::Record(complete_record(1, FIRST_MS + 10, 4)),
     ];
     harness.ingest("n0", &batch(1, last));
     harness.ingest(
@@ -157,19 +159,19 @@
         &batch(
             1,
             vec![
-                retry(complete_record(1, FIRST + 60, 4)),
-                mark(1, FIRST + 5000, false),
+                retry(complete_record(1, FIRST_MS + 60, 4)),
+                mark(1, FIRST_MS + 5000, false),
             ],
         ),
     );
-    // So far it may be alive: the answer counts, and the retry with it.
+    // The run may not have ended yet: the answer counts, and the retry as another request.
     let first = harness.close(0, &["n0"]);
     assert_eq!(
         (own_requests(&first), first.lines[0].counts.ambiguous),
         (2, 1)
     );
-    // It is back without a closing mark: the retry was of that answer.
-    harness.ingest("n0", &batch(2, vec![mark(0, FIRST + 5000, false)]));
+    // A later run has begun and there is no closing mark: the retry belongs to that request.
+    harness.ingest("n0", &batch(2, vec![mark(0, FIRST_MS + 5000, false)]));
     let next = harness.close(1, &[]);
     assert_eq!(
         (
@@ -188,8 +190,8 @@
     let mut records = batch(
         1,
         vec![
-            What::Record(complete_record(1, FIRST, 2)),
-            What::Record(complete_record(5, FIRST + 1, 4)),
+            What::Record(complete_record(1, FIRST_MS, 2)),
+            What::Record(complete_record(5, FIRST_MS + 1, 4)),
         ],
     );
     records.damage.push(usage_ledger::wire::Damage {
@@ -198,12 +200,12 @@
         to: 9,
     });
     harness.ingest("n0", &records);
-    harness.ingest("n0", &batch(1, vec![mark(7, FIRST + 10, false)]));
-    // The next run's settings know one tenant less.
+    harness.ingest("n0", &batch(1, vec![mark(7, FIRST_MS + 10, false)]));
+    // The settings of the next run have one tenant less.
     let next = Batch {
         header: header(2, &["u"]),
         entries: vec![Entry {
-            what: Some(What::Record(complete_record(1, FIRST + 20, 6))),
+            what: Some(What::Record(complete_record(1, FIRST_MS + 20, 6))),
         }],
         damage: Vec::new(),
     };
--- a/crates/usage-ledger/tests/store/delivery.rs
+++ b/crates/usage-ledger/tests/store/delivery.rs
@@ -1,6 +1,6 @@
 //! Random records under random delivery.
 
-use crate::harness::{batch, complete_record, mark, StoreHarness, BOUNDS, FIRST, PERIOD};
+use crate::harness::{batch, complete_record, mark, StoreHarness, BOUNDS, FIRST_MS, PERIOD_MS};
 use proptest::prelude::*;
 use usage_ledger::join::Joiner;
 use usage_ledger::rate::UsageCounts;
@@ -8,7 +8,7 @@
 
 const MEMBERS: [&str; 2] = ["n0", "n1"];
 
-/// A record as it is drawn.
+/// The random values of a record.
 type Draw = (i64, u64, bool, i32, u8, u8);
 
 /// Entries of one run of a member, delivered in this round.
@@ -26,8 +26,9 @@
     last_sequence: u64,
 }
 
-/// Makes deliveries of records. A member may end its run before a record: in order where the bit of
-/// `ends` is 0, else by dying. Where the bit of `marks` is 0 a mark follows the record.
+/// Makes deliveries of records. A member may end its run before a record: with a closing mark where
+/// the bit of `ends` is 0, otherwise by a crash. Where the bit of `marks` is 0 a mark follows the
+/// record.
 fn deliveries(draws: &[Draw], ends: u64, marks: u64) -> Vec<Delivery> {
     let first_run = Run {
         incarnation: 1,
@@ -49,7 +50,7 @@
         };
         if dice < 2 && run.last_sequence > 0 {
             if bit_is_clear(ends) {
-                let end = mark(run.last_sequence, FIRST, true);
+                let end = mark(run.last_sequence, FIRST_MS, true);
                 deliver(run.incarnation, vec![end]);
             }
             run.incarnation += 1;
@@ -65,18 +66,18 @@
             keyed,
             outcome,
             share: if is_partial { 600_000 } else { 0 },
-            ..complete_record(sequence, FIRST + offset, key)
+            ..complete_record(sequence, FIRST_MS + offset, key)
         };
         let mut entries = vec![What::Record(record)];
         if bit_is_clear(marks) {
-            entries.push(mark(sequence, FIRST, false));
+            entries.push(mark(sequence, FIRST_MS, false));
         }
         deliver(run.incarnation, entries);
     }
     deliveries
 }
 
-/// What all statements have counted.
+/// The counts of all statements.
 fn stated(harness: &StoreHarness) -> UsageCounts {
     let mut stated = UsageCounts::default();
     for stored in harness.store.statements().unwrap() {
@@ -87,7 +88,7 @@
     stated
 }
 
-/// What all records count if they are joined at once.
+/// The counts of all records if they are joined at once.
 fn joined(harness: &StoreHarness) -> UsageCounts {
     let mut counts = UsageCounts::default();
     let mut joiner = Joiner::new(BOUNDS);
@@ -101,12 +102,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random records of two members, delivered in random batches, some twice, some only after
-    /// their period was closed; members die and start again, with and without a closing mark, and
-    /// so does the settlement: all statements together come to all records joined at once.
+    /// Random records of two members are delivered in random batches, some twice, some after their
+    /// period was closed. Members and the settlement crash and are started again. All statements
+    /// together have the counts of all records joined at once.
     #[test]
     fn statements_add_up_to_the_records_in_any_order_of_delivery(
-        draws in prop::collection::vec((0i64..3 * PERIOD, 0u64..4, any::<bool>(), 0i32..5, 0u8..8, 0u8..4), 1..60),
+        draws in prop::collection::vec((0i64..3 * PERIOD_MS, 0u64..4, any::<bool>(), 0i32..5, 0u8..8, 0u8..4), 1..60),
         ends in any::<u64>(), marks in any::<u64>(),
     ) {
         let mut harness = StoreHarness::new();
@@ -122,7 +123,7 @@
             harness.restart();
             harness.close(i64::from(round), &[]);
         }
-        // One more, for what came late to the last.
+        // One more period, for adjustments of the last one.
         harness.close(4, &[]);
         harness.assert_verified();
         let stated = stated(&harness);
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -1,6 +1,6 @@
 //! Corrections, documents and their export.
 
-use crate::harness::{batch, complete_record, period, StoreHarness, FIRST};
+use crate::harness::{batch, complete_record, period, StoreHarness, FIRST_MS};
 use std::path::Path;
 use std::time::Duration;
 use usage_ledger::document::Document;
@@ -14,7 +14,7 @@
     let mut harness = StoreHarness::new();
     harness.ingest(
         "n0",
-        &batch(1, vec![What::Record(complete_record(1, FIRST, 2))]),
+        &batch(1, vec![What::Record(complete_record(1, FIRST_MS, 2))]),
     );
     let correction = |id: &str, amount| CorrectionLine {
         id: id.into(),
@@ -25,14 +25,14 @@
     };
     assert!(harness
         .store
-        .enter_correction(&correction("early", -3), period(0), FIRST)
+        .enter_correction(&correction("early", -3), period(0), FIRST_MS)
         .unwrap()
         .is_none());
     let statement = harness.close(0, &[]);
     assert_eq!((statement.total, statement.corrections.len()), (7, 1));
     let credit = harness
         .store
-        .enter_correction(&correction("late", -4), period(0), FIRST)
+        .enter_correction(&correction("late", -4), period(0), FIRST_MS)
         .unwrap()
         .unwrap();
     let hash = harness.store.statements().unwrap().remove(0).hash;
@@ -51,7 +51,7 @@
     assert_eq!(
         harness
             .store
-            .enter_correction(&correction("more", 4), period(0), FIRST)
+            .enter_correction(&correction("more", 4), period(0), FIRST_MS)
             .unwrap()
             .unwrap()
             .kind,
@@ -60,7 +60,7 @@
     assert!(
         harness
             .store
-            .enter_correction(&correction("late", -4), period(0), FIRST)
+            .enter_correction(&correction("late", -4), period(0), FIRST_MS)
             .is_err(),
         "one of each id"
     );
@@ -68,7 +68,7 @@
     harness.assert_verified();
 }
 
-/// The attempt has put the document into the folder, has posted nothing, and has not failed.
+/// The attempt has written the document to the folder, has posted nothing, and has not failed.
 fn assert_only_in_folder(delivery: &Delivery) {
     let Delivery {
         in_folder,
@@ -78,14 +78,14 @@
     assert!(*in_folder && !posted && error.is_none(), "{delivery:?}");
 }
 
-/// Killed between close and export, and between an export and its note: the same document goes out
-/// again.
+/// The process is killed between close and export, and between an export and the update of the
+/// outbox: the same document is sent again.
 #[test]
 fn a_document_survives_crashes_under_one_id_with_the_same_bytes() {
     let mut harness = StoreHarness::new();
     harness.ingest(
         "n0",
-        &batch(1, vec![What::Record(complete_record(1, FIRST, 2))]),
+        &batch(1, vec![What::Record(complete_record(1, FIRST_MS, 2))]),
     );
     harness.close(0, &[]);
     harness.restart();
@@ -101,7 +101,7 @@
     let bytes =
         |folder: &Path| std::fs::read(folder.join(format!("{}.json", waiting[0].id))).unwrap();
     let first = bytes(folder.path());
-    // It went out, and the process died before it was noted.
+    // The document was sent, and the process was killed before the outbox was updated.
     harness.restart();
     let again = harness.store.undelivered_documents(&to).unwrap();
     assert_eq!(again, waiting);
@@ -109,7 +109,7 @@
     assert_only_in_folder(&delivery);
     harness
         .store
-        .record_delivery(&again[0].id, &delivery, FIRST)
+        .record_delivery(&again[0].id, &delivery, FIRST_MS)
         .unwrap();
     assert_eq!(
         (
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -1,4 +1,4 @@
-//! A store under test, and the records it is given.
+//! A store under test, and records for it.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -13,17 +13,18 @@
     horizon_ms: 150,
     skew_ms: 20,
 };
-pub const PERIOD: i64 = 1000;
-pub const FIRST: i64 = 1_000_000;
+pub const PERIOD_MS: i64 = 1000;
+/// The start of the first period, in Unix milliseconds.
+pub const FIRST_MS: i64 = 1_000_000;
 
 pub fn calendar() -> Calendar {
-    Calendar(PeriodLength::Milliseconds(PERIOD))
+    Calendar(PeriodLength::Milliseconds(PERIOD_MS))
 }
 
 pub fn period(n: i64) -> Period {
     Period {
-        start_ms: FIRST + n * PERIOD,
-        end_ms: FIRST + (n + 1) * PERIOD,
+        start_ms: FIRST_MS + n * PERIOD_MS,
+        end_ms: FIRST_MS + (n + 1) * PERIOD_MS,
     }
 }
 
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The process dies and starts again.
+    /// The process crashes and is started again.
     pub fn restart(&mut self) {
         self.store = Store::open(&self.path).unwrap();
     }
@@ -76,7 +77,7 @@
             allowances: &self.allowances,
             members: vec!["n0".into(), "n1".into()],
             missing: &missing,
-            now_ms: FIRST + 100 * PERIOD,
+            now_ms: FIRST_MS + 100 * PERIOD_MS,
         };
         self.store.close_period(period(n), &terms).unwrap()
     }
--- a/crates/usage-ledger/tests/store/ingest.rs
+++ b/crates/usage-ledger/tests/store/ingest.rs
@@ -1,7 +1,7 @@
 //! What is delivered twice, in another order, or after a crash.
 
 use crate::harness::{
-    batch, complete_record, mark, own_requests, rejected, retry, StoreHarness, FIRST,
+    batch, complete_record, mark, own_requests, rejected, retry, StoreHarness, FIRST_MS,
 };
 use usage_ledger::log::LogPosition;
 use usage_ledger::wire::entry::What;
@@ -12,19 +12,19 @@
     let one = batch(
         1,
         vec![
-            What::Record(complete_record(1, FIRST, 2)),
-            rejected(2, FIRST + 5, 4),
+            What::Record(complete_record(1, FIRST_MS, 2)),
+            rejected(2, FIRST_MS + 5, 4),
         ],
     );
     let two = batch(
         1,
         vec![
-            retry(complete_record(3, FIRST + 60, 4)),
-            mark(3, FIRST + 5000, false),
+            retry(complete_record(3, FIRST_MS + 60, 4)),
+            mark(3, FIRST_MS + 5000, false),
         ],
     );
     assert_eq!(harness.ingest("n0", &one).new, 2);
-    // Killed between ingest and acknowledgement: it is sent again.
+    // Killed between ingestion and acknowledgement: the batch is sent again.
     harness.restart();
     assert_eq!(
         (
--- a/crates/usage-ledger/tests/store/reconciliation.rs
+++ b/crates/usage-ledger/tests/store/reconciliation.rs
@@ -1,7 +1,7 @@
 //! Reconciliation of the records with what clients have recorded.
 
 use crate::harness::{
-    batch, calendar, complete_record, period, rejected, StoreHarness, BOUNDS, FIRST, PERIOD,
+    batch, calendar, complete_record, period, rejected, StoreHarness, BOUNDS, FIRST_MS, PERIOD_MS,
 };
 use usage_ledger::reconcile::{
     reconcile_with_clients, ClientUsageRow, DifferenceKind, RequestTotals, TotalKey,
@@ -23,20 +23,20 @@
 fn totals_and_single_requests_are_compared_within_the_range() {
     let mut harness = StoreHarness::new();
     let records = vec![
-        What::Record(complete_record(1, FIRST, 2)),
-        What::Record(complete_record(2, FIRST + 10, 4)),
-        rejected(3, FIRST + 20, 6),
-        What::Record(complete_record(4, FIRST + PERIOD, 8)),
-        What::Record(complete_record(5, FIRST + 2 * PERIOD, 10)),
+        What::Record(complete_record(1, FIRST_MS, 2)),
+        What::Record(complete_record(2, FIRST_MS + 10, 4)),
+        rejected(3, FIRST_MS + 20, 6),
+        What::Record(complete_record(4, FIRST_MS + PERIOD_MS, 8)),
+        What::Record(complete_record(5, FIRST_MS + 2 * PERIOD_MS, 10)),
     ];
     harness.ingest("n0", &batch(1, records));
     let clients = [
-        client_usage_row(FIRST + 2 * PERIOD, "whole", 10),
-        client_usage_row(FIRST + PERIOD + 1, "whole", 12),
-        client_usage_row(FIRST + 20, "whole", 6),
-        client_usage_row(FIRST, "whole", 2),
+        client_usage_row(FIRST_MS + 2 * PERIOD_MS, "whole", 10),
+        client_usage_row(FIRST_MS + PERIOD_MS + 1, "whole", 12),
+        client_usage_row(FIRST_MS + 20, "whole", 6),
+        client_usage_row(FIRST_MS, "whole", 2),
     ];
-    let range = FIRST..FIRST + 2 * PERIOD;
+    let range = FIRST_MS..FIRST_MS + 2 * PERIOD_MS;
     let reconciled =
         reconcile_with_clients(&harness.store, &calendar(), BOUNDS, range, &clients).unwrap();
     let total = |n, pair| {
--- a/crates/usage-ledger/tests/store/verification.rs
+++ b/crates/usage-ledger/tests/store/verification.rs
@@ -1,6 +1,6 @@
 //! Verification of a store that was tampered with, and of its version.
 
-use crate::harness::{batch, complete_record, StoreHarness, BOUNDS, FIRST};
+use crate::harness::{batch, complete_record, StoreHarness, BOUNDS, FIRST_MS};
 use usage_ledger::store::{Store, VerificationFault};
 use usage_ledger::wire::entry::What;
 
@@ -29,7 +29,7 @@
         let mut harness = StoreHarness::new();
         harness.ingest(
             "n0",
-            &batch(1, vec![What::Record(complete_record(1, FIRST, 2))]),
+            &batch(1, vec![What::Record(complete_record(1, FIRST_MS, 2))]),
         );
         harness.close(0, &[]);
         harness.close(1, &[]);
