--- a/crates/usage-ledger/src/closing_decision.rs
+++ b/crates/usage-ledger/src/closing_decision.rs
@@ -15,6 +15,14 @@
     pub complete_until_ms: Option<i64>,
 }
 
+impl MemberProgress {
+    /// Whether all records that arrived before `until_ms` are known.
+    fn is_complete_until(&self, until_ms: i64) -> bool {
+        self.complete_until_ms
+            .is_some_and(|complete_until_ms| complete_until_ms >= until_ms)
+    }
+}
+
 /// Whether a period may close.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClosingDecision {
@@ -39,11 +47,7 @@
     let until_ms = bounds.arrivals(period).end;
     let missing: Vec<String> = members
         .iter()
-        .filter(|member| {
-            member
-                .complete_until_ms
-                .is_none_or(|complete_until_ms| complete_until_ms < until_ms)
-        })
+        .filter(|member| !member.is_complete_until(until_ms))
         .map(|member| member.member.clone())
         .collect();
     if now_ms < until_ms {
--- a/crates/usage-ledger/src/period_settler.rs
+++ b/crates/usage-ledger/src/period_settler.rs
@@ -87,28 +87,39 @@
 
 impl PeriodCount {
     fn add(&mut self, request: &LogicalRequest) {
-        let first = request.first();
-        let SettledPeriod {
-            lines,
-            carry_over,
-            ambiguous,
-        } = &mut self.settled;
-        if first.arrived_at_ms >= self.period.end_ms {
-            let retries = request.ambiguous.iter();
-            let retries = retries.filter(|id| id.arrived_at_ms <= self.retry_until_ms);
-            carry_over.ambiguous_retries.extend(retries);
-            return;
+        if request.first().arrived_at_ms < self.period.end_ms {
+            self.count(request);
+            self.carry_records(request);
+        } else {
+            self.carry_ambiguous_retries(request);
         }
+    }
+
+    /// Counts a request of this period.
+    fn count(&mut self, request: &LogicalRequest) {
+        let first = request.first();
         let key = LineKey {
             tenant_id: first.tenant_id,
             class_id: first.class_id,
         };
-        lines.entry(key).or_default().add(request);
-        let records = request.records.iter();
-        let near_end = records.filter(|record| record.arrived_at_ms >= self.carry_from_ms);
-        carry_over.carried.extend(near_end.map(UsageRecord::id));
+        self.settled.lines.entry(key).or_default().add(request);
         if !request.ambiguous.is_empty() {
-            ambiguous.push(first.id());
+            self.settled.ambiguous.push(first.id());
         }
     }
+
+    /// Keeps the records of a request of this period from being counted in the next one.
+    fn carry_records(&mut self, request: &LogicalRequest) {
+        let records = request.records.iter();
+        let near_end = records.filter(|record| record.arrived_at_ms >= self.carry_from_ms);
+        let carried = &mut self.settled.carry_over.carried;
+        carried.extend(near_end.map(UsageRecord::id));
+    }
+
+    /// Keeps the ambiguous retries of a later request that could belong to one of this period.
+    fn carry_ambiguous_retries(&mut self, request: &LogicalRequest) {
+        let retries = request.ambiguous.iter();
+        let in_reach = retries.filter(|id| id.arrived_at_ms <= self.retry_until_ms);
+        self.settled.carry_over.ambiguous_retries.extend(in_reach);
+    }
 }
--- a/crates/usage-ledger/src/reconcile/comparison.rs
+++ b/crates/usage-ledger/src/reconcile/comparison.rs
@@ -27,22 +27,7 @@
         report: ReconciliationReport::default(),
         unmatched: BTreeMap::new(),
     };
-    let names = store.names_by_id()?;
-    let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
-    let mut add = |request: LogicalRequest| {
-        let first = request.first();
-        let key = RequestKey {
-            tenant: name(first.tenant_id),
-            class: name(first.class_id),
-            key: format!("{:016x}", first.key),
-        };
-        comparison.add_ledger_request(key, request);
-    };
-    let mut joiner = Joiner::new(bounds);
-    for record in store.records(arrivals.start, arrivals.end)? {
-        joiner.push(record, &mut add);
-    }
-    joiner.finish(&mut add);
+    comparison.add_ledger(store, bounds, &arrivals)?;
     let client_rows = client_rows.iter();
     let mut client_rows: Vec<&ClientUsageRow> = client_rows
         .filter(|row| arrivals.contains(&row.at_ms))
@@ -69,13 +54,30 @@
 }
 
 impl Comparison<'_> {
-    fn total(&mut self, at_ms: i64, key: &RequestKey) -> &mut RequestTotals {
-        let total = TotalKey {
-            period: self.calendar.period_at(at_ms).name(),
-            tenant: key.tenant.clone(),
-            class: key.class.clone(),
+    /// Joins the records of the ledger that arrived in a range of Unix milliseconds.
+    fn add_ledger(
+        &mut self,
+        store: &Store,
+        bounds: JoinBounds,
+        arrivals: &Range<i64>,
+    ) -> Result<(), StoreError> {
+        let names = store.names_by_id()?;
+        let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
+        let mut add = |request: LogicalRequest| {
+            let first = request.first();
+            let key = RequestKey {
+                tenant: name(first.tenant_id),
+                class: name(first.class_id),
+                key: format!("{:016x}", first.key),
+            };
+            self.add_ledger_request(key, request);
         };
-        self.report.totals.entry(total).or_default()
+        let mut joiner = Joiner::new(bounds);
+        for record in store.records(arrivals.start, arrivals.end)? {
+            joiner.push(record, &mut add);
+        }
+        joiner.finish(&mut add);
+        Ok(())
     }
 
     fn add_ledger_request(&mut self, key: RequestKey, request: LogicalRequest) {
@@ -93,6 +95,12 @@
         for row in client_rows {
             self.match_client_row(row);
         }
+        self.add_unmatched_requests();
+        self.report
+    }
+
+    /// Reports the requests of the ledger that no client has recorded.
+    fn add_unmatched_requests(&mut self) {
         for (key, requests) in std::mem::take(&mut self.unmatched) {
             for request in requests {
                 self.add_difference(
@@ -104,7 +112,6 @@
                 );
             }
         }
-        self.report
     }
 
     fn match_client_row(&mut self, row: &ClientUsageRow) {
@@ -128,6 +135,15 @@
         self.add_difference(kind, &key, row.at_ms, ledger_name, Some(&row.outcome));
     }
 
+    fn total(&mut self, at_ms: i64, key: &RequestKey) -> &mut RequestTotals {
+        let total = TotalKey {
+            period: self.calendar.period_at(at_ms).name(),
+            tenant: key.tenant.clone(),
+            class: key.class.clone(),
+        };
+        self.report.totals.entry(total).or_default()
+    }
+
     fn add_difference(
         &mut self,
         kind: DifferenceKind,
--- a/crates/usage-ledger/src/writer/handle.rs
+++ b/crates/usage-ledger/src/writer/handle.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// How long [`UsageLogWriter::close`] waits for the thread.
+/// The longest time that [`UsageLogWriter::close`] waits for the thread.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which [`UsageLogWriter::close`] looks whether the thread has ended.
+/// Interval at which [`UsageLogWriter::close`] checks whether the thread has ended.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The handle of a running writer.
--- a/crates/usage-ledger/src/writer/run_tables.rs
+++ b/crates/usage-ledger/src/writer/run_tables.rs
@@ -4,7 +4,7 @@
 use crate::wire::{Class, Header};
 
 /// Nanoseconds in a millisecond.
-const NANOSECONDS_PER_MS: u64 = 1_000_000;
+pub(super) const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
 /// The tables that the numbers in records refer to, for one run of an aggregator.
 #[derive(Clone, Debug, Default)]
--- a/crates/usage-ledger/src/writer/start.rs
+++ b/crates/usage-ledger/src/writer/start.rs
@@ -4,7 +4,7 @@
 use super::disk::{Disk, FileSystem};
 use super::error::StartError;
 use super::handle::UsageLogWriter;
-use super::run_tables::RunTables;
+use super::run_tables::{RunTables, NANOSECONDS_PER_MS};
 use super::thread::WriterThread;
 use crate::log::{cut_torn_tail, segments, Segment};
 use crate::settings::UsageLogSettings;
@@ -15,22 +15,19 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Nanoseconds in a millisecond.
-const NANOSECONDS_PER_MS: u64 = 1_000_000;
-
 /// Opens the log for a new run and starts its writer. If the settings have a listen address, the
 /// log is offered for collection there. A partial write at the end of the log is cut off.
 ///
-/// `now` is the time in Unix nanoseconds.
+/// `now_ns` is the time in Unix nanoseconds.
 ///
 /// # Errors
 /// The directory can't be used or is locked by another process, or the address can't be bound.
 pub fn start(
     settings: &UsageLogSettings,
     tables: RunTables,
-    now: u64,
+    now_ns: u64,
 ) -> Result<UsageLogWriter, StartError> {
-    let mut writer = start_on(FileSystem, settings, tables, now)?;
+    let mut writer = start_on(FileSystem, settings, tables, now_ns)?;
     if let Some(address) = settings.listen_address {
         let bound_address = crate::collect::listen(address, settings.directory.clone())?;
         writer.collection_address = Some(bound_address);
@@ -46,20 +43,17 @@
     disk: impl Disk,
     settings: &UsageLogSettings,
     tables: RunTables,
-    now: u64,
+    now_ns: u64,
 ) -> Result<UsageLogWriter, StartError> {
     let directory = &settings.directory;
-    let at_directory = |source: io::Error| StartError::Directory {
+    let in_directory = |source: io::Error| StartError::Directory {
         directory: directory.clone(),
         source,
     };
-    fs::create_dir_all(directory).map_err(at_directory)?;
+    fs::create_dir_all(directory).map_err(in_directory)?;
     let lock = lock(directory)?;
-    let existing = segments(directory).map_err(at_directory)?;
-    if let Some(last) = existing.last() {
-        repair(last).map_err(at_directory)?;
-    }
-    let incarnation = next_incarnation(now, existing.last());
+    let last_segment = repaired_last_segment(directory).map_err(in_directory)?;
+    let incarnation = next_incarnation(now_ns, last_segment.as_ref());
     let (queue, entries) = sync_channel(settings.queue_entries);
     let (publish_written, written) = watch::channel(0);
     let counters = Arc::<WriterCounters>::default();
@@ -99,21 +93,25 @@
     }
 }
 
-fn repair(last: &Segment) -> io::Result<()> {
-    let torn = cut_torn_tail(last)?;
-    if torn > 0 {
+/// The last segment of the log, after a partial write at its end was cut off; `None` for a new log.
+fn repaired_last_segment(directory: &Path) -> io::Result<Option<Segment>> {
+    let Some(last) = segments(directory)?.pop() else {
+        return Ok(None);
+    };
+    let torn_bytes = cut_torn_tail(&last)?;
+    if torn_bytes > 0 {
         tracing::warn!(
             segment = last.name(),
-            bytes = torn,
+            bytes = torn_bytes,
             "a partial record at the end of the log was cut off"
         );
     }
-    Ok(())
+    Ok(Some(last))
 }
 
 /// The incarnation of the new run: later than that of any earlier run, even if the clock has
 /// stepped back.
 fn next_incarnation(now_ns: u64, last: Option<&Segment>) -> u64 {
-    let last = last.map_or(0, |segment| segment.incarnation);
-    (now_ns / NANOSECONDS_PER_MS).max(last + 1)
+    let last_incarnation = last.map_or(0, |segment| segment.incarnation);
+    (now_ns / NANOSECONDS_PER_MS).max(last_incarnation + 1)
 }
