--- a/crates/usage-ledger/src/collect.rs
+++ b/crates/usage-ledger/src/collect.rs
@@ -47,12 +47,46 @@
     Transport(#[from] tonic::transport::Error),
 }
 
-struct Service {
+/// Offers a log for collection, on a thread that runs until the process ends. Returns the bound
+/// address, whose port is chosen by the system if `address` has port 0.
+///
+/// # Errors
+/// The address can't be listened on.
+pub fn listen(address: SocketAddr, directory: PathBuf) -> Result<SocketAddr, ListenError> {
+    let listener = std::net::TcpListener::bind(address)
+        .map_err(|source| ListenError::Bind { address, source })?;
+    listener.set_nonblocking(true)?;
+    let bound_address = listener.local_addr()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    thread::Builder::new()
+        .name("usage collection".into())
+        .spawn(move || {
+            if let Err(error) = runtime.block_on(serve(listener, directory)) {
+                tracing::error!(error = error.to_string(), "usage collection ended");
+            }
+        })?;
+    Ok(bound_address)
+}
+
+async fn serve(listener: std::net::TcpListener, directory: PathBuf) -> Result<(), ServeError> {
+    let listener = TcpListener::from_std(listener)?;
+    let service = UsageLogServer::new(CollectionService { directory });
+    tonic::transport::Server::builder()
+        .add_service(service)
+        .serve_with_incoming(TcpListenerStream::new(listener))
+        .await?;
+    Ok(())
+}
+
+/// The gRPC service that reads the log in a directory.
+struct CollectionService {
     directory: PathBuf,
 }
 
 #[tonic::async_trait]
-impl UsageLog for Service {
+impl UsageLog for CollectionService {
     type FollowStream = ReceiverStream<Result<Batch, Status>>;
 
     async fn follow(
@@ -133,36 +167,3 @@
         }
     }
 }
-
-/// Offers a log for collection, on a thread that runs until the process ends. Returns the bound
-/// address, whose port is chosen by the system if `address` has port 0.
-///
-/// # Errors
-/// The address can't be listened on.
-pub fn listen(address: SocketAddr, directory: PathBuf) -> Result<SocketAddr, ListenError> {
-    let listener = std::net::TcpListener::bind(address)
-        .map_err(|source| ListenError::Bind { address, source })?;
-    listener.set_nonblocking(true)?;
-    let bound_address = listener.local_addr()?;
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()?;
-    thread::Builder::new()
-        .name("usage collection".into())
-        .spawn(move || {
-            if let Err(error) = runtime.block_on(serve(listener, directory)) {
-                tracing::error!(error = error.to_string(), "usage collection ended");
-            }
-        })?;
-    Ok(bound_address)
-}
-
-async fn serve(listener: std::net::TcpListener, directory: PathBuf) -> Result<(), ServeError> {
-    let listener = TcpListener::from_std(listener)?;
-    let service = UsageLogServer::new(Service { directory });
-    tonic::transport::Server::builder()
-        .add_service(service)
-        .serve_with_incoming(TcpListenerStream::new(listener))
-        .await?;
-    Ok(())
-}
--- a/crates/usage-ledger/src/export.rs
+++ b/crates/usage-ledger/src/export.rs
@@ -54,6 +54,24 @@
     }
 }
 
+/// Sends a document to each destination that it has not reached.
+pub fn deliver(target: &ExportTarget, document: &OutgoingDocument) -> Delivery {
+    let mut delivery = Delivery::default();
+    if let Some(folder) = target.folder.as_ref().filter(|_| !document.in_folder) {
+        delivery.in_folder = delivery.record_result(write_to_folder(folder, document));
+    }
+    if let Some(url) = target.url.as_ref().filter(|_| !document.posted) {
+        delivery.posted = delivery.record_result(post(url, target.timeout, document));
+    }
+    delivery
+}
+
+/// The pause after `attempts` failed attempts: exponential backoff.
+pub fn retry_backoff(retry_delay: Duration, attempts: u32) -> Duration {
+    let doublings = attempts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+    retry_delay * 2u32.pow(doublings)
+}
+
 /// Writes a document to a folder, atomically, by a rename.
 ///
 /// # Errors
@@ -91,21 +109,3 @@
     }
     Err(DeliveryError::Rejected(status))
 }
-
-/// The pause after `attempts` failed attempts: exponential backoff.
-pub fn retry_backoff(retry_delay: Duration, attempts: u32) -> Duration {
-    let doublings = attempts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
-    retry_delay * 2u32.pow(doublings)
-}
-
-/// Sends a document to each destination that it has not reached.
-pub fn deliver(target: &ExportTarget, document: &OutgoingDocument) -> Delivery {
-    let mut delivery = Delivery::default();
-    if let Some(folder) = target.folder.as_ref().filter(|_| !document.in_folder) {
-        delivery.in_folder = delivery.record_result(write_to_folder(folder, document));
-    }
-    if let Some(url) = target.url.as_ref().filter(|_| !document.posted) {
-        delivery.posted = delivery.record_result(post(url, target.timeout, document));
-    }
-    delivery
-}
--- a/crates/usage-ledger/src/join/joiner.rs
+++ b/crates/usage-ledger/src/join/joiner.rs
@@ -5,35 +5,6 @@
 use super::record::{RecordId, UsageRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// The properties that all records of a logical request share.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct GroupKey {
-    tenant_id: u32,
-    class_id: u32,
-    key: u64,
-    has_idempotency_key: bool,
-}
-
-impl GroupKey {
-    fn of(record: &UsageRecord) -> GroupKey {
-        GroupKey {
-            tenant_id: record.tenant_id,
-            class_id: record.class_id,
-            key: record.key,
-            has_idempotency_key: record.has_idempotency_key,
-        }
-    }
-}
-
-/// The time after which a logical request can't be joined any more. Deadlines sort by time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Deadline {
-    /// Unix milliseconds.
-    expires_at_ms: i64,
-    /// The first record of the request.
-    first: RecordId,
-}
-
 /// Joins records that are pushed in the order of [`UsageRecord::id`]. It keeps only the logical
 /// requests that may still be joined.
 #[derive(Debug)]
@@ -195,6 +166,35 @@
     }
 }
 
+/// The properties that all records of a logical request share.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct GroupKey {
+    tenant_id: u32,
+    class_id: u32,
+    key: u64,
+    has_idempotency_key: bool,
+}
+
+impl GroupKey {
+    fn of(record: &UsageRecord) -> GroupKey {
+        GroupKey {
+            tenant_id: record.tenant_id,
+            class_id: record.class_id,
+            key: record.key,
+            has_idempotency_key: record.has_idempotency_key,
+        }
+    }
+}
+
+/// The time after which a logical request can't be joined any more. Deadlines sort by time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Deadline {
+    /// Unix milliseconds.
+    expires_at_ms: i64,
+    /// The first record of the request.
+    first: RecordId,
+}
+
 /// The arrival times of the logical requests that a retry may join.
 #[derive(Clone, Copy, Debug)]
 struct RetryReach {
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -15,73 +15,6 @@
 /// Upper bound of the length of magic number and frame head, which precede the header, in bytes.
 const HEADER_MARGIN_BYTES: u64 = 64;
 
-/// Reads the header of a segment; `None` if it is damaged.
-fn read_header(segment: &Segment) -> io::Result<Option<SegmentHeader>> {
-    let mut bytes = Vec::new();
-    File::open(&segment.path)?
-        .take(MAX_HEADER_BYTES as u64 + HEADER_MARGIN_BYTES)
-        .read_to_end(&mut bytes)?;
-    Ok(parse_header(&bytes))
-}
-
-/// A segment that is being read.
-#[derive(Debug)]
-struct OpenSegment {
-    segment: Segment,
-    header: Option<Header>,
-    /// Offset of the next byte to read.
-    offset: u64,
-}
-
-impl OpenSegment {
-    /// Reads items from the offset on, until there is one or the end of the file is reached.
-    fn read_items(&self, max_items: usize) -> io::Result<ReadItems> {
-        let mut file = File::open(&self.segment.path)?;
-        file.seek(SeekFrom::Start(self.offset))?;
-        let mut bytes = Vec::new();
-        let mut wanted = CHUNK_BYTES;
-        loop {
-            let missing = wanted - bytes.len() as u64;
-            let received = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
-            let content = read_items(&bytes, 0, max_items);
-            if !content.items.is_empty() || received < missing {
-                return Ok(ReadItems {
-                    content,
-                    length: bytes.len() as u64,
-                });
-            }
-            // All bytes are damaged: more are read to find the next frame.
-            wanted *= 2;
-        }
-    }
-}
-
-/// Items of a segment, by offsets from the position where reading started.
-struct ReadItems {
-    content: SegmentContent,
-    /// Number of bytes that were read from the file.
-    length: u64,
-}
-
-/// The result of one read of an open segment.
-struct Chunk {
-    entries: Vec<Entry>,
-    damage: Vec<Damage>,
-    /// Offset up to which the segment has been read.
-    end: u64,
-    /// Number of bytes after `end`, where there is no complete frame.
-    unread: u64,
-}
-
-/// The result of one step through the log.
-enum Step {
-    Batch(Batch),
-    /// Nothing to deliver, but there is more to read.
-    Advanced,
-    /// All of the log has been read.
-    CaughtUp,
-}
-
 /// Reads a log from a position on, batch by batch.
 #[derive(Debug)]
 pub struct LogFollower {
@@ -250,3 +183,70 @@
         position <= self.after
     }
 }
+
+/// A segment that is being read.
+#[derive(Debug)]
+struct OpenSegment {
+    segment: Segment,
+    header: Option<Header>,
+    /// Offset of the next byte to read.
+    offset: u64,
+}
+
+impl OpenSegment {
+    /// Reads items from the offset on, until there is one or the end of the file is reached.
+    fn read_items(&self, max_items: usize) -> io::Result<ReadItems> {
+        let mut file = File::open(&self.segment.path)?;
+        file.seek(SeekFrom::Start(self.offset))?;
+        let mut bytes = Vec::new();
+        let mut wanted = CHUNK_BYTES;
+        loop {
+            let missing = wanted - bytes.len() as u64;
+            let received = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
+            let content = read_items(&bytes, 0, max_items);
+            if !content.items.is_empty() || received < missing {
+                return Ok(ReadItems {
+                    content,
+                    length: bytes.len() as u64,
+                });
+            }
+            // All bytes are damaged: more are read to find the next frame.
+            wanted *= 2;
+        }
+    }
+}
+
+/// Items of a segment, by offsets from the position where reading started.
+struct ReadItems {
+    content: SegmentContent,
+    /// Number of bytes that were read from the file.
+    length: u64,
+}
+
+/// The result of one read of an open segment.
+struct Chunk {
+    entries: Vec<Entry>,
+    damage: Vec<Damage>,
+    /// Offset up to which the segment has been read.
+    end: u64,
+    /// Number of bytes after `end`, where there is no complete frame.
+    unread: u64,
+}
+
+/// The result of one step through the log.
+enum Step {
+    Batch(Batch),
+    /// Nothing to deliver, but there is more to read.
+    Advanced,
+    /// All of the log has been read.
+    CaughtUp,
+}
+
+/// Reads the header of a segment; `None` if it is damaged.
+fn read_header(segment: &Segment) -> io::Result<Option<SegmentHeader>> {
+    let mut bytes = Vec::new();
+    File::open(&segment.path)?
+        .take(MAX_HEADER_BYTES as u64 + HEADER_MARGIN_BYTES)
+        .read_to_end(&mut bytes)?;
+    Ok(parse_header(&bytes))
+}
--- a/crates/usage-ledger/src/log/format.rs
+++ b/crates/usage-ledger/src/log/format.rs
@@ -34,28 +34,6 @@
     out[start..length_at].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// A frame with a valid checksum.
-struct Frame<'a> {
-    body: &'a [u8],
-    /// Offset of the next frame.
-    end: usize,
-}
-
-/// The frame at `at`; `None` if it is not valid or goes on past the end of `bytes`.
-fn frame(bytes: &[u8], at: usize, max_body: usize) -> Option<Frame<'_>> {
-    let head = bytes.get(at..at + FRAME_HEAD_BYTES)?;
-    let (checksum, length) = head.split_at(WORD_BYTES);
-    let checksum = u32::from_le_bytes(checksum.try_into().ok()?);
-    let length = u32::from_le_bytes(length.try_into().ok()?) as usize;
-    if length == 0 || length > max_body {
-        return None;
-    }
-    let end = at + FRAME_HEAD_BYTES + length;
-    let covered = bytes.get(at + WORD_BYTES..end)?;
-    let body = &covered[WORD_BYTES..];
-    (crc32fast::hash(covered) == checksum).then_some(Frame { body, end })
-}
-
 /// An entry, or bytes that are no entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SegmentItem {
@@ -131,3 +109,25 @@
     let entry = Entry::decode(frame.body).ok()?;
     entry.what.is_some().then_some((entry, frame.end))
 }
+
+/// A frame with a valid checksum.
+struct Frame<'a> {
+    body: &'a [u8],
+    /// Offset of the next frame.
+    end: usize,
+}
+
+/// The frame at `at`; `None` if it is not valid or goes on past the end of `bytes`.
+fn frame(bytes: &[u8], at: usize, max_body: usize) -> Option<Frame<'_>> {
+    let head = bytes.get(at..at + FRAME_HEAD_BYTES)?;
+    let (checksum, length) = head.split_at(WORD_BYTES);
+    let checksum = u32::from_le_bytes(checksum.try_into().ok()?);
+    let length = u32::from_le_bytes(length.try_into().ok()?) as usize;
+    if length == 0 || length > max_body {
+        return None;
+    }
+    let end = at + FRAME_HEAD_BYTES + length;
+    let covered = bytes.get(at + WORD_BYTES..end)?;
+    let body = &covered[WORD_BYTES..];
+    (crc32fast::hash(covered) == checksum).then_some(Frame { body, end })
+}
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -15,7 +15,7 @@
 const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 const DEFAULT_KEEP_BYTES: u64 = 1 << 30;
 const DEFAULT_QUEUE_ENTRIES: u64 = 8192;
-const DEFAULT_STALL: Duration = Duration::from_millis(5);
+const DEFAULT_MAX_REPLY_DELAY: Duration = Duration::from_millis(5);
 const DEFAULT_MARK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The usage log of one aggregator.
@@ -76,7 +76,7 @@
             segment_bytes,
             keep_bytes,
             queue_entries: values.count("queue").unwrap_or(DEFAULT_QUEUE_ENTRIES) as usize,
-            max_reply_delay: values.time("stall").unwrap_or(DEFAULT_STALL),
+            max_reply_delay: values.time("stall").unwrap_or(DEFAULT_MAX_REPLY_DELAY),
             mark_interval,
             listen_address,
         }))
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -17,12 +17,12 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The state that the thread shares with its handle.
-struct Shared {
+struct ExporterState {
     target: Mutex<ExportTarget>,
     stopping: AtomicBool,
 }
 
-impl Shared {
+impl ExporterState {
     fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
@@ -30,46 +30,46 @@
 
 /// The handle of the running thread.
 pub(super) struct Exporter {
-    shared: Arc<Shared>,
+    state: Arc<ExporterState>,
     thread: JoinHandle<()>,
 }
 
 impl Exporter {
     pub(super) fn start(store_path: PathBuf, target: ExportTarget) -> Exporter {
-        let shared = Arc::new(Shared {
+        let state = Arc::new(ExporterState {
             target: Mutex::new(target),
             stopping: AtomicBool::new(false),
         });
         let thread = {
-            let shared = shared.clone();
+            let state = state.clone();
             std::thread::spawn(move || {
-                if let Err(error) = run(&store_path, &shared) {
+                if let Err(error) = run(&store_path, &state) {
                     tracing::error!(%error, "export ended");
                 }
             })
         };
-        Exporter { shared, thread }
+        Exporter { state, thread }
     }
 
     pub(super) fn reload(&self, target: ExportTarget) {
-        *lock(&self.shared.target) = target;
+        *lock(&self.state.target) = target;
     }
 
     /// Ends the thread after the document that it is sending.
     pub(super) async fn stop(self) {
-        self.shared.stopping.store(true, Ordering::Relaxed);
+        self.state.stopping.store(true, Ordering::Relaxed);
         let _ = tokio::task::spawn_blocking(move || self.thread.join()).await;
     }
 }
 
-fn run(store_path: &Path, shared: &Shared) -> Result<(), StoreError> {
+fn run(store_path: &Path, state: &ExporterState) -> Result<(), StoreError> {
     let store = Store::open(store_path)?;
     // The times of the next attempts for documents that have failed, by document id.
     let mut retry_at: HashMap<String, Instant> = HashMap::new();
-    while !shared.is_stopping() {
-        let target = lock(&shared.target).clone();
+    while !state.is_stopping() {
+        let target = lock(&state.target).clone();
         for document in store.undelivered_documents(&target)? {
-            if shared.is_stopping() {
+            if state.is_stopping() {
                 return Ok(());
             }
             let retry = retry_at.get(&document.id);
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -48,25 +48,25 @@
 }
 
 /// What the last period that starts before a time carries over.
-fn load_before(db: &Connection, before: i64) -> Result<CarryOver> {
+fn load_before(db: &Connection, before_ms: i64) -> Result<CarryOver> {
     let last = "SELECT max(start) FROM period WHERE start < ?";
-    let last: Option<i64> = db.query_row(last, [before], |row| row.get(0))?;
+    let last: Option<i64> = db.query_row(last, [before_ms], |row| row.get(0))?;
     load(db, last.unwrap_or(i64::MIN))
 }
 
-fn load(db: &Connection, period: i64) -> Result<CarryOver> {
+fn load(db: &Connection, period_start_ms: i64) -> Result<CarryOver> {
     Ok(CarryOver {
-        carried: load_ids(db, IdTable::Carried, period)?,
-        ambiguous_retries: load_ids(db, IdTable::AmbiguousRetries, period)?,
+        carried: load_ids(db, IdTable::Carried, period_start_ms)?,
+        ambiguous_retries: load_ids(db, IdTable::AmbiguousRetries, period_start_ms)?,
     })
 }
 
 /// The ids in a table for the period that starts at this time.
-fn load_ids(db: &Connection, table: IdTable, period: i64) -> Result<BTreeSet<RecordId>> {
+fn load_ids(db: &Connection, table: IdTable, period_start_ms: i64) -> Result<BTreeSet<RecordId>> {
     let table = table.name();
     let select = format!("SELECT at, member, incarnation, sequence FROM {table} WHERE period = ?");
     let mut select = db.prepare(&select)?;
-    let ids = select.query_map([period], |row| {
+    let ids = select.query_map([period_start_ms], |row| {
         Ok(RecordId {
             arrived_at_ms: row.get(0)?,
             member_id: row.get(1)?,
@@ -80,15 +80,18 @@
 fn save_ids<'a>(
     db: &Connection,
     table: IdTable,
-    period: i64,
+    period_start_ms: i64,
     ids: impl IntoIterator<Item = &'a RecordId>,
 ) -> Result<()> {
     let table = table.name();
-    db.execute(&format!("DELETE FROM {table} WHERE period = ?"), [period])?;
+    db.execute(
+        &format!("DELETE FROM {table} WHERE period = ?"),
+        [period_start_ms],
+    )?;
     let mut insert = db.prepare(&format!("INSERT INTO {table} VALUES (?, ?, ?, ?, ?)"))?;
     for id in ids {
         insert.execute(params![
-            period,
+            period_start_ms,
             id.arrived_at_ms,
             id.member_id,
             id.incarnation as i64,
--- a/crates/usage-ledger/src/store/correction.rs
+++ b/crates/usage-ledger/src/store/correction.rs
@@ -21,7 +21,7 @@
         &mut self,
         correction: &CorrectionLine,
         period: Period,
-        now: i64,
+        now_ms: i64,
     ) -> Result<Option<Document>> {
         let transaction = self.begin()?;
         let select = "SELECT hash FROM statement WHERE period = ?";
@@ -37,14 +37,14 @@
         } = correction;
         let added = transaction.execute(
             "INSERT OR IGNORE INTO correction VALUES (?, ?, ?, ?, ?, ?, ?, NULL)",
-            params![id, now, tenant, period.start_ms, amount, reason, author],
+            params![id, now_ms, tenant, period.start_ms, amount, reason, author],
         )?;
         if added == 0 {
             return Err(StoreError::DuplicateCorrection { id: id.clone() });
         }
         let document = closed.map(|hash| Document::of_correction(correction, period, &hash));
         if let Some(document) = &document {
-            outbox::insert(&transaction, document, now)?;
+            outbox::insert(&transaction, document, now_ms)?;
         }
         transaction.commit()?;
         Ok(document)
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -41,13 +41,13 @@
     Ok(())
 }
 
-fn insert_missing_period(db: &Connection, at: i64, calendar: &Calendar) -> Result<()> {
-    let period = calendar.period_at(at);
+fn insert_missing_period(db: &Connection, arrived_at_ms: i64, calendar: &Calendar) -> Result<()> {
+    let period = calendar.period_at(arrived_at_ms);
     // The calendar may have changed since: the period must not overlap its neighbours.
     let after = "SELECT min(start) FROM period WHERE start > ?";
-    let after: Option<i64> = db.query_row(after, [at], |row| row.get(0))?;
+    let after: Option<i64> = db.query_row(after, [arrived_at_ms], |row| row.get(0))?;
     let before = "SELECT max(end) FROM period WHERE end <= ?";
-    let before: Option<i64> = db.query_row(before, [at], |row| row.get(0))?;
+    let before: Option<i64> = db.query_row(before, [arrived_at_ms], |row| row.get(0))?;
     let start = period.start_ms.max(before.unwrap_or(i64::MIN));
     let end = period.end_ms.min(after.unwrap_or(i64::MAX));
     db.execute("INSERT INTO period VALUES (?, ?, '{}', 1)", [start, end])?;
@@ -56,7 +56,7 @@
 
 /// The first dirty period before a time. Only one is returned, since settling it may make the next
 /// one dirty.
-pub(super) fn first_before(db: &Connection, before: i64) -> Result<Option<DirtyPeriod>> {
+pub(super) fn first_before(db: &Connection, before_ms: i64) -> Result<Option<DirtyPeriod>> {
     let select =
         "SELECT start, end, prices FROM period WHERE dirty AND start < ? ORDER BY start LIMIT 1";
     let read = |row: &Row<'_>| {
@@ -66,7 +66,7 @@
         };
         Ok((period, row.get::<_, String>(2)?))
     };
-    let Some((period, prices)) = db.query_row(select, [before], read).optional()? else {
+    let Some((period, prices)) = db.query_row(select, [before_ms], read).optional()? else {
         return Ok(None);
     };
     let prices = serde_json::from_str(&prices)?;
@@ -82,11 +82,11 @@
 
 /// Marks the period after `period` dirty if it begins before a time, because what `period` carries
 /// over has changed.
-pub(super) fn mark_following(db: &Connection, period: Period, before: i64) -> Result<()> {
+pub(super) fn mark_following(db: &Connection, period: Period, before_ms: i64) -> Result<()> {
     db.execute(
         "UPDATE period SET dirty = 1 WHERE start = (SELECT min(start) FROM period WHERE start > ?)
            AND start < ?",
-        [period.start_ms, before],
+        [period.start_ms, before_ms],
     )?;
     Ok(())
 }
--- a/crates/usage-ledger/src/store/outbox.rs
+++ b/crates/usage-ledger/src/store/outbox.rs
@@ -71,6 +71,16 @@
     }
 }
 
+/// Puts a document into the outbox.
+pub(super) fn insert(db: &Connection, document: &Document, now_ms: i64) -> Result<()> {
+    let body = serde_json::to_string(document)?;
+    db.execute(
+        "INSERT INTO outbox VALUES (?, ?, ?, ?, NULL, NULL, 0, NULL)",
+        params![document.id, now_ms, body, sha256_hex(body.as_bytes())],
+    )?;
+    Ok(())
+}
+
 fn read_document(row: &Row<'_>) -> rusqlite::Result<OutgoingDocument> {
     Ok(OutgoingDocument {
         id: row.get(0)?,
@@ -81,13 +91,3 @@
         error: row.get(5)?,
     })
 }
-
-/// Puts a document into the outbox.
-pub(super) fn insert(db: &Connection, document: &Document, now_ms: i64) -> Result<()> {
-    let body = serde_json::to_string(document)?;
-    db.execute(
-        "INSERT INTO outbox VALUES (?, ?, ?, ?, NULL, NULL, 0, NULL)",
-        params![document.id, now_ms, body, sha256_hex(body.as_bytes())],
-    )?;
-    Ok(())
-}
