--- a/crates/usage-ledger/src/document.rs
+++ b/crates/usage-ledger/src/document.rs
@@ -11,8 +11,8 @@
 pub struct Document {
     /// The permanent id of the document.
     pub id: String,
-    /// `statement`, `credit` or `debit`.
-    pub kind: String,
+    /// What kind of document it is.
+    pub kind: DocumentKind,
     /// The tenant's name.
     pub tenant: String,
     /// The period of the statement, or of the statement that is corrected.
@@ -36,6 +36,29 @@
     pub corrected_statement: Option<CorrectedStatement>,
 }
 
+/// The kinds of documents.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum DocumentKind {
+    /// The part of a statement that concerns the tenant.
+    Statement,
+    /// A correction in favour of the tenant.
+    Credit,
+    /// Any other correction.
+    Debit,
+}
+
+impl DocumentKind {
+    /// The published name, in JSON and in ids.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            DocumentKind::Statement => "statement",
+            DocumentKind::Credit => "credit",
+            DocumentKind::Debit => "debit",
+        }
+    }
+}
+
 /// The statement that a credit or debit corrects; in JSON a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
@@ -91,7 +114,7 @@
         let missing = statement.members.iter().filter(|member| member.is_missing);
         Document {
             id: statement_id(&statement.period, tenant),
-            kind: "statement".into(),
+            kind: DocumentKind::Statement,
             tenant: tenant.clone(),
             period: statement.period.clone(),
             amount: totals.amount,
@@ -112,13 +135,13 @@
     /// The credit or debit for a correction of a closed period, whose statement has this hash.
     pub fn of_correction(correction: &CorrectionLine, period: Period, hash: &str) -> Document {
         let kind = if correction.amount < 0 {
-            "credit"
+            DocumentKind::Credit
         } else {
-            "debit"
+            DocumentKind::Debit
         };
         Document {
-            id: format!("{kind}-{}", file_name_part(&correction.id)),
-            kind: kind.into(),
+            id: document_id(kind, &correction.id),
+            kind,
             tenant: correction.tenant.clone(),
             period: period.name(),
             amount: correction.amount,
@@ -135,11 +158,13 @@
 }
 
 fn statement_id(period: &str, tenant: &str) -> String {
-    format!(
-        "statement-{}-{}",
-        file_name_part(&period.replace(':', "")),
-        file_name_part(tenant)
-    )
+    let period = period.replace(':', "");
+    document_id(DocumentKind::Statement, &format!("{period}-{tenant}"))
+}
+
+/// The id of a document, which is also the name of its file.
+fn document_id(kind: DocumentKind, name: &str) -> String {
+    format!("{}-{}", kind.as_str(), file_name_part(name))
 }
 
 /// `text` with all characters escaped that are not allowed in file names.
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -54,7 +54,8 @@
             .enter_correction(&correction("more", 4), period(0), FIRST_MS)
             .unwrap()
             .unwrap()
-            .kind,
+            .kind
+            .as_str(),
         "debit"
     );
     assert!(
