--- a/crates/usage-ledger/src/writer/handle.rs
+++ b/crates/usage-ledger/src/writer/handle.rs
@@ -17,15 +17,38 @@
 
 /// The handle of a running writer.
 pub struct UsageLogWriter {
-    pub(super) queue: Option<SyncSender<Entry>>,
-    pub(super) written: watch::Receiver<u64>,
-    pub(super) counters: Arc<WriterCounters>,
-    pub(super) max_reply_delay: Duration,
-    pub(super) collection_address: Option<SocketAddr>,
-    pub(super) thread: Option<JoinHandle<()>>,
+    queue: Option<SyncSender<Entry>>,
+    written: watch::Receiver<u64>,
+    counters: Arc<WriterCounters>,
+    max_reply_delay: Duration,
+    collection_address: Option<SocketAddr>,
+    thread: Option<JoinHandle<()>>,
 }
 
 impl UsageLogWriter {
+    /// The handle of a thread that writes the entries of `queue` and publishes to `written`.
+    pub(super) fn new(
+        queue: SyncSender<Entry>,
+        written: watch::Receiver<u64>,
+        counters: Arc<WriterCounters>,
+        max_reply_delay: Duration,
+        thread: JoinHandle<()>,
+    ) -> UsageLogWriter {
+        UsageLogWriter {
+            queue: Some(queue),
+            written,
+            counters,
+            max_reply_delay,
+            collection_address: None,
+            thread: Some(thread),
+        }
+    }
+
+    /// Sets the address at which the log is offered for collection.
+    pub(super) fn set_collection_address(&mut self, address: SocketAddr) {
+        self.collection_address = Some(address);
+    }
+
     /// Queues an entry without waiting; false if the queue is full.
     pub fn try_enqueue(&mut self, what: What) -> bool {
         let entry = Entry { what: Some(what) };
--- a/crates/usage-ledger/src/writer/start.rs
+++ b/crates/usage-ledger/src/writer/start.rs
@@ -30,7 +30,7 @@
     let mut writer = start_on(FileSystem, settings, tables, now_ns)?;
     if let Some(address) = settings.listen_address {
         let bound_address = crate::collect::listen(address, settings.directory.clone())?;
-        writer.collection_address = Some(bound_address);
+        writer.set_collection_address(bound_address);
     }
     Ok(writer)
 }
@@ -64,14 +64,14 @@
         .spawn(move || thread.run(&entries))
         .map_err(StartError::Thread)?;
     tracing::info!(directory = %directory.display(), incarnation, "usage log opened");
-    Ok(UsageLogWriter {
-        queue: Some(queue),
+    let max_reply_delay = settings.max_reply_delay;
+    Ok(UsageLogWriter::new(
+        queue,
         written,
         counters,
-        max_reply_delay: settings.max_reply_delay,
-        collection_address: None,
-        thread: Some(thread),
-    })
+        max_reply_delay,
+        thread,
+    ))
 }
 
 /// Locks the log, so that it has one writer at a time.
