--- /dev/null
+++ b/crates/testkit/src/bin/gateway-conformance-test/runs.rs
@@ -0,0 +1,122 @@
+//! The two runs of the test: all searches under load, and those with a fault without time pressure.
+
+use crate::api_checks;
+use crate::faulted_search::{TimePressure, LONG_CLIENT_TIMEOUT, LONG_LATENCY_OBJECTIVE};
+use crate::load::{self, GatewayLoad};
+use crate::search_case::SearchCase;
+use crate::tally::Tally;
+use aggregator_testkit::installation::{Installation, InstallationOptions};
+use aggregator_testkit::leaf::LeafOptions;
+use aggregator_testkit::test_program::TestProgramError;
+use std::path::Path;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// The zone that is lost, and for how long.
+const LOST_ZONE: usize = 2;
+const TIME_BEFORE_ZONE_LOSS: Duration = Duration::from_secs(2);
+const ZONE_LOSS_TIME: Duration = Duration::from_secs(2);
+/// How long each aggregator may take to exit.
+const EXIT_LIMIT: Duration = Duration::from_secs(10);
+
+/// The size of the load.
+#[derive(Clone, Copy)]
+pub struct LoadOptions {
+    /// The seed of all random numbers.
+    pub seed: u64,
+    /// Searches, over all clients.
+    pub searches: u64,
+    /// Clients at the same time.
+    pub clients: u64,
+}
+
+/// The result of the searches under load.
+pub struct LoadResult {
+    /// The counts of all searches.
+    pub tally: Tally,
+    /// Checks of the gateway's interface that failed.
+    pub api_failures: usize,
+    /// The searches that requested a fault.
+    pub faulted_cases: Vec<SearchCase>,
+    /// Whether all aggregators exited by themselves.
+    pub clean_exit: bool,
+}
+
+/// Checks the gateway's interface, and sends all searches while a zone is lost and restored.
+pub async fn run_load(
+    folder: &Path,
+    options: &LoadOptions,
+) -> Result<LoadResult, TestProgramError> {
+    let installation_options = installation_options(options.seed);
+    let mut installation = Installation::start(folder, &installation_options).await?;
+    let gateway = installation.aggregators[0].gateway_address;
+    let api_failures = api_checks::check_all(gateway).await;
+    for failure in &api_failures {
+        println!("WRONG {failure}");
+    }
+    let load = GatewayLoad::new(&installation, options.seed, TimePressure::ShortObjective);
+    let searches_per_client = options.searches / options.clients;
+    let clients = load::start_clients(&load, options.clients, searches_per_client);
+    sleep(TIME_BEFORE_ZONE_LOSS).await;
+    installation.lose_zone(LOST_ZONE);
+    sleep(ZONE_LOSS_TIME).await;
+    installation.restore_zone(LOST_ZONE, true).await?;
+    for client in clients {
+        client.await?;
+    }
+    Ok(LoadResult {
+        clean_exit: installation.terminate_aggregators(EXIT_LIMIT),
+        tally: load.take_tally(),
+        api_failures: api_failures.len(),
+        faulted_cases: load.take_faulted_cases(),
+    })
+}
+
+/// The result of the searches with a fault, repeated without time pressure.
+pub struct RepeatResult {
+    /// The counts with all zones, and with one lost.
+    pub tallies: Vec<Tally>,
+    /// Whether all aggregators exited by themselves.
+    pub clean_exit: bool,
+}
+
+/// Sends the searches with a fault to an installation without time pressure, before and after a
+/// zone is lost.
+pub async fn repeat_faulted_searches(
+    folder: &Path,
+    seed: u64,
+    cases: &[SearchCase],
+) -> Result<RepeatResult, TestProgramError> {
+    let options = InstallationOptions {
+        latency_objective: Some(LONG_LATENCY_OBJECTIVE),
+        client_timeout: Some(LONG_CLIENT_TIMEOUT),
+        ..installation_options(seed)
+    };
+    let mut installation = Installation::start(folder, &options).await?;
+    let mut tallies = Vec::new();
+    for pressure in [TimePressure::None, TimePressure::ZoneLost] {
+        if pressure == TimePressure::ZoneLost {
+            installation.lose_zone(LOST_ZONE);
+        }
+        let load = GatewayLoad::new(&installation, seed, pressure);
+        for client in load::start_gateway_clients(&load, cases) {
+            client.await?;
+        }
+        tallies.push(load.take_tally());
+    }
+    Ok(RepeatResult {
+        clean_exit: installation.terminate_aggregators(EXIT_LIMIT),
+        tallies,
+    })
+}
+
+fn installation_options(seed: u64) -> InstallationOptions {
+    let leaf = LeafOptions {
+        service_time: Duration::from_millis(4),
+        capacity: 64,
+    };
+    InstallationOptions {
+        gateway: true,
+        ..InstallationOptions::new(seed, leaf)
+    }
+}
--- a/crates/testkit/src/bin/gateway-conformance-test/summary.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/summary.rs
@@ -17,9 +17,9 @@
 
 /// The result of the test.
 pub struct Summary {
-    /// What became of all searches.
+    /// The counts of all searches under load.
     pub tally: Tally,
-    /// What became of the searches with a fault when they were repeated without time pressure.
+    /// The counts of the searches with a fault, repeated without time pressure.
     pub repeated: Vec<Tally>,
     /// Checks of the gateway's interface that failed.
     pub api_failures: usize,
@@ -28,26 +28,37 @@
 }
 
 impl Summary {
-    /// Whether all holds.
-    pub fn holds(&self) -> bool {
+    /// Whether the test has passed.
+    pub fn passed(&self) -> bool {
+        self.responses_are_correct()
+            && self.frontends_answer_alike()
+            && self.repeats_are_correct()
+            && self.api_failures == 0
+            && self.clean_exit
+    }
+
+    /// Whether each search under load has a correct response, and enough of them an answer.
+    fn responses_are_correct(&self) -> bool {
         let tally = &self.tally;
-        let native_searches = sum(&tally.native, OutcomeCounts::total);
-        let gateway_searches = sum(&tally.gateway, OutcomeCounts::total);
-        let difference = self.native_answers().abs_diff(self.gateway_answers());
+        let searches = sum(&tally.gateway, OutcomeCounts::total);
         tally.wrong.is_empty()
             && tally.unanswered == 0
-            && difference * 100 <= MAX_DIFFERENCE_PERCENT * native_searches
-            && self.clean_exit
-            && native_searches == gateway_searches
             && tally.exact_pages == self.gateway_answers() + partial_faulted(tally)
             && self.faulted_searches() > 0
-            && self.repeats_hold()
-            && self.api_failures == 0
-            && self.gateway_answers() * 100 >= gateway_searches * MIN_ANSWERED_PERCENT
+            && self.gateway_answers() * 100 >= searches * MIN_ANSWERED_PERCENT
+    }
+
+    /// Whether both frontends served the same searches, and answered nearly as many.
+    fn frontends_answer_alike(&self) -> bool {
+        let native_searches = sum(&self.tally.native, OutcomeCounts::total);
+        let gateway_searches = sum(&self.tally.gateway, OutcomeCounts::total);
+        let difference = self.native_answers().abs_diff(self.gateway_answers());
+        native_searches == gateway_searches
+            && difference * 100 <= MAX_DIFFERENCE_PERCENT * native_searches
     }
 
-    /// Whether all searches with a fault were repeated, and each as it ought to be.
-    fn repeats_hold(&self) -> bool {
+    /// Whether all searches with a fault were repeated, each with a correct response.
+    fn repeats_are_correct(&self) -> bool {
         !self.repeated.is_empty()
             && self.repeated.iter().all(|tally| {
                 tally.wrong.is_empty()
@@ -78,7 +89,7 @@
 
     /// Prints the last line.
     pub fn print_last_line(&self, seed: u64, time: Duration) {
-        let verdict = test_program::verdict(self.holds());
+        let verdict = test_program::verdict(self.passed());
         println!(
             "{verdict}: {} searches through each frontend, {} answered by the gateway \
              and {} by the native frontend, \
@@ -96,7 +107,7 @@
         );
     }
 
-    /// What was not as it ought to be, under load and without.
+    /// Descriptions of wrong responses, under load and without.
     fn wrong(&self) -> impl Iterator<Item = &String> {
         self.tallies().flat_map(|tally| &tally.wrong)
     }
--- a/crates/testkit/src/bin/gateway-conformance-test/tally.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/tally.rs
@@ -1,4 +1,4 @@
-//! What became of all searches.
+//! Reports on single searches, and the counts of all of them.
 
 use aggregator_testkit::search::ShardFault;
 use std::collections::BTreeMap;
@@ -82,7 +82,36 @@
     }
 }
 
-/// What became of all searches.
+/// How one search was served through one frontend.
+pub struct SearchReport {
+    /// How it was served.
+    pub outcome: ServedOutcome,
+    /// Whether its page is exactly as computed from the documents.
+    pub has_exact_page: bool,
+    /// Whether its response came after the client's timeout.
+    pub is_late: bool,
+    /// What is wrong with its response.
+    wrong: Vec<String>,
+}
+
+impl SearchReport {
+    /// A report with nothing wrong, and without an exact page.
+    pub fn new(outcome: ServedOutcome) -> SearchReport {
+        SearchReport {
+            outcome,
+            has_exact_page: false,
+            is_late: false,
+            wrong: Vec::new(),
+        }
+    }
+
+    /// Adds what is wrong with the response.
+    pub fn add_wrong(&mut self, wrong: String) {
+        self.wrong.push(wrong);
+    }
+}
+
+/// The counts of all searches.
 #[derive(Default)]
 pub struct Tally {
     /// Through the native protocol, by class.
@@ -93,7 +122,7 @@
     pub faulted: BTreeMap<ShardFault, OutcomeCounts>,
     /// Pages of the gateway that are exactly as computed.
     pub exact_pages: u64,
-    /// What was not as it ought to be.
+    /// Descriptions of wrong responses.
     pub wrong: Vec<String>,
     /// Searches without any response.
     pub unanswered: u64,
@@ -101,6 +130,36 @@
     pub late: u64,
 }
 
+impl Tally {
+    /// Adds a search through the native protocol.
+    pub fn add_native(&mut self, class: &'static str, report: SearchReport) {
+        self.native.entry(class).or_default().add(report.outcome);
+        self.add(report);
+    }
+
+    /// Adds a search through the gateway.
+    pub fn add_gateway(
+        &mut self,
+        class: &'static str,
+        fault: Option<ShardFault>,
+        report: SearchReport,
+    ) {
+        let counts = match fault {
+            Some(fault) => self.faulted.entry(fault).or_default(),
+            None => self.gateway.entry(class).or_default(),
+        };
+        counts.add(report.outcome);
+        self.add(report);
+    }
+
+    fn add(&mut self, report: SearchReport) {
+        self.exact_pages += u64::from(report.has_exact_page);
+        self.unanswered += u64::from(report.outcome == ServedOutcome::Unanswered);
+        self.late += u64::from(report.is_late);
+        self.wrong.extend(report.wrong);
+    }
+}
+
 /// The sum of `count` over all entries.
 pub fn sum<Key>(
     counts: &BTreeMap<Key, OutcomeCounts>,
