--- a/crates/testkit/src/bin/gateway-conformance-test/main.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/main.rs
@@ -2,8 +2,8 @@
 //! often as the native protocol answers the same queries.
 //!
 //! The same random searches go through both frontends, to the same leaf servers, while a zone is
-//! lost and restored with servers that have to warm up. Every page is compared with the one computed from the documents over the shards
-//! that it claims.
+//! lost and restored with servers that have to warm up. Every page is compared with the one
+//! computed from the documents over the shards that it claims.
 
 mod api_cases;
 mod api_checks;
--- a/crates/testkit/src/bin/gateway-conformance-test/runs.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/runs.rs
@@ -5,7 +5,7 @@
 use crate::load::{self, GatewayLoad};
 use crate::search_case::SearchCase;
 use crate::tally::Tally;
-use aggregator_testkit::installation::{Installation, InstallationOptions};
+use aggregator_testkit::installation::{Installation, InstallationOptions, LeafStart};
 use aggregator_testkit::leaf::LeafOptions;
 use aggregator_testkit::test_program::TestProgramError;
 use std::path::Path;
@@ -60,7 +60,9 @@
     sleep(TIME_BEFORE_ZONE_LOSS).await;
     installation.lose_zone(LOST_ZONE);
     sleep(ZONE_LOSS_TIME).await;
-    installation.restore_zone(LOST_ZONE, true).await?;
+    installation
+        .restore_zone(LOST_ZONE, LeafStart::JustNow)
+        .await?;
     for client in clients {
         client.await?;
     }
--- a/crates/testkit/src/bin/gateway-conformance-test/summary.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/summary.rs
@@ -9,8 +9,8 @@
 
 /// Wrong responses that are printed, at most.
 const MAX_SHOWN_WRONG: usize = 5;
-/// The largest difference between the frontends' numbers of answers, in percent of the searches. The
-/// two requests of a search are sent one after the other, so a lost zone may affect only one.
+/// The largest difference between the frontends' numbers of answers, in percent of the searches.
+/// The two requests of a search are sent one after the other, so a lost zone may affect only one.
 const MAX_DIFFERENCE_PERCENT: u64 = 3;
 /// The least share of the searches that the gateway answers.
 const MIN_ANSWERED_PERCENT: u64 = 90;
--- a/crates/testkit/src/bin/ledger-benchmark/error.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/error.rs
@@ -21,9 +21,9 @@
     #[error(transparent)]
     Task(#[from] tokio::task::JoinError),
     /// The store settled another number of records than it was given.
-    #[error("{settled} tries settled of {records}")]
+    #[error("{settled} of {records} records settled")]
     RecordsMissing {
-        /// Attempts in the statement.
+        /// Records in the statement.
         settled: i64,
         /// Records given.
         records: u64,
@@ -31,7 +31,7 @@
     /// The process that settles failed.
     #[error("the settlement failed")]
     SettlementProcessFailed,
-    /// A file or a process can't be had.
+    /// A file or a process can't be used.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
--- a/crates/testkit/src/bin/ledger-benchmark/load.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/load.rs
@@ -1,4 +1,4 @@
-//! Load on one aggregator, and what it costs there.
+//! Load on one aggregator, and the processor time that it takes there.
 
 use crate::error::BenchError;
 use aggregator_testkit::client::{
@@ -17,7 +17,7 @@
 /// Precision of all histograms, in significant digits.
 pub const HISTOGRAM_DIGITS: u8 = 3;
 
-/// How much load the clients make.
+/// A level of load.
 pub struct LoadLevel {
     /// The name of the level in the output.
     pub name: &'static str,
@@ -25,7 +25,7 @@
     pub gap_ms: Range<u64>,
 }
 
-/// A tenth of what an aggregator can do, and most of it.
+/// About a tenth of an aggregator's capacity, and most of it.
 pub const LOAD_LEVELS: [LoadLevel; 2] = [
     LoadLevel {
         name: "light",
@@ -59,7 +59,7 @@
     latency_us.value_at_quantile(0.99) as f64 / 1000.0
 }
 
-/// Puts load on the first aggregator of an installation for some seconds.
+/// Loads the first aggregator of an installation for some seconds and measures it.
 pub async fn measure_slice(
     installation: &Installation,
     seconds: u64,
--- a/crates/testkit/src/bin/ledger-benchmark/main.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/main.rs
@@ -12,7 +12,7 @@
 
 const WORKER_THREADS: usize = 2;
 
-/// Measures; it judges nothing.
+/// Measures the usage log and the settlement, without limits on the results.
 #[derive(Parser)]
 struct Arguments {
     /// Slices of load, each once with the log on and once with it off
--- a/crates/testkit/src/bin/ledger-benchmark/serving.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/serving.rs
@@ -1,4 +1,4 @@
-//! What the usage log costs an aggregator while it serves.
+//! The cost of the usage log while an aggregator serves queries.
 
 use crate::error::BenchError;
 use crate::load::{measure_slice, p99_ms, LoadLevel, Slice, HISTOGRAM_DIGITS, LOAD_LEVELS};
@@ -43,7 +43,7 @@
     measure_slice(on, WARM_UP_SECONDS, level).await?;
     let mut comparison = Comparison::new(level.name)?;
     for pair in 0..pairs {
-        // Each goes first every other time, so that a drift of the machine favours neither.
+        // The two alternate in going first, so that a drift of the machine's speed favours neither.
         let (slice_on, slice_off) = if pair % 2 == 0 {
             let slice_on = measure_slice(on, seconds, level).await?;
             (slice_on, measure_slice(off, seconds, level).await?)
--- a/crates/testkit/src/bin/ledger-fault-test/answer_check.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/answer_check.rs
@@ -8,8 +8,8 @@
 /// Rounding that a sum of weights may be off by.
 const WEIGHT_TOLERANCE: f64 = 1e-3;
 
-/// Whether an answer has the values that the leaf servers hold, none twice, and covers as much as it
-/// has to: all shards if it is marked complete, and otherwise the minimum coverage of its class.
+/// Whether an answer has the values that the leaf servers hold, none twice, and covers as much as
+/// it has to: all shards if it is marked complete, and otherwise the minimum coverage of its class.
 pub fn is_correct_answer(answered: &Use, complete: bool, hits: &[ClientHit]) -> bool {
     let minimum_coverage = if complete {
         1.0
--- a/crates/testkit/src/bin/ledger-fault-test/client_use.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/client_use.rs
@@ -31,7 +31,7 @@
         let shard_count = random.random_range(1..=6u32);
         let first_shard = random.random_range(0..SHARDS);
         let id = format!("{client}-{number}");
-        // Without a key, a text is used only once, so that the ledger doesn't take two uses for one.
+        // Without a key, a text is used only once, so that the ledger doesn't join two uses.
         let has_key = tenant < TENANTS_WITH_KEYS;
         Use {
             query: ClientQuery {
--- a/crates/testkit/src/bin/ledger-fault-test/environment.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/environment.rs
@@ -104,7 +104,8 @@
         })
     }
 
-    /// Makes all checks of the results, ends all processes, and has the ledger reconcile and verify.
+    /// Makes all checks of the results, ends all processes, and has the ledger reconcile and
+    /// verify.
     pub async fn check_results(&mut self, results: &Results) -> Result<(), TestProgramError> {
         let clients_file = self.folder.join("clients.csv");
         totals::write_csv(&clients_file, &results.uses)?;
--- a/crates/testkit/src/bin/ledger-fault-test/faults.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/faults.rs
@@ -1,8 +1,8 @@
-//! What fails while clients use the aggregators.
+//! The faults that are injected while clients use the aggregators.
 
 use crate::load::LedgerLoad;
 use crate::receiver::RestartableReceiver;
-use aggregator_testkit::installation::{now_ms, Installation};
+use aggregator_testkit::installation::{now_ms, Installation, LeafStart};
 use aggregator_testkit::test_program::TestProgramError;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -17,12 +17,12 @@
 const FIRST_SETTLEMENT_DOWN_TIME: Duration = Duration::from_millis(700);
 const SECOND_SETTLEMENT_DOWN_TIME: Duration = Duration::from_millis(400);
 const RECEIVER_DOWN_TIME: Duration = Duration::from_millis(200);
-/// When a restarted aggregator reads its usage log, or is about to.
+/// The time after which a restarted aggregator reads its usage log, or is about to.
 const RECOVERY_DELAY: Duration = Duration::from_millis(15);
 /// How long the zone is lost, in percent of a period.
 const ZONE_LOSS_PERCENT: u64 = 40;
 
-/// Injects all faults, in an order that has each meet the others' aftermath.
+/// Injects all faults, each while the system still recovers from the one before.
 pub async fn inject(
     installation: &mut Installation,
     load: &LedgerLoad,
@@ -32,11 +32,13 @@
     sleep_into_next_period(period_ms, 40).await;
     kill_aggregator_twice(installation, load).await?;
     kill_settlement(installation, FIRST_SETTLEMENT_DOWN_TIME).await?;
-    // So late that the zone is lost across the period's end.
+    // Late enough for the loss to last past the end of the period.
     sleep_into_next_period(period_ms, 85).await;
     installation.lose_zone(LOST_ZONE);
     sleep(Duration::from_millis(period_ms * ZONE_LOSS_PERCENT / 100)).await;
-    installation.restore_zone(LOST_ZONE, true).await?;
+    installation
+        .restore_zone(LOST_ZONE, LeafStart::JustNow)
+        .await?;
     receiver.stop();
     sleep(RECEIVER_DOWN_TIME).await;
     receiver.restart().await?;
--- a/crates/testkit/src/bin/ledger-fault-test/totals.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/totals.rs
@@ -49,7 +49,7 @@
     totals
 }
 
-/// Writes the uses in the form that the ledger's reconciliation reads.
+/// Writes the uses in the form that `ledger reconcile` reads; the names of its columns are fixed.
 pub fn write_csv(path: &Path, uses: &[UseRecord]) -> io::Result<()> {
     let mut writer = csv::Writer::from_path(path)?;
     writer.write_record(["at_ms", "tenant", "class", "outcome", "tries", "key"])?;
--- a/crates/testkit/src/bin/shutdown-stress-test/main.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/main.rs
@@ -9,8 +9,8 @@
 //! - Processes reload their configuration or are stopped for a short time.
 //! - SIGKILL follows as early as the platform may send it.
 //!
-//! A request is lost if its aggregator has logged that it was read, and its client waited and got no
-//! response.
+//! A request is lost if its aggregator has logged that it was read, and its client waited and got
+//! no response.
 
 mod client;
 mod process_faults;
--- a/crates/testkit/src/bin/shutdown-stress-test/round.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/round.rs
@@ -174,7 +174,8 @@
     is_clean: bool,
 }
 
-/// Waits until the process has ended, injects its faults meanwhile, and kills it after `kill_after`.
+/// Waits until the process has ended, injects its faults meanwhile, and kills it after
+/// `kill_after`.
 async fn wait_for_end(
     aggregator: &mut Aggregator,
     requested_at: Instant,
--- a/crates/testkit/src/bin/shutdown-stress-test/shutdown_result.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/shutdown_result.rs
@@ -28,8 +28,8 @@
     pub requests: usize,
     /// Requests with a complete response.
     pub answered: usize,
-    /// One line for each request that crossed the end of its connection and was not read; its client
-    /// may send it to another aggregator.
+    /// One line for each request that crossed the end of its connection and was not read; its
+    /// client may send it to another aggregator.
     pub crossings: Vec<String>,
     /// One line for each lost request, and for a process that ended with a failure.
     pub failures: Vec<String>,
--- a/crates/testkit/src/cli.rs
+++ b/crates/testkit/src/cli.rs
@@ -1,4 +1,4 @@
-//! What the kit's programs begin and end with alike.
+//! The runtime and the exit code of the kit's programs.
 
 use std::fmt::Display;
 use std::future::Future;
@@ -20,7 +20,7 @@
     runtime.block_on(program)
 }
 
-/// The exit code of a program: success only if it ran to its end and all that it checks holds.
+/// The exit code of a program: success only if it ran to its end and its value is true.
 pub fn exit_code<E: Display>(result: Result<bool, E>, report_error: impl FnOnce(&E)) -> ExitCode {
     match result {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -28,9 +28,9 @@
 /// Whether an endpoint is listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It serves.
+    /// It is listed and serves.
     Up,
-    /// It is not on the list any more.
+    /// It is no longer listed.
     Removed,
 }
 
@@ -47,7 +47,7 @@
     pub group: usize,
     /// Whether it is listed.
     pub status: EndpointStatus,
-    /// When it started, in Unix milliseconds; 0 if it has long been warm.
+    /// When it started, in Unix milliseconds; 0 if that is long ago.
     pub since_ms: u64,
 }
 
@@ -147,7 +147,7 @@
         self.changed.send_replace(list.changes.len());
     }
 
-    /// The current list, as an aggregator is given it at its start.
+    /// The current list, in the form of an aggregator's platform object.
     pub fn snapshot(&self) -> Value {
         lock(&self.list).snapshot()
     }
@@ -205,7 +205,7 @@
 
 /// One client's watch of the list.
 struct Watcher {
-    /// The index up to which the client knows the list, if it knows any of it.
+    /// The index up to which the client has received the list, if it has received any of it.
     known_index: Option<usize>,
     list: Arc<Mutex<EndpointList>>,
     changed: watch::Receiver<usize>,
@@ -235,7 +235,7 @@
         let update = match self.known_index {
             Some(known) if known == current_index => None,
             Some(known) if known < current_index => Some(list.delta_since(known)),
-            // The client knows nothing yet, or an index of another run of discovery.
+            // The client has received nothing yet, or its index is of another run of discovery.
             _ => Some(list.snapshot()),
         };
         if update.is_some() {
--- a/crates/testkit/src/installation/address.rs
+++ b/crates/testkit/src/installation/address.rs
@@ -7,8 +7,8 @@
 const FIRST_NETWORK: u8 = 20;
 const NETWORKS: u8 = 100;
 
-/// A loopback address of this process's own, so that ports that are free for a moment are not taken
-/// by another installation.
+/// The loopback address of this process. No other installation uses it, so a port that was found
+/// free stays free.
 pub fn own_ip() -> IpAddr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(
--- a/crates/testkit/src/installation/aggregator.rs
+++ b/crates/testkit/src/installation/aggregator.rs
@@ -12,7 +12,7 @@
 use std::process::{Command, ExitStatus};
 use std::time::Duration;
 
-/// How often an aggregator that starts is asked whether it is ready, and how many times.
+/// The interval of the readiness checks of a starting aggregator, and their number.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const READINESS_POLLS: u32 = 500;
 
@@ -20,10 +20,9 @@
 pub(super) struct LaunchOptions {
     /// The path of the aggregators' program.
     pub(super) program: PathBuf,
-    /// What they log, where it is not the default.
+    /// Their log filter, if it differs from the default.
     pub(super) log_filter: Option<String>,
-    /// The file descriptors that the system allows each, where they are fewer than its settings
-    /// say.
+    /// The limit on file descriptors of each, if it is below that of its settings.
     pub(super) max_descriptors: Option<u32>,
 }
 
@@ -32,7 +31,7 @@
         let Some(max_descriptors) = self.max_descriptors else {
             return Command::new(&self.program);
         };
-        // The shell becomes the program, so that signals reach it.
+        // `exec` replaces the shell, so that signals reach the program.
         let script = format!("ulimit -n {max_descriptors} && exec \"$0\" \"$@\"");
         let mut command = Command::new("sh");
         command.arg("-c").arg(script).arg(&self.program);
@@ -59,7 +58,7 @@
 }
 
 impl Aggregator {
-    /// An aggregator with free ports, whose files are still to be written.
+    /// Creates an aggregator with free ports; its files are written separately.
     pub(super) fn new(folder: &Path, name: String, ip: IpAddr) -> io::Result<Aggregator> {
         let file = |extension: &str| folder.join(format!("{name}.{extension}"));
         Ok(Aggregator {
@@ -145,12 +144,12 @@
             .is_some_and(|process| process.send_signal(signal))
     }
 
-    /// How its process has exited; `None` while it runs, or if it was never started.
+    /// The exit status of its process; `None` while it runs, or if it was never started.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.process.as_mut()?.exit_status()
     }
 
-    /// All that its processes have logged.
+    /// The log of all its processes so far.
     pub fn log_text(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
--- a/crates/testkit/src/installation/config.rs
+++ b/crates/testkit/src/installation/config.rs
@@ -9,7 +9,7 @@
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// What differs between the platform objects of an installation's aggregators.
+/// The values in which the platform objects of an installation's aggregators differ.
 pub(super) struct PlatformParameters<'a> {
     pub(super) name: &'a str,
     /// The index of the aggregator's zone.
@@ -19,13 +19,14 @@
     pub(super) seed: u64,
     /// A snapshot of the endpoint list.
     pub(super) endpoints: Value,
-    /// How long clients of all classes wait, where it is not the class's own time.
+    /// The client timeout of all classes, if it differs from each class's own.
     pub(super) client_timeout: Option<Duration>,
-    /// The latency objective of all classes, where it is not the class's own.
+    /// The latency objective of all classes, if it differs from each class's own.
     pub(super) latency_objective: Option<Duration>,
 }
 
-/// The platform object that an aggregator is started with. Its keys are the platform's.
+/// The platform object that an aggregator is started with. Its keys are those of the platform's
+/// interface.
 pub(super) fn platform_object(parameters: &PlatformParameters) -> Value {
     json!({
         "name": parameters.name,
--- a/crates/testkit/src/installation/layout.rs
+++ b/crates/testkit/src/installation/layout.rs
@@ -1,4 +1,4 @@
-//! What every installation has: zones, query classes, tenants and shards.
+//! The zones, query classes, tenants and shards of every installation.
 
 use std::time::Duration;
 
@@ -41,16 +41,16 @@
 pub struct InstallationClass {
     /// The name of the class, also of its index.
     pub name: &'static str,
-    /// Within how many milliseconds an answer is wanted.
+    /// The latency objective in milliseconds.
     pub latency_objective_ms: u64,
-    /// After how many milliseconds an answer is of no use any more.
+    /// The client timeout in milliseconds.
     pub timeout_ms: u64,
     /// The least share of the shards' weight that a partial answer covers.
     pub minimum_coverage: f64,
 }
 
 impl InstallationClass {
-    /// The time after which an answer is of no use any more.
+    /// The client timeout.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
--- a/crates/testkit/src/installation/leaves.rs
+++ b/crates/testkit/src/installation/leaves.rs
@@ -7,7 +7,16 @@
 use std::io;
 use std::net::IpAddr;
 
-/// Leaf servers, of which those of a lost zone are not running.
+/// When discovery says that leaf servers were started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LeafStart {
+    /// They have warmed up and take their full load at once.
+    LongAgo,
+    /// They have to warm up.
+    JustNow,
+}
+
+/// The leaf servers of all zones; those of a lost zone are not running.
 pub(super) struct LeafFleet {
     ip: IpAddr,
     options: LeafOptions,
@@ -15,7 +24,7 @@
     replicas: Vec<Replica>,
 }
 
-/// A place in a zone and a replica group, taken by one leaf server after the other.
+/// A position in a zone and a replica group; each start puts a new leaf server there.
 struct Replica {
     zone: usize,
     group: usize,
@@ -24,7 +33,7 @@
 }
 
 impl LeafFleet {
-    /// A fleet of which nothing runs yet.
+    /// Creates a fleet without a running server.
     pub(super) fn new(ip: IpAddr, options: LeafOptions, seed: u64) -> LeafFleet {
         let replicas = (0..ZONES.len()).flat_map(|zone| {
             (0..REPLICA_GROUPS).map(move |group| Replica {
@@ -51,11 +60,12 @@
         }
     }
 
-    /// Starts the leaf servers of a zone at new addresses; the changes of the endpoint list.
+    /// Starts the leaf servers of a zone at new addresses; returns the changes of the endpoint
+    /// list.
     pub(super) async fn start_zone(
         &mut self,
         zone: usize,
-        cold: bool,
+        start: LeafStart,
     ) -> io::Result<Vec<EndpointChange>> {
         let mut changes = Vec::new();
         for (index, replica) in self.replicas.iter_mut().enumerate() {
@@ -65,7 +75,10 @@
             replica.starts += 1;
             let seed = self.seed ^ (index as u64) << 32 ^ replica.starts;
             let server = LeafServer::start(self.ip, self.options, seed).await?;
-            let since_ms = if cold { now_ms() } else { 0 };
+            let since_ms = match start {
+                LeafStart::LongAgo => 0,
+                LeafStart::JustNow => now_ms(),
+            };
             let change = |start: u64, status: EndpointStatus| EndpointChange {
                 name: format!("s-{index}-{start}"),
                 address: server.address,
--- a/crates/testkit/src/installation/mod.rs
+++ b/crates/testkit/src/installation/mod.rs
@@ -1,5 +1,5 @@
-//! A whole installation on loopback: discovery, leaf servers in three zones, real aggregators, and
-//! their ledger.
+//! A complete installation on loopback: discovery, leaf servers in three zones, real aggregators,
+//! and their ledger.
 
 mod address;
 mod aggregator;
@@ -11,6 +11,7 @@
 pub use address::{free_port, own_ip};
 pub use aggregator::Aggregator;
 pub use layout::{InstallationClass, CLASSES, REPLICA_GROUPS, SHARDS, TENANTS, ZONES};
+pub use leaves::LeafStart;
 pub use ledger::{CommandOutput, InstalledLedger};
 
 use crate::discovery::DiscoveryServer;
@@ -34,7 +35,7 @@
     /// The aggregator's program has not been built.
     #[error(transparent)]
     Program(#[from] ProgramError),
-    /// An aggregator was started and does not become ready in time.
+    /// A started aggregator does not become ready in time.
     #[error("aggregator {name} does not become ready: {log}")]
     AggregatorNotReady {
         /// The aggregator's name.
@@ -42,18 +43,18 @@
         /// What it has logged.
         log: String,
     },
-    /// A command of the ledger printed something else than JSON.
+    /// The output of a ledger command is not JSON.
     #[error("{stderr}")]
     NoJson {
         /// Its standard error.
         stderr: String,
     },
-    /// A port, a file or a process can't be had.
+    /// A port, a file or a process can't be used.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// How an installation is to be.
+/// The options of an installation.
 #[derive(Clone, Debug)]
 pub struct InstallationOptions {
     /// The seed of all random numbers.
@@ -64,23 +65,22 @@
     pub usage_log: bool,
     /// Whether aggregators serve the OpenSearch gateway as well.
     pub gateway: bool,
-    /// Sections of the ledger's settings besides its store and members.
+    /// Further sections of the ledger's settings, after its store and members.
     pub ledger_settings: String,
-    /// How long clients of all classes wait, where it is not the class's own time.
+    /// The client timeout of all classes, if it differs from each class's own.
     pub client_timeout: Option<Duration>,
-    /// The latency objective of all classes, where it is not the class's own.
+    /// The latency objective of all classes, if it differs from each class's own.
     pub latency_objective: Option<Duration>,
-    /// What the aggregators log, where it is not the default.
+    /// The log filter of the aggregators, if it differs from the default.
     pub log_filter: Option<String>,
-    /// The file descriptors that the system allows each aggregator, where they are fewer than its
-    /// settings say.
+    /// The limit on file descriptors of each aggregator, if it is below that of its settings.
     pub max_descriptors: Option<u32>,
-    /// The aggregators' program, where it is not the one that was built along with this one.
+    /// The aggregators' program, if it is not the one that was built along with this one.
     pub program: Option<PathBuf>,
 }
 
 impl InstallationOptions {
-    /// Leaf servers like this, and nothing besides the native frontend.
+    /// Options with the native frontend only.
     pub fn new(seed: u64, leaf: LeafOptions) -> InstallationOptions {
         InstallationOptions {
             seed,
@@ -97,7 +97,7 @@
     }
 }
 
-/// A running installation; all of it ends when it is dropped.
+/// A running installation. All its processes and servers end when it is dropped.
 pub struct Installation {
     /// The aggregators, one a zone.
     pub aggregators: Vec<Aggregator>,
@@ -114,7 +114,7 @@
     /// Starts leaf servers and discovery, writes all files, and starts the aggregators.
     ///
     /// # Errors
-    /// Something of it can't be started.
+    /// A part of it can't be started.
     pub async fn start(
         folder: &Path,
         options: &InstallationOptions,
@@ -137,7 +137,7 @@
             leaves: LeafFleet::new(ip, options.leaf, options.seed),
         };
         for zone in 0..ZONES.len() {
-            installation.restore_zone(zone, false).await?;
+            installation.restore_zone(zone, LeafStart::LongAgo).await?;
         }
         let mut members = String::new();
         for zone in 0..ZONES.len() {
@@ -151,7 +151,7 @@
         Ok(installation)
     }
 
-    /// Starts an aggregator's process and does not wait until it is ready.
+    /// Starts an aggregator's process without waiting until it is ready.
     ///
     /// # Errors
     /// It can't be started.
@@ -178,18 +178,17 @@
         clean
     }
 
-    /// Kills the leaf servers of a zone; discovery publishes nothing about it.
+    /// Kills the leaf servers of a zone; discovery does not publish that.
     pub fn lose_zone(&mut self, zone: usize) {
         self.leaves.stop_zone(zone);
     }
 
-    /// Starts the leaf servers of a zone, at other addresses than before, and publishes them; those
-    /// that are `cold` are published as just started.
+    /// Starts the leaf servers of a zone, at other addresses than before, and publishes them.
     ///
     /// # Errors
     /// No port is free.
-    pub async fn restore_zone(&mut self, zone: usize, cold: bool) -> io::Result<()> {
-        let changes = self.leaves.start_zone(zone, cold).await?;
+    pub async fn restore_zone(&mut self, zone: usize, start: LeafStart) -> io::Result<()> {
+        let changes = self.leaves.start_zone(zone, start).await?;
         self.discovery.publish(changes);
         Ok(())
     }
--- a/crates/testkit/src/leaf/frame.rs
+++ b/crates/testkit/src/leaf/frame.rs
@@ -6,7 +6,7 @@
 /// The longest frame that is accepted, in bytes.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// What a frame is about.
+/// The kind of a frame, a letter on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FrameKind {
     /// Parts of queries, from an aggregator.
@@ -19,7 +19,7 @@
     LoadReport,
     /// The answer to a part, from a leaf server.
     Answer,
-    /// A breach of the protocol, from a leaf server.
+    /// A protocol error, from a leaf server.
     Error,
 }
 
@@ -72,7 +72,7 @@
     bytes
 }
 
-/// Reads a frame; `None` if there is none or it is malformed.
+/// Reads a frame; `None` if the connection has ended or the frame is malformed.
 pub(super) async fn read(stream: &mut OwnedReadHalf) -> Option<LeafFrame> {
     let length = stream.read_u32().await.ok()? as usize;
     if length == 0 || length > MAX_FRAME_BYTES {
--- a/crates/testkit/src/leaf/mod.rs
+++ b/crates/testkit/src/leaf/mod.rs
@@ -1,4 +1,4 @@
-//! A leaf server: answers each part of a query after a while, until it is killed.
+//! A leaf server that answers each part of a query after a service time.
 
 mod frame;
 mod server;
@@ -9,8 +9,8 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// What a shard answers to a text: anyone can tell whether an answer is what it ought to be. A
-/// text that is a search is searched for.
+/// The answer of a shard to a query's text, which clients can compute as well. A text that is JSON
+/// is a search on the shard's documents; the answer to any other text is a hash.
 pub fn expected_answer(shard: u32, text: &str) -> String {
     if text.starts_with('{') {
         let search = serde_json::from_str(text).unwrap_or_default();
--- a/crates/testkit/src/leaf/server.rs
+++ b/crates/testkit/src/leaf/server.rs
@@ -1,4 +1,4 @@
-//! The sockets of a leaf server and the work on its parts.
+//! The sockets of a leaf server and the processing of parts.
 
 use super::expected_answer;
 use super::frame::{self, FrameKind, LeafFrame, ReceivedPart};
@@ -19,20 +19,20 @@
 
 /// Frames that wait to be written to one connection, at most.
 const MAX_PENDING_FRAMES: usize = 1024;
-/// How much a part's service time varies around the configured one.
+/// The service time of a part relative to the configured one.
 const SERVICE_TIME_FACTORS: Range<f64> = 0.5..1.5;
 
-/// How a leaf server works.
+/// The speed and the capacity of a leaf server.
 #[derive(Clone, Copy, Debug)]
 pub struct LeafOptions {
     /// The mean service time of a part; one takes between half of and one and a half times it.
     pub service_time: Duration,
-    /// Parts that are worked on at once; further ones are rejected as `busy`.
+    /// Parts that are processed at the same time; further ones are rejected as `busy`.
     pub capacity: usize,
 }
 
-/// A leaf server that runs until it is dropped; then its connections break at once, as a dead
-/// process's do.
+/// A leaf server that runs until it is dropped. Its connections end then, as those of a killed
+/// process do.
 pub struct LeafServer {
     /// Where the server listens.
     pub address: SocketAddr,
@@ -110,7 +110,7 @@
 struct LeafConnection {
     options: LeafOptions,
     random: StdRng,
-    /// Parts that the server works on, over all connections.
+    /// Parts that the server processes, over all connections.
     in_flight: Arc<AtomicUsize>,
     frames: mpsc::Sender<Vec<u8>>,
     /// The writer and the parts in flight, which end with the connection.
@@ -131,7 +131,8 @@
                     self.start_part(part).await;
                 }
             }
-            // A cancelled part is worked on to its end, as by a server that notices too late.
+            // A cancelled part is processed to its end, as by a server that reads the cancellation
+            // too late.
             FrameKind::Cancel => {}
             FrameKind::HealthCheck => self.send(FrameKind::HealthCheck, b"ok").await,
             FrameKind::LoadReport => self.send(FrameKind::LoadReport, b"-").await,
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -6,11 +6,11 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// How often a process that is terminating is looked at.
+/// The interval of the checks whether a process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Ticks in which the kernel reports processor time.
+/// The unit in which the kernel reports processor time.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
-/// Places of the user and system times in `/proc/PID/stat`, counted after the command's name.
+/// Positions of the user and system times in `/proc/PID/stat`, counted after the command's name.
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
 
@@ -23,7 +23,7 @@
         /// The program's name.
         name: String,
     },
-    /// The path of the running program can't be found out.
+    /// The path of the running program is unknown.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -42,7 +42,7 @@
         .ok_or_else(|| ProgramError::NotBuilt { name: name.into() })
 }
 
-/// A signal that operators or a fault send to a process.
+/// A signal that is sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// Requests a graceful shutdown.
@@ -51,9 +51,9 @@
     Reload,
     /// Ends the process at once.
     Kill,
-    /// Holds the process up.
+    /// Suspends the process.
     Stop,
-    /// Lets a process that is held up go on.
+    /// Resumes a suspended process.
     Continue,
 }
 
@@ -129,7 +129,7 @@
             .is_ok_and(|status| status.success())
     }
 
-    /// How the process has exited; `None` while it runs.
+    /// The exit status; `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok()?
     }
--- a/crates/testkit/src/receiver.rs
+++ b/crates/testkit/src/receiver.rs
@@ -1,4 +1,5 @@
-//! A receiver of documents that fails in every way that leaves the sender in doubt.
+//! A receiver of documents that fails in each way after which the sender can't know whether the
+//! document was stored.
 
 use crate::sync::lock;
 use bytes::Bytes;
@@ -17,7 +18,7 @@
 
 /// So many first deliveries of each document are stored and then not acknowledged.
 const UNACKNOWLEDGED_DELIVERIES: u32 = 2;
-/// How long a response is withheld: longer than any sender waits.
+/// The delay of a response that hangs: longer than any sender waits.
 const HANG: Duration = Duration::from_secs(30);
 const LISTEN_BACKLOG: u32 = 64;
 
@@ -105,12 +106,7 @@
     request: Request<Incoming>,
     documents: Arc<Mutex<ReceivedDocuments>>,
 ) -> io::Result<Response<Empty<Bytes>>> {
-    let id = request
-        .headers()
-        .get("idempotency-key")
-        .and_then(|id| id.to_str().ok())
-        .map(str::to_string);
-    let Some(id) = id else {
+    let Some(id) = idempotency_key(&request) else {
         return Ok(empty_response(StatusCode::BAD_REQUEST));
     };
     let body = request
@@ -123,7 +119,7 @@
     if deliveries > UNACKNOWLEDGED_DELIVERIES {
         return Ok(empty_response(StatusCode::OK));
     }
-    // Depends on the document, so that over several documents every failure is met first.
+    // Depends on the document, so that each failure is the first one of some document.
     let failure = (id.bytes().map(u32::from).sum::<u32>() + deliveries) % 3;
     match failure {
         0 => Err(io::Error::other("dropped after storing")),
@@ -135,6 +131,11 @@
     }
 }
 
+fn idempotency_key(request: &Request<Incoming>) -> Option<String> {
+    let key = request.headers().get("idempotency-key")?;
+    Some(key.to_str().ok()?.to_string())
+}
+
 fn empty_response(status: StatusCode) -> Response<Empty<Bytes>> {
     let mut response = Response::new(Empty::new());
     *response.status_mut() = status;
--- a/crates/testkit/src/search/aggregation.rs
+++ b/crates/testkit/src/search/aggregation.rs
@@ -8,7 +8,7 @@
 
 const DEFAULT_BUCKETS: u64 = 10;
 
-/// One aggregation over documents; `terms` is exact, as if no shard had cut its buckets short.
+/// One aggregation over documents; the buckets of `terms` are exact.
 pub fn aggregate(aggregation: &Value, hits: &[SearchHit]) -> Value {
     let Some((kind, body)) = aggregation
         .as_object()
--- a/crates/testkit/src/sync.rs
+++ b/crates/testkit/src/sync.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also one whose last holder panicked: the kit leaves no value half changed.
+/// Locks a mutex, also a poisoned one: no task panics in the middle of a change.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/testkit/src/test_program.rs
+++ b/crates/testkit/src/test_program.rs
@@ -1,4 +1,4 @@
-//! What the test programs begin and end with alike.
+//! The entry point and the verdict of the test programs.
 
 use crate::cli;
 use crate::installation::InstallationError;
