--- a/crates/testkit/src/bin/gateway-conformance-test/faulted_search.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/faulted_search.rs
@@ -1,9 +1,9 @@
-//! What the response to a search with a faulted shard has to be.
+//! The response that a search with a faulted shard has to get.
 //!
-//! Under load an aggregator may leave healthy shards out as well: it drops light parts down to the
-//! class's minimum coverage, and answers at the latency objective with what it has. Then the shards
-//! that the response itself reports as failed decide. Without time pressure no healthy shard may be
-//! missing.
+//! Under load an aggregator may leave out healthy shards as well: its weight cutoff drops light
+//! parts down to the class's minimum coverage, and it answers at the latency objective with the
+//! results that it has. Then the shards that the response itself reports as failed decide between a
+//! partial answer and an error. With long latency objectives no healthy shard may be missing.
 
 use crate::page_check::shard_numbers;
 use crate::tally::ServedOutcome;
@@ -12,31 +12,33 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Times of an installation without time pressure, far longer than other processes on the machine
-/// delay an answer.
+/// Times of an installation with long latency objectives, far longer than other processes on the
+/// machine delay an answer.
 pub const LONG_LATENCY_OBJECTIVE: Duration = Duration::from_secs(30);
 pub const LONG_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The type of the error that is reported for a shard without an answer.
 const NO_ANSWER_ERROR: &str = "timeout_exception";
 
-/// Whether the aggregators may leave out healthy shards.
+/// The conditions of a search, which decide whether aggregators may leave out healthy shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TimePressure {
+pub enum SearchConditions {
     /// The latency objectives are short, and there is load.
     ShortObjective,
     /// The latency objectives are far longer than any answer takes, and all zones serve.
-    None,
-    /// As `None`, with a zone lost just before: searches may be rejected.
-    ZoneLost,
+    LongObjective,
+    /// As `LongObjective`, with a zone lost just before: searches may be rejected.
+    LongObjectiveWithZoneLost,
 }
 
-impl TimePressure {
+impl SearchConditions {
     /// How long clients wait.
     pub fn client_timeout(self, class: &InstallationClass) -> Duration {
         match self {
-            TimePressure::ShortObjective => class.timeout(),
-            TimePressure::None | TimePressure::ZoneLost => LONG_CLIENT_TIMEOUT,
+            SearchConditions::ShortObjective => class.timeout(),
+            SearchConditions::LongObjective | SearchConditions::LongObjectiveWithZoneLost => {
+                LONG_CLIENT_TIMEOUT
+            }
         }
     }
 }
@@ -93,9 +95,9 @@
     class: &InstallationClass,
     actual: ServedOutcome,
     body: &Value,
-    pressure: TimePressure,
+    conditions: SearchConditions,
 ) -> Result<(), FaultedSearchError> {
-    if actual == ServedOutcome::Rejected && pressure != TimePressure::None {
+    if actual == ServedOutcome::Rejected && conditions != SearchConditions::LongObjective {
         return Ok(());
     }
     let failures = [
@@ -103,7 +105,7 @@
         &body["error"]["failed_shards"],
     ];
     let failed: Vec<u32> = failures.into_iter().flat_map(shard_numbers).collect();
-    if pressure == TimePressure::ShortObjective {
+    if conditions == SearchConditions::ShortObjective {
         for failures in failures {
             check_healthy_shards(fault, failures)?;
         }
--- a/crates/testkit/src/bin/gateway-conformance-test/load.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/load.rs
@@ -1,6 +1,6 @@
 //! The load: clients that send each search through the native protocol and the gateway.
 
-use crate::faulted_search::TimePressure;
+use crate::faulted_search::SearchConditions;
 use crate::search_case::SearchCase;
 use crate::tally::Tally;
 use aggregator_testkit::client::HttpConnection;
@@ -23,7 +23,7 @@
 pub struct GatewayLoad {
     seed: u64,
     aggregators: Vec<AggregatorAddresses>,
-    pressure: TimePressure,
+    conditions: SearchConditions,
     tally: Mutex<Tally>,
     /// The searches that requested a fault.
     faulted_cases: Mutex<Vec<SearchCase>>,
@@ -31,7 +31,11 @@
 
 impl GatewayLoad {
     /// A load on all aggregators of an installation.
-    pub fn new(installation: &Installation, seed: u64, pressure: TimePressure) -> Arc<GatewayLoad> {
+    pub fn new(
+        installation: &Installation,
+        seed: u64,
+        conditions: SearchConditions,
+    ) -> Arc<GatewayLoad> {
         let aggregators = installation.aggregators.iter();
         let addresses = aggregators.map(|aggregator| AggregatorAddresses {
             native: aggregator.address,
@@ -40,7 +44,7 @@
         Arc::new(GatewayLoad {
             seed,
             aggregators: addresses.collect(),
-            pressure,
+            conditions,
             tally: Mutex::default(),
             faulted_cases: Mutex::default(),
         })
@@ -118,7 +122,7 @@
 }
 
 async fn send_to_gateway(load: &GatewayLoad, case: &SearchCase, connection: &mut HttpConnection) {
-    let report = case.send_to_gateway(connection, load.pressure).await;
+    let report = case.send_to_gateway(connection, load.conditions).await;
     if let Some(report) = report {
         lock(&load.tally).add_gateway(case.class.name, case.fault, report);
     }
--- a/crates/testkit/src/bin/gateway-conformance-test/runs.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/runs.rs
@@ -1,7 +1,8 @@
-//! The two runs of the test: all searches under load, and those with a fault without time pressure.
+//! The two runs of the test: all searches under load, and those with a fault with long latency
+//! objectives.
 
 use crate::api_checks;
-use crate::faulted_search::{TimePressure, LONG_CLIENT_TIMEOUT, LONG_LATENCY_OBJECTIVE};
+use crate::faulted_search::{SearchConditions, LONG_CLIENT_TIMEOUT, LONG_LATENCY_OBJECTIVE};
 use crate::load::{self, GatewayLoad};
 use crate::search_case::SearchCase;
 use crate::tally::Tally;
@@ -54,7 +55,11 @@
     for failure in &api_failures {
         println!("WRONG {failure}");
     }
-    let load = GatewayLoad::new(&installation, options.seed, TimePressure::ShortObjective);
+    let load = GatewayLoad::new(
+        &installation,
+        options.seed,
+        SearchConditions::ShortObjective,
+    );
     let searches_per_client = options.searches / options.clients;
     let clients = load::start_clients(&load, options.clients, searches_per_client);
     sleep(TIME_BEFORE_ZONE_LOSS).await;
@@ -74,7 +79,7 @@
     })
 }
 
-/// The result of the searches with a fault, repeated without time pressure.
+/// The result of the searches with a fault, repeated with long latency objectives.
 pub struct RepeatResult {
     /// The counts with all zones, and with one lost.
     pub tallies: Vec<Tally>,
@@ -82,8 +87,8 @@
     pub clean_exit: bool,
 }
 
-/// Sends the searches with a fault to an installation without time pressure, before and after a
-/// zone is lost.
+/// Sends the searches with a fault to an installation with long latency objectives, before and
+/// after a zone is lost.
 pub async fn repeat_faulted_searches(
     folder: &Path,
     seed: u64,
@@ -96,11 +101,14 @@
     };
     let mut installation = Installation::start(folder, &options).await?;
     let mut tallies = Vec::new();
-    for pressure in [TimePressure::None, TimePressure::ZoneLost] {
-        if pressure == TimePressure::ZoneLost {
+    for conditions in [
+        SearchConditions::LongObjective,
+        SearchConditions::LongObjectiveWithZoneLost,
+    ] {
+        if conditions == SearchConditions::LongObjectiveWithZoneLost {
             installation.lose_zone(LOST_ZONE);
         }
-        let load = GatewayLoad::new(&installation, seed, pressure);
+        let load = GatewayLoad::new(&installation, seed, conditions);
         for client in load::start_gateway_clients(&load, cases) {
             client.await?;
         }
--- a/crates/testkit/src/bin/gateway-conformance-test/search_case.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/search_case.rs
@@ -1,6 +1,6 @@
 //! One search, as it is sent through either frontend, and the checks of its responses.
 
-use crate::faulted_search::{check_faulted_search, TimePressure};
+use crate::faulted_search::{check_faulted_search, SearchConditions};
 use crate::page_check::check_page;
 use crate::random_search::random_search;
 use crate::tally::{SearchReport, ServedOutcome};
@@ -91,7 +91,7 @@
     pub async fn send_to_gateway(
         &self,
         connection: &mut HttpConnection,
-        pressure: TimePressure,
+        conditions: SearchConditions,
     ) -> Option<SearchReport> {
         let request = Request::post(format!("/{}/_search", self.class.name))
             .header("Host", HOST)
@@ -99,11 +99,11 @@
             .header("X-Tenant-Id", self.tenant)
             .body(Full::new(Bytes::from(self.search.to_string())))
             .ok()?;
-        let time_limit = pressure.client_timeout(&self.class);
+        let time_limit = conditions.client_timeout(&self.class);
         let sent_at = Instant::now();
         let response = timeout(time_limit + LATE_TOLERANCE, connection.send(request)).await;
         let is_late = sent_at.elapsed() > time_limit;
-        let mut report = self.check_response(response.ok().flatten(), pressure);
+        let mut report = self.check_response(response.ok().flatten(), conditions);
         report.is_late = is_late;
         Some(report)
     }
@@ -112,7 +112,7 @@
     fn check_response(
         &self,
         response: Option<ClientResponse>,
-        pressure: TimePressure,
+        conditions: SearchConditions,
     ) -> SearchReport {
         let body = response
             .as_ref()
@@ -126,7 +126,7 @@
         };
         if let Some(fault) = self.fault {
             let outcome = report.outcome;
-            let result = check_faulted_search(fault, &self.class, outcome, &body, pressure);
+            let result = check_faulted_search(fault, &self.class, outcome, &body, conditions);
             if let Err(error) = result {
                 report.add_wrong(format!("{error}: {}", self.search));
             }
--- a/crates/testkit/src/bin/gateway-conformance-test/summary.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/summary.rs
@@ -19,7 +19,7 @@
 pub struct Summary {
     /// The counts of all searches under load.
     pub tally: Tally,
-    /// The counts of the searches with a fault, repeated without time pressure.
+    /// The counts of the searches with a fault, repeated with long latency objectives.
     pub repeated: Vec<Tally>,
     /// Checks of the gateway's interface that failed.
     pub api_failures: usize,
@@ -80,7 +80,7 @@
         }
         print_faulted("", &self.tally);
         for tally in &self.repeated {
-            print_faulted("repeated without time pressure: ", tally);
+            print_faulted("repeated with long latency objectives: ", tally);
         }
         for wrong in self.wrong().take(MAX_SHOWN_WRONG) {
             println!("WRONG {wrong}");
--- a/crates/testkit/src/bin/ledger-benchmark/serving.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/serving.rs
@@ -13,23 +13,27 @@
 pub async fn measure(pairs: u64, seconds: u64) -> Result<(), BenchError> {
     let folder_off = tempfile::tempdir()?;
     let folder_on = tempfile::tempdir()?;
-    let off = Installation::start(folder_off.path(), &options(false)).await?;
-    let on = Installation::start(folder_on.path(), &options(true)).await?;
+    let off = Installation::start(folder_off.path(), &options_without_log()).await?;
+    let on = Installation::start(folder_on.path(), &options_with_log()).await?;
     for level in &LOAD_LEVELS {
         measure_level(&off, &on, level, pairs, seconds).await?;
     }
     Ok(())
 }
 
-fn options(usage_log: bool) -> InstallationOptions {
+fn options_with_log() -> InstallationOptions {
+    InstallationOptions {
+        usage_log: true,
+        ..options_without_log()
+    }
+}
+
+fn options_without_log() -> InstallationOptions {
     let leaf = LeafOptions {
         service_time: Duration::from_millis(4),
         capacity: 64,
     };
-    InstallationOptions {
-        usage_log,
-        ..InstallationOptions::new(1, leaf)
-    }
+    InstallationOptions::new(1, leaf)
 }
 
 async fn measure_level(
--- a/crates/testkit/src/installation/aggregator.rs
+++ b/crates/testkit/src/installation/aggregator.rs
@@ -2,7 +2,7 @@
 
 use super::address::free_port;
 use super::config::{gateway_sections, platform_object, usage_section, PlatformParameters};
-use super::InstallationError;
+use super::{InstallationError, InstallationOptions};
 use crate::http::get;
 use crate::process::{Process, Signal};
 use std::fs;
@@ -80,13 +80,14 @@
         fs::write(&self.platform_file, format!("{object:#}"))
     }
 
-    /// Writes the settings.
-    pub(super) fn write_settings(&self, usage_log: bool, gateway: bool) -> io::Result<()> {
+    /// Writes the settings, with the sections of the usage log and of the gateway if the options
+    /// have them.
+    pub(super) fn write_settings(&self, options: &InstallationOptions) -> io::Result<()> {
         let mut settings = String::new();
-        if usage_log {
+        if options.usage_log {
             settings += &usage_section(&self.usage_directory, self.collect_address);
         }
-        if gateway {
+        if options.gateway {
             settings += &gateway_sections(self.gateway_address);
         }
         fs::write(&self.settings_file, settings)
--- a/crates/testkit/src/installation/mod.rs
+++ b/crates/testkit/src/installation/mod.rs
@@ -218,7 +218,7 @@
             client_timeout: options.client_timeout,
             latency_objective: options.latency_objective,
         })?;
-        aggregator.write_settings(options.usage_log, options.gateway)?;
+        aggregator.write_settings(options)?;
         self.aggregators.push(aggregator);
         self.start_aggregator(zone).await
     }
--- a/crates/testkit/src/search/ranking.rs
+++ b/crates/testkit/src/search/ranking.rs
@@ -23,9 +23,16 @@
     pub source: Value,
 }
 
+/// The direction in which values are sorted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SortOrder {
+    Ascending,
+    Descending,
+}
+
 struct SortKey {
     field: String,
-    descending: bool,
+    order: SortOrder,
 }
 
 /// All documents of `shards` that match a search, ranked, regardless of its page.
@@ -59,8 +66,9 @@
         .collect()
 }
 
-/// Compares two values of a field: numbers before texts before missing values, also when falling.
-pub(super) fn compare_values(left: &Value, right: &Value, descending: bool) -> Ordering {
+/// Compares two values of a field. Numbers come before texts and those before missing values, in
+/// either order.
+pub(super) fn compare_values(left: &Value, right: &Value, order: SortOrder) -> Ordering {
     let type_rank = |value: &Value| match value {
         Value::Number(_) => 0,
         Value::String(_) => 1,
@@ -73,10 +81,9 @@
         (Some(left), Some(right)) => left.total_cmp(&right),
         _ => left.as_str().cmp(&right.as_str()),
     };
-    if descending {
-        ascending.reverse()
-    } else {
-        ascending
+    match order {
+        SortOrder::Ascending => ascending,
+        SortOrder::Descending => ascending.reverse(),
     }
 }
 
@@ -118,13 +125,21 @@
     if let Value::String(field) = key {
         return SortKey {
             field: field.clone(),
-            descending: field == "_score",
+            order: if field == "_score" {
+                SortOrder::Descending
+            } else {
+                SortOrder::Ascending
+            },
         };
     }
     let (field, order) = field_and_value(key, "order");
     SortKey {
         field: field.to_string(),
-        descending: order == "desc",
+        order: if order == "desc" {
+            SortOrder::Descending
+        } else {
+            SortOrder::Ascending
+        },
     }
 }
 
@@ -132,7 +147,7 @@
     sort_keys
         .iter()
         .zip(left.iter().zip(right))
-        .map(|(key, (left, right))| compare_values(left, right, key.descending))
+        .map(|(key, (left, right))| compare_values(left, right, key.order))
         .fold(Ordering::Equal, Ordering::then)
 }
 
