--- a/crates/usage-ledger/src/lib.rs
+++ b/crates/usage-ledger/src/lib.rs
@@ -34,6 +34,11 @@
 
 /// The messages between processes and in segments, generated from `proto/usage.proto`.
 pub mod wire {
-    #![allow(missing_docs, reason = "generated code")]
+    #![allow(
+        missing_docs,
+        clippy::missing_errors_doc,
+        clippy::too_many_lines,
+        reason = "generated code"
+    )]
     tonic::include_proto!("cottonhill.usage.v1");
 }
