--- a/crates/aggregator/src/cli/ledger/reconcile.rs
+++ b/crates/aggregator/src/cli/ledger/reconcile.rs
@@ -27,6 +27,10 @@
 /// The arguments of `ledger reconcile`.
 #[derive(clap::Args)]
 pub struct ReconcileArguments {
+    #[allow(
+        clippy::doc_markdown,
+        reason = "printed by --help, where backticks are noise"
+    )]
     /// CSV with the columns at_ms, tenant, class, outcome, tries, key
     #[arg(long, value_name = "FILE")]
     clients: Option<PathBuf>,
--- a/crates/aggregator/src/logging.rs
+++ b/crates/aggregator/src/logging.rs
@@ -1,8 +1,8 @@
 //! Structured logs on standard error: text or JSON, by level and by target.
 //!
-//! A field has the same name in all lines: `client`, `connection`, `id` (a query), `replica`, `class` and
-//! `tenant` by number, `address`, `segment`, `member`, `period`, `error`; a duration ends in its
-//! unit (`_ms`).
+//! A field has the same name in all lines: `client`, `connection`, `id` (a query), `replica`,
+//! `class` and `tenant` by number, `address`, `segment`, `member`, `period`, `error`; a duration
+//! ends in its unit (`_ms`).
 
 use crate::settings::{LogFormat, LogSettings};
 use tracing_subscriber::filter::Targets;
--- a/crates/core/src/config/aggregator_settings.rs
+++ b/crates/core/src/config/aggregator_settings.rs
@@ -42,7 +42,7 @@
     pub connect_timeout: Nanos,
     /// A leaf server closes a connection that has been idle for this time; we close it earlier.
     pub idle_timeout: Nanos,
-    /// The `Retry-After` that a client rejected on arrival gets; none where the settings allow none.
+    /// The `Retry-After` for a client rejected on arrival; none where the settings allow none.
     pub retry_after: Option<Nanos>,
     /// Aggregators may exchange gossip messages.
     pub gossip_allowed: bool,
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -1,5 +1,5 @@
-//! Queries: which are passed to the policy and which are rejected on arrival, and their removal. The
-//! replies are composed in [`super::replies`].
+//! Queries: which are passed to the policy and which are rejected on arrival, and their removal.
+//! The replies are composed in [`super::replies`].
 
 use super::ids::{AttemptId, ClientId};
 use super::query_table::{EndedQuery, OpenPart, OpenQuery};
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -1,6 +1,6 @@
 //! Outlier detection: a replica that does not respond is ejected, so that replica selection prefers
-//! others. It still gets an attempt that no other replica may get. When the ejection time has passed
-//! it is preferred again for one call at a time, until it responds.
+//! others. It still gets an attempt that no other replica may get. When the ejection time has
+//! passed it is selected again for one call at a time, until it responds.
 //!
 //! Invariant: any response ends an ejection (`ReplicaRecord::record_response`); the failure stays
 //! in the smoothed latency for a while. The design leaves health to us.
--- a/crates/testkit/src/bin/shutdown-stress-test/main.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/main.rs
@@ -114,7 +114,7 @@
 
 async fn run(arguments: Arguments) -> Result<bool, TestProgramError> {
     let mut table = Table::default();
-    table.print_head();
+    Table::print_head();
     for deadline_ms in &arguments.deadlines {
         for speed in LeafSpeed::ALL {
             let deadline = Duration::from_millis(*deadline_ms);
--- a/crates/testkit/src/bin/shutdown-stress-test/table.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/table.rs
@@ -80,7 +80,7 @@
 }
 
 impl Table {
-    pub fn print_head(&self) {
+    pub fn print_head() {
         println!("deadline   leaves shutdowns requests answered crossed   lost killed longest, s");
     }
 
--- a/crates/usage-ledger/src/lib.rs
+++ b/crates/usage-ledger/src/lib.rs
@@ -36,6 +36,8 @@
 pub mod wire {
     #![allow(
         missing_docs,
+        clippy::allow_attributes_without_reason,
+        clippy::doc_markdown,
         clippy::missing_errors_doc,
         clippy::too_many_lines,
         reason = "generated code"
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -404,6 +404,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one file and all that is read from it"
+)]
 fn a_settings_file_of_an_earlier_version_is_read() {
     let text = "\
 [usage]
--- a/crates/usage-ledger/tests/store/reconciliation.rs
+++ b/crates/usage-ledger/tests/store/reconciliation.rs
@@ -20,6 +20,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one scenario, compared as a whole")]
 fn totals_and_single_requests_are_compared_within_the_range() {
     let mut harness = StoreHarness::new();
     let records = vec![
