--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 build:
 	cargo build --release --locked
 
-# That the programs start, and that the sample settings are valid.
+# Checks that the programs start and that the sample settings are valid.
 check: build
 	target/release/query-aggregator --version
 	target/release/query-aggregator check --settings deploy/query-aggregator.ini > /dev/null
@@ -17,7 +17,7 @@
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
 
-# A whole installation on loopback, until Ctrl-C.
+# A complete installation on loopback, until Ctrl-C.
 demo: build
 	exec target/release/demo
 
@@ -29,18 +29,18 @@
 run: build
 	exec target/release/query-aggregator
 
-# Three aggregators, two of everything that can go wrong, and the totals set beside what the clients sent.
+# Faults of three aggregators, the settlement and the receiver; the ledger's totals must equal what the clients sent.
 ledger-fault-test: build
 	exec target/release/ledger-fault-test $(ARGS)
 
-# The log on against off, and the settlement at size.
+# The cost of the usage log, and the speed of a large settlement.
 ledger-benchmark: build
 	exec target/release/ledger-benchmark $(ARGS)
 
-# Aggregators shut down under load, for deadlines on both sides of each phase; no request may be lost.
+# Shutdowns under load, with client deadlines shorter and longer than each phase; no request may be lost.
 shutdown-stress-test: build
 	exec target/release/shutdown-stress-test $(ARGS)
 
-# The same searches through both frontends, each page against the exact one.
+# The same searches through both frontends; each page is compared with the exact one.
 gateway-conformance-test: build
 	exec target/release/gateway-conformance-test $(ARGS)
