--- a/crates/usage-ledger/src/join/joiner.rs
+++ b/crates/usage-ledger/src/join/joiner.rs
@@ -12,8 +12,9 @@
     bounds: JoinBounds,
     open: HashMap<GroupKey, Vec<LogicalRequest>>,
     deadlines: BTreeMap<Deadline, GroupKey>,
-    /// Retries that are not joined yet, because a record that arrived before them may still follow.
-    retries: VecDeque<UsageRecord>,
+    /// Records that may join an earlier one and wait, because a record that arrived before them may
+    /// still follow.
+    waiting: VecDeque<UsageRecord>,
     /// Retries that are ambiguous because of records that are not pushed here.
     ambiguous_before: BTreeSet<RecordId>,
 }
@@ -25,7 +26,7 @@
             bounds,
             open: HashMap::new(),
             deadlines: BTreeMap::new(),
-            retries: VecDeque::new(),
+            waiting: VecDeque::new(),
             ambiguous_before: BTreeSet::new(),
         }
     }
@@ -42,7 +43,7 @@
     pub fn push(&mut self, record: UsageRecord, done: &mut impl FnMut(LogicalRequest)) {
         self.advance(record.arrived_at_ms, done);
         if record.is_retry || record.has_idempotency_key {
-            self.retries.push_back(record);
+            self.waiting.push_back(record);
         } else {
             self.open_request(record, JoinCertainty::Certain);
         }
@@ -76,19 +77,19 @@
         requests.push(LogicalRequest::new(first, certainty));
     }
 
-    /// Joins the retries that no other record can precede any more, given that all records that
-    /// arrived before `now_ms` are known.
+    /// Joins the waiting records that no other record can precede any more, given that all records
+    /// that arrived before `now_ms` are known.
     fn advance(&mut self, now_ms: i64, done: &mut impl FnMut(LogicalRequest)) {
-        while let Some(retry) = self.retries.front().copied() {
+        while let Some(retry) = self.waiting.front().copied() {
             if retry.arrived_at_ms.saturating_add(self.bounds.skew_ms) >= now_ms {
                 break;
             }
-            self.retries.pop_front();
+            self.waiting.pop_front();
             self.close_before(retry.arrived_at_ms, done);
             self.join_retry(retry);
         }
         let oldest_waiting_ms = self
-            .retries
+            .waiting
             .front()
             .map_or(now_ms, |retry| retry.arrived_at_ms);
         self.close_before(oldest_waiting_ms, done);
--- a/crates/usage-ledger/src/writer/error.rs
+++ b/crates/usage-ledger/src/writer/error.rs
@@ -35,7 +35,7 @@
     /// The last write failed less than the retry interval ago.
     #[error("it could not be a moment ago")]
     Backoff,
-    /// One more segment would exceed the limit of the settings.
+    /// One more segment would exceed the size limit of the settings (`usage.keep`).
     #[error("it holds as much as it may; nothing of it has been settled")]
     CapacityExceeded,
     /// A write failed.
--- a/crates/usage-ledger/src/writer/handle.rs
+++ b/crates/usage-ledger/src/writer/handle.rs
@@ -62,7 +62,8 @@
         &self.counters
     }
 
-    /// The sequence number of the last record that was written or lost.
+    /// The sequence number of the last record that the writer is done with: it was handed to the
+    /// operating system, or is lost.
     pub fn written_sequence(&self) -> watch::Receiver<u64> {
         self.written.clone()
     }
