--- a/crates/testkit/src/search/aggregation.rs
+++ b/crates/testkit/src/search/aggregation.rs
@@ -1,7 +1,7 @@
 //! Aggregations over matching documents.
 
 use super::documents::DAY_MS;
-use super::ranking::{compare_values, SearchHit, SortOrder};
+use super::ranking::{compare_values, RankingOrder, SearchHit};
 use serde_json::{json, Value};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
 }
 
 fn compare_keys(left: &Bucket, right: &Bucket) -> Ordering {
-    compare_values(&left.key, &right.key, SortOrder::Ascending)
+    compare_values(&left.key, &right.key, RankingOrder::Ascending)
 }
 
 fn buckets_json(buckets: &[Bucket]) -> Value {
--- a/crates/testkit/src/search/ranking.rs
+++ b/crates/testkit/src/search/ranking.rs
@@ -25,14 +25,14 @@
 
 /// The direction in which values are sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SortOrder {
+pub(super) enum RankingOrder {
     Ascending,
     Descending,
 }
 
 struct SortKey {
     field: String,
-    order: SortOrder,
+    order: RankingOrder,
 }
 
 /// All documents of `shards` that match a search, ranked, regardless of its page.
@@ -68,7 +68,7 @@
 
 /// Compares two values of a field. Numbers come before texts and those before missing values, in
 /// either order.
-pub(super) fn compare_values(left: &Value, right: &Value, order: SortOrder) -> Ordering {
+pub(super) fn compare_values(left: &Value, right: &Value, order: RankingOrder) -> Ordering {
     let type_rank = |value: &Value| match value {
         Value::Number(_) => 0,
         Value::String(_) => 1,
@@ -82,8 +82,8 @@
         _ => left.as_str().cmp(&right.as_str()),
     };
     match order {
-        SortOrder::Ascending => ascending,
-        SortOrder::Descending => ascending.reverse(),
+        RankingOrder::Ascending => ascending,
+        RankingOrder::Descending => ascending.reverse(),
     }
 }
 
@@ -126,9 +126,9 @@
         return SortKey {
             field: field.clone(),
             order: if field == "_score" {
-                SortOrder::Descending
+                RankingOrder::Descending
             } else {
-                SortOrder::Ascending
+                RankingOrder::Ascending
             },
         };
     }
@@ -136,9 +136,9 @@
     SortKey {
         field: field.to_string(),
         order: if order == "desc" {
-            SortOrder::Descending
+            RankingOrder::Descending
         } else {
-            SortOrder::Ascending
+            RankingOrder::Ascending
         },
     }
 }
