--- a/crates/usage-ledger/src/join/mod.rs
+++ b/crates/usage-ledger/src/join/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A [`Joiner`] takes records in the order of their arrival and returns logical requests. A record
 //! joins an earlier one, or starts a logical request:
-//! - A record with an idempotency key joins the logical request of its tenant and class that has the
-//!   same key, whatever the outcome of its records, and whether or not it is marked as a retry.
+//! - A record with an idempotency key joins the logical request of its tenant and class that has
+//!   the same key, whatever the outcome of its records, and whether or not it is marked as a retry.
 //! - A record without a key that is marked as a retry joins a record of the same tenant, class and
 //!   query hash that was not answered, if its first request is no older than the client timeout of
 //!   the class. Each record is joined by at most one retry. Which of several it joins is the order
