--- a/crates/core/src/engine/client_table.rs
+++ b/crates/core/src/engine/client_table.rs
@@ -97,8 +97,8 @@
     }
 
     /// Picks the clients to close when `newest` connects, and marks them, so that none is picked
-    /// twice before its connection has ended. Those from which no query was passed to the policy are
-    /// picked first, then those that have been idle for longest.
+    /// twice before its connection has ended. Those from which no query was passed to the policy
+    /// are picked first, then those that have been idle for longest.
     pub(super) fn pick_evictions(&mut self, now: Nanos, newest: ClientId) -> Vec<ClientId> {
         if self.clients.len() <= self.capacity / 2 {
             return Vec::new();
