--- a/crates/aggregator/src/cli/ledger/key.rs
+++ b/crates/aggregator/src/cli/ledger/key.rs
@@ -13,6 +13,6 @@
 
 /// Prints the key in hexadecimal.
 pub fn run(arguments: &KeyArguments) -> Result<(), LedgerError> {
-    let key = usage::key_of_client(&arguments.class, &arguments.idempotency_key);
+    let key = usage::client_join_key(&arguments.class, &arguments.idempotency_key);
     Ok(output::print(format!("{key:016x}\n").as_bytes())?)
 }
--- a/crates/core/src/engine/usage.rs
+++ b/crates/core/src/engine/usage.rs
@@ -13,7 +13,7 @@
 pub type JoinKey = u64;
 
 /// The key of a use for which the client has sent an idempotency key.
-pub fn key_of_client(class: &str, key: &str) -> JoinKey {
+pub fn client_join_key(class: &str, key: &str) -> JoinKey {
     let mut hash = hash_of(class);
     hash.update(key.as_bytes());
     hash.digest() | 1
@@ -21,7 +21,11 @@
 
 /// The key of a use by its request: the class, the parts (shard and weight) in any order, and the
 /// text.
-pub fn key_of_query(class: &str, parts: impl Iterator<Item = (u32, f64)>, text: &[u8]) -> JoinKey {
+pub fn content_join_key(
+    class: &str,
+    parts: impl Iterator<Item = (u32, f64)>,
+    text: &[u8],
+) -> JoinKey {
     let mut parts: Vec<(u32, u64)> = parts
         .map(|(shard, weight)| (shard, weight.to_bits()))
         .collect();
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -32,10 +32,10 @@
         }
         let class = self.class_name(request.class);
         match &request.idempotency_key {
-            Some(key) => usage::key_of_client(class, key),
+            Some(key) => usage::client_join_key(class, key),
             None => {
                 let parts = request.parts.iter().map(|part| (part.shard, part.weight));
-                usage::key_of_query(class, parts, &request.text)
+                usage::content_join_key(class, parts, &request.text)
             }
         }
     }
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use aggregator_core::engine::usage::{is_client_key, key_of_client, key_of_query, QueryOutcome};
+use aggregator_core::engine::usage::{
+    client_join_key, content_join_key, is_client_key, QueryOutcome,
+};
 use aggregator_core::engine::Input;
 use aggregator_core::protocol::leaf::PartStatus;
 use aggregator_core::protocol::query::{ClientRequest, QueryRequest};
@@ -190,16 +192,19 @@
     let parts = [(1, 0.5), (0, 0.5)];
     assert_eq!(
         keys[0],
-        key_of_query("lookup", parts.into_iter(), b"text"),
+        content_join_key("lookup", parts.into_iter(), b"text"),
         "parts in any order"
     );
-    assert_eq!((keys[0], keys[2]), (keys[1], key_of_client("lookup", "k")));
+    assert_eq!(
+        (keys[0], keys[2]),
+        (keys[1], client_join_key("lookup", "k"))
+    );
     assert!(is_client_key(keys[2]) && !is_client_key(keys[0]) && harness.records[2].has_client_key);
     let others = [
-        key_of_query("report", parts.into_iter(), b"text"),
-        key_of_query("lookup", parts.into_iter(), b"test"),
-        key_of_query("lookup", [(1, 0.5), (2, 0.5)].into_iter(), b"text"),
-        key_of_client("lookup", "K"),
+        content_join_key("report", parts.into_iter(), b"text"),
+        content_join_key("lookup", parts.into_iter(), b"test"),
+        content_join_key("lookup", [(1, 0.5), (2, 0.5)].into_iter(), b"text"),
+        client_join_key("lookup", "K"),
     ];
     assert!(others.iter().all(|other| !keys.contains(other)));
 }
--- a/crates/testkit/src/bin/ledger-fault-test/client_use.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/client_use.rs
@@ -1,6 +1,6 @@
 //! A use of the aggregators by a client, before it is made and afterwards.
 
-use aggregator_core::engine::usage::{key_of_client, key_of_query};
+use aggregator_core::engine::usage::{client_join_key, content_join_key};
 use aggregator_testkit::client::{consecutive_shards, ClientQuery};
 use aggregator_testkit::installation::{InstallationClass, CLASSES, SHARDS, TENANTS};
 use rand::rngs::StdRng;
@@ -55,10 +55,10 @@
     pub fn join_key(&self) -> u64 {
         let query = &self.query;
         match &query.idempotency_key {
-            Some(key) => key_of_client(&query.class, key),
+            Some(key) => client_join_key(&query.class, key),
             None => {
                 let shards = query.shards.iter().map(|shard| (shard.shard, shard.weight));
-                key_of_query(&query.class, shards, query.text.as_bytes())
+                content_join_key(&query.class, shards, query.text.as_bytes())
             }
         }
     }
