--- a/crates/core/src/engine/actions.rs
+++ b/crates/core/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! The end of a batch: the policy decides on the events, and its actions are executed.
+//! Ends a batch: the policy handles the events, and the actions that it returns are executed.
 
 use super::attempts::AttemptRequest;
 use super::effect::Effect;
@@ -7,11 +7,12 @@
 use super::Engine;
 use crate::api::{Action, AttemptOutcome, Nanos};
 
-/// The largest gossip message, in bytes.
+/// Maximum size of a gossip message, in bytes.
 const MAX_GOSSIP_BYTES: usize = 256;
 
 impl Engine {
-    /// Runs the timers that are due, then lets the policy decide on the events of the batch.
+    /// Runs the timers that are due, then lets the policy handle the events of the batch and
+    /// executes its actions.
     pub(super) fn end_batch(&mut self, now: Nanos) {
         self.run_due_timers(now);
         if self.events.is_empty() {
@@ -37,7 +38,7 @@
                 let request = AttemptRequest {
                     part,
                     replica,
-                    // The policy's 0 stands for the deadline of the query.
+                    // The policy uses 0 for the deadline of the query.
                     times_out_at: Some(until).filter(|until| *until > 0),
                     latest_start,
                 };
@@ -57,7 +58,8 @@
                 self.timers.set(now + after, Timer::Policy(token));
             }
             Action::WatchEndpoints { enabled: true } => self.start_watch(),
-            // A watch lasts until it ends by itself, and brings all that a single poll would.
+            // A watch runs until it ends by itself, and delivers everything that a single fetch
+            // would.
             Action::WatchEndpoints { enabled: false } | Action::FetchEndpoints => {}
             Action::CheckHealth { replica } => self.start_health_check(now, replica),
             Action::CloseIdleConnections { replica } => self.close_idle_connections(now, replica),
--- a/crates/core/src/engine/attempt_table.rs
+++ b/crates/core/src/engine/attempt_table.rs
@@ -7,28 +7,28 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// An attempt that has not ended. It outlives its query where cancellation is not allowed.
+/// An attempt that has not ended. It outlives its query if cancellation is not allowed.
 #[derive(Debug)]
 pub(super) struct OpenAttempt {
     pub(super) replica: ReplicaId,
     pub(super) connection: ConnectionId,
     pub(super) requested_at: Nanos,
     pub(super) times_out_at: Nanos,
-    /// It is dropped if it has not been sent by then.
+    /// Time after which the attempt is dropped if it has not been sent.
     pub(super) latest_start: Option<Nanos>,
     pub(super) shard: u32,
-    /// The query's text.
+    /// Text of the query.
     pub(super) text: Bytes,
 }
 
 impl OpenAttempt {
-    /// Whether it must not be sent any more.
+    /// Returns whether the attempt must not be sent any more.
     pub(super) fn is_expired(&self, now: Nanos) -> bool {
         let past_latest_start = self.latest_start.is_some_and(|latest| latest < now);
         self.times_out_at <= now || past_latest_start
     }
 
-    /// The attempt as an entry of a call that is sent now.
+    /// Returns the entry of a call for this attempt, as sent at `now`.
     pub(super) fn call_part(&self, now: Nanos, wire_id: WireId) -> CallPart {
         let time_left = self.times_out_at.saturating_sub(now);
         CallPart {
@@ -40,7 +40,7 @@
     }
 }
 
-/// The attempts that are waiting for a connection or in flight.
+/// The attempts that have not ended.
 #[derive(Debug, Default)]
 pub(super) struct AttemptTable {
     attempts: BTreeMap<AttemptId, OpenAttempt>,
@@ -51,7 +51,7 @@
         self.attempts.get(&id)
     }
 
-    /// The attempts at a part, in the order sent.
+    /// Returns the attempts at a part that have not ended, in the order of their numbers.
     pub(super) fn of_part(
         &self,
         part: RequestId,
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts, from the policy's request to their end. Each attempt that was requested ends once, and
+//! The life cycle of attempts. Each attempt that the policy requests ends exactly once, and its end
 //! is reported to the policy as an [`Event::AttemptEnded`].
 
 use super::attempt_table::OpenAttempt;
@@ -9,19 +9,20 @@
 use super::{Engine, MILLISECOND};
 use crate::api::{AttemptEnded, AttemptOutcome, Event, LoadReport, Nanos, ReplicaId, RequestId};
 
-/// An attempt as the policy requests it.
+/// An attempt requested by the policy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRequest {
     pub(super) part: RequestId,
     pub(super) replica: ReplicaId,
-    /// When it times out; at the deadline of its query where there is none.
+    /// Time at which the attempt times out; `None` for the deadline of its query.
     pub(super) times_out_at: Option<Nanos>,
-    /// It is dropped if it has not been sent by then.
+    /// Time after which the attempt is dropped if it has not been sent.
     pub(super) latest_start: Option<Nanos>,
 }
 
 impl Engine {
-    /// Queues an attempt at a connection to its replica.
+    /// Starts an attempt: queues it at a connection to its replica, or ends it if that is not
+    /// possible.
     pub(super) fn start_attempt(&mut self, now: Nanos, request: AttemptRequest) {
         let crosses_zones = self.is_in_other_zone(request.replica);
         let AttemptRequest {
@@ -32,7 +33,7 @@
             .begin_attempt(part, crosses_zones, times_out_at)
         else {
             self.counters.faults.unknown_target += 1;
-            tracing::error!(part, "attempt at a part that has ended");
+            tracing::error!(part, "attempt requested for a part that is not open");
             return;
         };
         self.counters.sent.attempts += 1;
@@ -48,7 +49,8 @@
         zone.is_some_and(|zone| zone != self.settings.zone)
     }
 
-    /// The connection for an attempt, or how the attempt ends where it gets none.
+    /// Returns the connection for an attempt. The error is the outcome of the attempt if it gets no
+    /// connection.
     fn place_attempt(
         &mut self,
         now: Nanos,
@@ -105,7 +107,7 @@
         self.attempts.insert(id, attempt);
     }
 
-    /// Ends an attempt for which there is no connection.
+    /// Ends an attempt that got no connection.
     fn on_attempt_not_placed(
         &mut self,
         id: AttemptId,
@@ -117,12 +119,12 @@
             attempt = id.number,
             replica = replica.0,
             ?outcome,
-            "attempt not placed"
+            "attempt not queued"
         );
         self.report_attempt_ended(id, replica, outcome, LoadReport::new());
     }
 
-    /// Ends an attempt that was queued at a connection and is no longer in flight there.
+    /// Ends an attempt that was queued at a connection and is no longer in flight on it.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Nanos,
@@ -164,11 +166,11 @@
         }));
     }
 
-    /// Ends an attempt from our side, as on its timeout: at its connection, in the table and in the
-    /// timers. The policy is informed by the event.
+    /// Ends an attempt from our side, for example on its timeout: at its connection, in the table
+    /// and in the timers. The policy is informed by an event.
     ///
-    /// An attempt that times out and was never sent ends as [`AttemptOutcome::NotSent`]: it is
-    /// known not to have been executed.
+    /// An attempt that times out before it was sent ends as [`AttemptOutcome::NotSent`], since it
+    /// is known not to have been executed.
     pub(super) fn cancel_attempt(&mut self, now: Nanos, id: AttemptId, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -188,9 +190,9 @@
         self.on_attempt_ended(now, id, outcome, LoadReport::new());
     }
 
-    /// Ends the attempts that have waited for a connection past their timeout, or past their
-    /// latest start. Their timers may not have run yet: they run at the end of a batch, and the
-    /// socket may accept a frame before.
+    /// Ends the queued attempts of a connection whose timeout or latest start has passed. Their
+    /// timers may not have run yet, because timers run at the end of a batch and the socket may
+    /// accept a frame before.
     pub(super) fn drop_expired_attempts(&mut self, now: Nanos, connection: ConnectionId) {
         for id in self.connections.unsent_attempts(connection) {
             let attempt = self.attempts.get(id);
--- a/crates/core/src/engine/client_table.rs
+++ b/crates/core/src/engine/client_table.rs
@@ -1,32 +1,32 @@
-//! The clients that are connected, and which of them are closed to make room.
+//! The connected clients, and the choice of those to evict when many are connected.
 
 use super::ids::ClientId;
 use super::MILLISECOND;
 use crate::api::{Nanos, RequestId};
 use std::collections::BTreeMap;
 
-/// Once more than half of the capacity is in use, a client that has been idle this long since its
-/// last reply is closed.
+/// Time since its last reply after which an idle client may be evicted, once more than half of the
+/// capacity is in use.
 const CLIENT_IDLE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
 
-/// The most clients closed for each that connects. More than one, so that idle clients are closed
-/// faster than new ones connect.
+/// Maximum number of clients evicted for each client that connects. More than one, so that idle
+/// clients are closed faster than new clients connect.
 const MAX_EVICTIONS_PER_CONNECT: usize = 2;
 
-/// One client's connection.
+/// State of one client connection.
 #[derive(Debug, Default)]
 struct Client {
-    /// The query that it waits for.
+    /// Query whose reply the client is waiting for.
     query: Option<RequestId>,
-    /// When its last reply was sent, or it connected.
+    /// Time at which the last reply was sent, or at which the client connected if there was none.
     idle_since: Nanos,
-    /// It has sent a query that was passed to the policy.
+    /// Whether a query of this client has been passed to the policy.
     has_sent_query: bool,
-    /// Its connection is to be closed.
+    /// Whether the connection is to be closed.
     close_requested: bool,
 }
 
-/// The clients that are connected.
+/// The connected clients.
 #[derive(Debug)]
 pub(super) struct ClientTable {
     clients: BTreeMap<ClientId, Client>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The most clients that may be connected.
+    /// Returns the maximum number of connected clients.
     pub(super) fn capacity(&self) -> usize {
         self.capacity
     }
@@ -58,7 +58,7 @@
         self.clients.contains_key(&client)
     }
 
-    /// The clients that wait for no query.
+    /// Returns the clients that are not waiting for a query.
     pub(super) fn without_query(&self) -> impl Iterator<Item = ClientId> + '_ {
         let clients = self.clients.iter();
         let idle = clients.filter(|(_, client)| client.query.is_none());
@@ -74,12 +74,12 @@
         self.clients.insert(client, state);
     }
 
-    /// Removes a client, and returns the query that it waits for.
+    /// Removes a client and returns the query that it was waiting for.
     pub(super) fn remove(&mut self, client: ClientId) -> Option<RequestId> {
         self.clients.remove(&client)?.query
     }
 
-    /// Notes that a client waits for a query.
+    /// Marks a client as waiting for a query.
     pub(super) fn set_query(&mut self, client: ClientId, query: RequestId) {
         if let Some(client) = self.clients.get_mut(&client) {
             client.query = Some(query);
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Notes that a client gets the reply to its request, and returns whether its connection is to
-    /// be closed then; none if the client has disconnected.
+    /// Marks a client as idle from `now` on, as its request is answered. Returns whether its
+    /// connection must be closed after the reply, or `None` if the client has disconnected.
     pub(super) fn on_reply(&mut self, client: ClientId, now: Nanos) -> Option<bool> {
         let client = self.clients.get_mut(&client)?;
         client.query = None;
@@ -96,9 +96,9 @@
         Some(client.close_requested)
     }
 
-    /// Picks the clients to close when `newest` connects, and marks them, so that none is picked
-    /// twice before its connection has ended. Those from which no query was passed to the policy
-    /// are picked first, then those that have been idle for longest.
+    /// Selects the clients to evict when `newest` connects, and marks them so that none is selected
+    /// twice before its connection has ended. Clients without a query that was passed to the policy
+    /// are selected first, then those that have been idle for longest.
     pub(super) fn pick_evictions(&mut self, now: Nanos, newest: ClientId) -> Vec<ClientId> {
         if self.clients.len() <= self.capacity / 2 {
             return Vec::new();
--- a/crates/core/src/engine/clients.rs
+++ b/crates/core/src/engine/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, the requests that come in on them and the replies.
+//! Handlers for client connections and their requests, and the sending of replies.
 
 use super::effect::Effect;
 use super::ids::ClientId;
@@ -9,13 +9,14 @@
 use crate::protocol::query::{ClientRequest, QueryReply};
 
 impl Engine {
-    /// Adds a client. One that connects after the drain period of a shutdown is closed once it has
-    /// no request; before it, idle clients may be closed to make room.
+    /// Adds a client. After the drain period of a shutdown, its connection is closed once no
+    /// request can be in transit on it. Otherwise idle clients may be evicted to make room.
     pub(super) fn on_client_connected(&mut self, now: Nanos, client: ClientId) {
         self.counters.connections.clients += 1;
         self.clients.insert(client, now);
         if self.shutdown.is_drain_period_over() {
-            // It was accepted while the listener closed. Without a request it would delay the exit.
+            // The client was accepted while the listener was closing. If it sent no request, it
+            // would delay the exit.
             self.effects.push(Effect::DrainClient { client });
             return;
         }
@@ -62,8 +63,8 @@
 
     pub(super) fn on_invalid_request(&mut self, now: Nanos, client: ClientId, error: RequestError) {
         self.counters.received.invalid += 1;
-        // At debug level: some clients send nothing but invalid requests, as fast as they can,
-        // which would fill the log.
+        // Logged at debug level: some clients send nothing but invalid requests, as fast as they
+        // can, and would fill the log.
         tracing::debug!(
             client,
             status = error.status,
--- a/crates/core/src/engine/connection_table.rs
+++ b/crates/core/src/engine/connection_table.rs
@@ -1,4 +1,4 @@
-//! The connections to leaf servers and what is scheduled on them.
+//! The connections to leaf servers, with the replica and the idle timer of each.
 
 use super::idle_timer::{IdleCheck, IdleTimer};
 use super::ids::{AttemptId, ConnectionId, HealthCheckId};
@@ -8,7 +8,7 @@
 use crate::api::{Nanos, ReplicaId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A connection, the replica that it leads to and its idle timer.
+/// A connection with the replica that it leads to and its idle timer.
 #[derive(Debug)]
 struct ReplicaConnection {
     replica: ReplicaId,
@@ -20,17 +20,17 @@
 #[derive(Debug)]
 pub(super) struct EndedConnection {
     pub(super) replica: ReplicaId,
-    /// When its idle timer is due; none if it is not set.
-    pub(super) idle_timer: Option<Nanos>,
+    /// Time at which the idle timer is due, or `None` if no timer is set.
+    pub(super) idle_timer_due: Option<Nanos>,
     pub(super) lost: LostWork,
 }
 
-/// What is known about an attempt that was cancelled.
+/// Result of cancelling an attempt at its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CancelledAttempt {
-    /// The leaf server may have executed it.
+    /// Whether the leaf server may have executed the attempt.
     pub(super) may_have_run: bool,
-    /// With it the connection became unresponsive.
+    /// Whether the connection has become unresponsive with this cancellation.
     pub(super) became_unresponsive: bool,
 }
 
@@ -39,9 +39,11 @@
 pub(super) struct ConnectionTable {
     connections: BTreeMap<ConnectionId, ReplicaConnection>,
     capacity: usize,
-    /// Connections that may have something to write, or nothing left to do.
+    /// Connections to visit at the end of the batch, since they may have a frame to write or
+    /// nothing left to do.
     pending: BTreeSet<ConnectionId>,
-    /// Connections that were given an attempt in this batch: their last call takes more parts.
+    /// Connections at which an attempt was queued in this batch. Further attempts of the batch may
+    /// be added to their last call.
     joinable: BTreeSet<ConnectionId>,
 }
 
@@ -102,12 +104,13 @@
         let connection = self.connections.remove(&id)?;
         Some(EndedConnection {
             replica: connection.replica,
-            idle_timer: connection.idle_timer.due(),
+            idle_timer_due: connection.idle_timer.due(),
             lost: connection.state.end(end),
         })
     }
 
-    /// Notes that a connection may have something to write, or nothing left to do.
+    /// Schedules a visit of a connection at the end of the batch, since it may have a frame to
+    /// write or nothing left to do.
     pub(super) fn mark_pending(&mut self, id: ConnectionId) {
         self.pending.insert(id);
     }
@@ -116,7 +119,7 @@
         self.pending.pop_first()
     }
 
-    /// A connection has been established.
+    /// Marks a connection as established.
     pub(super) fn on_opened(&mut self, id: ConnectionId, now: Nanos) {
         if let Some(connection) = self.get_mut(id) {
             connection.on_opened(now);
@@ -124,7 +127,7 @@
         }
     }
 
-    /// The socket of a connection has taken the last byte of a frame.
+    /// Marks the frame that the socket was writing as written.
     pub(super) fn on_frame_written(&mut self, id: ConnectionId) {
         if let Some(connection) = self.get_mut(id) {
             connection.on_frame_written();
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Something has come in on a connection; false if that has ended.
+    /// Notes that a frame was received on a connection. Returns `false` if the connection has
+    /// ended.
     pub(super) fn on_activity(&mut self, id: ConnectionId, now: Nanos) -> bool {
         let Some(connection) = self.get_mut(id) else {
             return false;
@@ -142,8 +146,8 @@
         true
     }
 
-    /// Queues an attempt. It shares a call of at most `max_parts_per_call` with others of its
-    /// batch.
+    /// Queues an attempt. Attempts of the same batch share calls of at most `max_parts_per_call`
+    /// parts.
     pub(super) fn queue_attempt(
         &mut self,
         id: ConnectionId,
@@ -164,13 +168,13 @@
         self.mark_pending(id);
     }
 
-    /// From now on attempts share no call with those that were queued before.
+    /// Ends the batch: later attempts do not share a call with those queued so far.
     pub(super) fn end_batch(&mut self) {
         self.joinable.clear();
     }
 
-    /// Cancels an attempt at a connection; none if the connection has ended. See
-    /// [`LeafConnection::cancel_attempt`].
+    /// Cancels an attempt at a connection; see [`LeafConnection::cancel_attempt`]. Returns `None`
+    /// if the connection has ended.
     pub(super) fn cancel_attempt(
         &mut self,
         id: ConnectionId,
@@ -188,13 +192,14 @@
         })
     }
 
-    /// Whether an attempt is at this connection and its socket was not given it yet.
+    /// Returns whether an attempt is queued at a connection and its frame has not been passed to
+    /// the socket.
     pub(super) fn is_unsent(&self, id: ConnectionId, attempt: AttemptId) -> bool {
         self.get(id)
             .is_some_and(|connection| connection.is_unsent(attempt))
     }
 
-    /// The attempts at a connection that its socket was not given yet.
+    /// Returns the attempts of a connection whose frames have not been passed to the socket.
     pub(super) fn unsent_attempts(&self, id: ConnectionId) -> Vec<AttemptId> {
         self.get(id)
             .map(LeafConnection::unsent_attempts)
@@ -214,14 +219,14 @@
         }
     }
 
-    /// A connection is idle from now on. True if its idle timer has to be set for `due`; false if
-    /// it is set already.
+    /// Starts an idle period of a connection. Returns `true` if its idle timer must be set for
+    /// `due`, `false` if a timer is already set.
     pub(super) fn begin_idle_period(&mut self, id: ConnectionId, now: Nanos, due: Nanos) -> bool {
         let connection = self.connections.get_mut(&id);
         connection.is_some_and(|connection| connection.idle_timer.begin(now, due))
     }
 
-    /// Checks a connection whose idle timer is due.
+    /// Handles a due idle timer.
     pub(super) fn check_idle(
         &mut self,
         id: ConnectionId,
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to leaf servers: when they are opened, idle and closed.
+//! Opens, reuses and closes the connections to leaf servers.
 
 use super::effect::Effect;
 use super::idle_timer::IdleCheck;
@@ -8,8 +8,9 @@
 use super::Engine;
 use crate::api::{AttemptOutcome, LoadReport, Nanos, ReplicaId};
 
-/// We close a connection once it has been idle for this share of the idle timeout, in tenths. The
-/// leaf server closes it after the full timeout, and a frame that is written then is lost.
+/// Share of the idle timeout after which an idle connection is closed, in tenths. The leaf server
+/// closes the connection after the full timeout, and a frame that is written at that moment is
+/// lost.
 const IDLE_TIMEOUT_TENTHS: Nanos = 9;
 
 impl Engine {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Closes a connection that has been idle for long enough, or sets the timer again.
+    /// Closes a connection that has been idle for the idle period, or sets its timer again.
     pub(super) fn on_idle_timeout(&mut self, now: Nanos, id: ConnectionId) {
         let idle_period = self.idle_period();
         match self.connections.check_idle(id, now, idle_period) {
@@ -43,7 +44,8 @@
         }
     }
 
-    /// A connection has become idle: keeps it for the idle period if its replica is ready.
+    /// Handles a connection that has become idle: keeps it for the idle period if its replica is
+    /// ready, closes it otherwise.
     pub(super) fn on_connection_idle(&mut self, now: Nanos, id: ConnectionId) {
         if !self.leads_to_ready_replica(id) {
             return self.close_connection(now, id);
@@ -72,9 +74,9 @@
         }
     }
 
-    /// A connection to a replica that has capacity for one more attempt with this wire id, or for
-    /// a health check, which has no wire id. The oldest one is preferred, so that few stay in use;
-    /// where none has capacity, a new one is opened.
+    /// Returns a connection to a replica with capacity for an attempt with this wire id, or for a
+    /// health check, which has none. Prefers the oldest connection, so that few stay in use. Opens
+    /// a new one if none has capacity, and returns `None` if that is not possible.
     pub(super) fn find_or_open_connection(
         &mut self,
         now: Nanos,
@@ -107,18 +109,19 @@
         Some(id)
     }
 
-    /// Closes a connection from our side. What is in flight on it ends as [`ConnectionEnd`] states.
+    /// Closes a connection from our side. What is in flight on it ends as described in
+    /// [`ConnectionEnd::ClosedByEngine`].
     pub(super) fn close_connection(&mut self, now: Nanos, id: ConnectionId) {
         self.effects
             .push(Effect::CloseConnection { connection: id });
-        self.end_connection(now, id, ConnectionEnd::ClosedByUs);
+        self.end_connection(now, id, ConnectionEnd::ClosedByEngine);
     }
 
     fn end_connection(&mut self, now: Nanos, id: ConnectionId, end: ConnectionEnd) {
         let Some(ended) = self.connections.remove(id, end) else {
             return;
         };
-        if let Some(due) = ended.idle_timer {
+        if let Some(due) = ended.idle_timer_due {
             self.timers.cancel(due, Timer::IdleTimeout(id));
         }
         self.endpoints.remove_connection(ended.replica, id);
--- a/crates/core/src/engine/counters.rs
+++ b/crates/core/src/engine/counters.rs
@@ -1,90 +1,93 @@
-//! What the aggregator has received, sent and answered since its start.
+//! Counters of what the aggregator has received, sent and answered since its start.
 //!
-//! The counters are published as JSON (`GET /-/stats`). The names of the fields are its keys, so
-//! they must not change.
+//! They are published as JSON (`GET /-/stats`). The field names are the JSON keys, so they must not
+//! change.
 
 use crate::api::AttemptOutcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// All counters of a process.
+/// All counters of a process, from its start on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct EngineCounters {
-    /// What clients have sent.
+    /// Requests received from clients.
     pub received: ReceivedCounters,
-    /// What was sent to leaf servers and other aggregators.
+    /// Messages sent to leaf servers and to other aggregators.
     pub sent: SentCounters,
-    /// How attempts ended.
+    /// Ended attempts, by outcome.
     pub attempts_ended: AttemptCounters,
-    /// How queries ended.
+    /// Ended queries, by outcome.
     pub queries_ended: QueryCounters,
-    /// Connections to clients and leaf servers.
+    /// Connections to clients and to leaf servers.
     pub connections: ConnectionCounters,
-    /// Updates of the endpoint list.
+    /// Updates of the endpoint list received from discovery.
     pub endpoint_updates: u64,
-    /// Usage records that were passed to the usage log; 0 while no usage is recorded.
+    /// Usage records passed to the usage log; 0 while usage is not recorded.
     pub recorded: u64,
-    /// Of the records, those of each tenant and class that the settings name: `TENANT CLASS`.
+    /// Usage records by tenant and class. Keys have the form `TENANT CLASS`, with the names from
+    /// the settings.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub recorded_of: BTreeMap<String, u64>,
-    /// Reloads of the platform's configuration. A reload of our own settings is not counted.
+    /// Reloads of the platform's configuration. Reloads of the aggregator's settings are not
+    /// counted.
     pub reloads: ReloadCounters,
-    /// Events that must never happen; each is logged with its cause.
+    /// Events that must never occur; each is logged with its cause.
     pub faults: FaultCounters,
 }
 
-/// What clients have sent.
+/// Requests received from clients.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReceivedCounters {
-    /// Queries that were passed to the policy.
+    /// Queries passed to the policy.
     pub queries: u64,
-    /// Their parts.
+    /// Parts of the queries passed to the policy.
     pub parts: u64,
-    /// Of the queries, those marked as retries.
+    /// Queries passed to the policy that the client marked as retries.
     pub retries: u64,
-    /// Malformed requests, rejected before any decision.
+    /// Malformed requests, rejected before they reached the policy.
     pub invalid: u64,
-    /// Queries rejected before any decision since too many were open.
+    /// Queries rejected before they reached the policy because too many were open.
     pub over_capacity: u64,
-    /// Queries whose client had no time left when they arrived.
+    /// Queries rejected before they reached the policy because the client had no time left.
     pub too_late: u64,
 }
 
-/// What was sent to leaf servers and other aggregators.
+/// Messages sent to leaf servers and to other aggregators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SentCounters {
-    /// Calls, each with one or more parts.
+    /// Calls to leaf servers, each with one or more parts.
     pub calls: u64,
-    /// Attempts that the policy requested.
+    /// Attempts requested by the policy.
     pub attempts: u64,
-    /// Of the attempts, those that were not the first of their part.
+    /// Attempts requested by the policy that were not the first attempt at their part.
     pub retries: u64,
     /// Cancellations of attempts in flight.
     pub cancellations: u64,
-    /// Health checks.
+    /// Health checks of leaf servers.
     pub health_checks: u64,
-    /// Gossip messages.
+    /// Gossip messages to other aggregators.
     pub gossip_messages: u64,
 }
 
-/// How attempts ended, by [`AttemptOutcome`].
+/// Ended attempts, by [`AttemptOutcome`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct AttemptCounters {
-    /// With a result.
+    /// Attempts that returned a result.
     pub success: u64,
-    /// With an error, or with a malformed response.
+    /// Attempts that returned an error or a malformed response.
     pub error: u64,
-    /// Rejected by the replica.
+    /// Attempts rejected by the replica.
     pub rejected: u64,
-    /// Without a response in time.
+    /// Attempts without a response before their timeout.
     pub timed_out: u64,
-    /// Without a connection.
+    /// Attempts that did not reach the replica, because no connection was available or because it
+    /// was lost before the frame was written.
     pub unreachable: u64,
-    /// With the loss of the connection.
+    /// Attempts whose connection was lost after the replica may have received them.
     pub connection_lost: u64,
-    /// Cancelled by us.
+    /// Attempts cancelled by the aggregator.
     pub cancelled: u64,
-    /// Never sent.
+    /// Attempts that ended before they were sent.
     pub not_sent: u64,
 }
 
@@ -105,56 +108,57 @@
     }
 }
 
-/// How the queries that were passed to the policy ended.
+/// Ended queries that had been passed to the policy, by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct QueryCounters {
-    /// With a complete answer.
+    /// Queries with a complete answer.
     pub complete: u64,
-    /// With a partial answer.
+    /// Queries with a partial answer.
     pub partial: u64,
-    /// Rejected: trying again is harmless.
+    /// Rejected queries; a retry is harmless.
     pub rejected: u64,
-    /// Failed, with no promise about their effect.
+    /// Failed queries, which may or may not have had an effect.
     pub failed: u64,
-    /// The client disconnected before the reply.
+    /// Queries whose client disconnected before the reply.
     pub client_disconnected: u64,
 }
 
-/// Connections to clients and leaf servers.
+/// Connections to clients and to leaf servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ConnectionCounters {
-    /// Clients that connected.
+    /// Clients that have connected.
     pub clients: u64,
-    /// Connections to leaf servers that were begun.
+    /// Connections to leaf servers that were initiated.
     pub opened: u64,
-    /// Of these, those that were not established.
+    /// Connections to leaf servers that were initiated but never established.
     pub connect_failed: u64,
     /// Connections to leaf servers that failed or were closed by the leaf server.
     pub lost: u64,
-    /// Connections to leaf servers that became unresponsive and get no new attempts.
+    /// Connections to leaf servers that became unresponsive and receive no new attempts.
     pub silent: u64,
-    /// Connections to leaf servers that were closed because of a malformed response.
+    /// Connections to leaf servers closed because of a malformed response.
     pub malformed: u64,
-    /// Connections to leaf servers that were closed because they were idle.
+    /// Connections to leaf servers closed because they were idle.
     pub idle_closed: u64,
 }
 
-/// Reloads of the platform's configuration. A reload of our own settings is not counted.
+/// Reloads of the platform's configuration, by result. Reloads of the aggregator's settings are not
+/// counted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReloadCounters {
-    /// Those that were applied.
+    /// Reloads whose configuration was applied.
     pub applied: u64,
-    /// Those whose configuration could not be used.
+    /// Reloads whose configuration was invalid and was not applied.
     pub failed: u64,
 }
 
-/// Events that must never happen.
+/// Events that must never occur.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FaultCounters {
-    /// Queries that were open at their reply deadline and failed then.
+    /// Queries still open at their reply deadline, which failed for that reason.
     pub reply_deadline: u64,
-    /// Answers that claimed more than their parts support.
+    /// Answers rejected because they claimed a higher coverage than their results had.
     pub overstated_coverage: u64,
-    /// Actions on what does not exist or is not allowed.
+    /// Actions of the policy whose target does not exist or that the settings do not allow.
     pub unknown_target: u64,
 }
--- a/crates/core/src/engine/effect.rs
+++ b/crates/core/src/engine/effect.rs
@@ -8,80 +8,84 @@
 use crate::protocol::query::QueryReply;
 use std::net::SocketAddr;
 
-/// An action outside the engine. Effects are carried out in their order.
+/// An operation that the engine requests from the sockets or the process. Effects must be carried
+/// out in the order in which they are returned.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Send a client the reply to its request.
     SendReply {
-        /// The client.
+        /// Identifier of the client connection.
         client: ClientId,
-        /// The reply.
+        /// Reply to encode and send.
         reply: QueryReply,
-        /// Close the connection after the reply.
+        /// Whether to close the connection after the reply.
         close: bool,
     },
-    /// Close a client's connection unless it has sent a request in the meantime.
+    /// Close a client's connection, unless the client has sent a request in the meantime.
     CloseClient {
-        /// The client.
+        /// Identifier of the client connection.
         client: ClientId,
     },
-    /// Close a client's connection during a shutdown, once no request can be on its way on it.
+    /// Close a client's connection during a shutdown, as soon as no request can be in transit on
+    /// it.
     DrainClient {
-        /// The client.
+        /// Identifier of the client connection.
         client: ClientId,
     },
     /// Connect to a leaf server.
     OpenConnection {
-        /// The connection.
+        /// Identifier of the new connection.
         connection: ConnectionId,
-        /// The leaf server's address.
+        /// Address of the leaf server.
         address: SocketAddr,
     },
     /// Write a frame to a leaf server.
     WriteFrame {
-        /// The connection.
+        /// Identifier of the connection.
         connection: ConnectionId,
-        /// The frame.
+        /// Frame to encode and write.
         frame: LeafRequest,
     },
     /// Close a connection to a leaf server.
     CloseConnection {
-        /// The connection.
+        /// Identifier of the connection.
         connection: ConnectionId,
     },
-    /// Send a message to one other aggregator, or to all.
+    /// Send a gossip message to one other aggregator or to all others.
     SendGossip {
-        /// The receiver, by number; none for all others.
+        /// Number of the receiving aggregator, or `None` for all others.
         to: Option<u32>,
-        /// The message.
+        /// Payload of the message.
         bytes: Vec<u8>,
     },
-    /// Watch the endpoint list at the present discovery service, in place of any other watch.
+    /// Watch the endpoint list at the currently configured discovery service, replacing any earlier
+    /// watch.
     StartWatch {
-        /// The number of the watch.
+        /// Number of the watch, which is reported back in [`super::Input::WatchEnded`].
         watch: u64,
-        /// The version of the list that is known: later changes are requested.
+        /// Version of the known list. Only later changes are requested.
         from_version: u64,
-        /// How long the watch may take to answer.
+        /// Time within which the watch must be answered, in nanoseconds.
         answer_timeout: Nanos,
     },
-    /// The drain period of a shutdown has begun: let frontends of other protocols close each
+    /// The drain period of a shutdown has begun: frontends for other protocols close each
     /// connection after its response.
     StartDraining,
-    /// The drain period of a shutdown is over: accept no more clients.
+    /// The drain period of a shutdown has ended: accept no more clients.
     StopListening,
-    /// Record a query that has ended. This precedes its reply, which waits until the record is
-    /// written, for a bounded time.
+    /// Record the usage of a query that has ended. This effect precedes the reply to the query. The
+    /// reply waits until the record is written, for a limited time.
     RecordUsage(QueryUsage),
-    /// Record up to when the usage records are complete.
+    /// Record a watermark, the time up to which the usage records are complete.
     RecordWatermark(UsageWatermark),
-    /// The answer deadline of a shutdown has passed: replies wait for no usage record any more.
+    /// The answer deadline of a shutdown has passed: send the replies that wait for a usage record,
+    /// and let no further reply wait.
     ReleaseReplies,
-    /// Exit the process: every request that was read has been answered.
+    /// Exit the process: every request that was received has been answered.
     Exit {
-        /// What was counted since the start.
+        /// Counters since the start of the process.
         counters: Box<EngineCounters>,
-        /// The exit deadline: the process ends by then, whether or not all connections have ended.
+        /// Exit deadline, by which the process must end whether or not all connections have ended.
         deadline: Nanos,
     },
 }
--- a/crates/core/src/engine/endpoint_table.rs
+++ b/crates/core/src/engine/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the replicas that discovery lists.
+//! The endpoint list: the replicas that discovery has listed.
 
 use super::ids::ConnectionId;
 use super::MILLISECOND;
@@ -7,37 +7,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The zone of a replica whose zone the settings do not name. No aggregator is in it.
+/// Number of every zone that the settings do not name. No aggregator is in such a zone.
 const UNKNOWN_ZONE: u16 = u16::MAX;
 
-/// One replica of a leaf server, as it is listed.
+/// One replica of a leaf server, as listed by discovery.
 #[derive(Debug)]
 struct ReplicaEndpoint {
     address: SocketAddr,
     zone: u16,
     state: ReplicaState,
-    /// The connections to its present address, oldest first.
+    /// Connections to the current address of the replica, oldest first.
     connections: Vec<ConnectionId>,
 }
 
-/// What an update of the list has changed.
+/// Changes made by an update of the endpoint list.
 pub(super) struct AppliedUpdate {
     pub(super) kind: EndpointUpdateKind,
-    /// The lines of the update, for the policy.
+    /// Valid lines of the update, in the form that the policy uses.
     pub(super) entries: Vec<ReplicaEntry>,
-    /// Connections on which nothing new may be sent: to replicas that drain or are gone, and to
-    /// former addresses of replicas.
-    pub(super) stopped: Vec<ConnectionId>,
+    /// Connections on which nothing new may be sent, because their replica drains, is gone or has
+    /// moved to another address.
+    pub(super) stopped_connections: Vec<ConnectionId>,
 }
 
-/// The replicas that are listed, and those gone that still have connections. Each name has the same
-/// id for as long as it is known, and no id is used twice.
+/// The listed replicas, and those that are gone but still have connections. A name keeps its id for
+/// as long as the table contains it, and ids are not reused.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     ids_by_name: BTreeMap<String, ReplicaId>,
     replicas: BTreeMap<ReplicaId, ReplicaEndpoint>,
     last_id: u64,
-    /// The zones that the settings name, by number.
+    /// Zones that the settings name, in the order of their numbers.
     zones: Vec<String>,
     version: u64,
     has_been_ready: bool,
@@ -55,7 +55,7 @@
         self.replicas.get(&id).map(|replica| replica.state)
     }
 
-    /// Whether a replica takes new requests.
+    /// Returns whether a replica accepts new requests.
     pub(super) fn is_ready(&self, id: ReplicaId) -> bool {
         self.state_of(id) == Some(ReplicaState::Ready)
     }
@@ -64,13 +64,14 @@
         self.replicas.get(&id).map(|replica| replica.zone)
     }
 
-    /// The connections to the present address of a replica, oldest first.
+    /// Returns the connections to the current address of a replica, oldest first.
     pub(super) fn connections_of(&self, id: ReplicaId) -> Option<&[ConnectionId]> {
         let replica = self.replicas.get(&id)?;
         Some(&replica.connections)
     }
 
-    /// Whether a connection leads to the present address of a replica that takes new requests.
+    /// Returns whether a connection leads to the current address of a replica that accepts new
+    /// requests.
     pub(super) fn has_ready_connection(&self, id: ReplicaId, connection: ConnectionId) -> bool {
         let replica = self.replicas.get(&id);
         replica.is_some_and(|replica| {
@@ -96,32 +97,32 @@
         }
     }
 
-    /// The number of replicas that are known, those gone included.
+    /// Returns the number of replicas in the table, including those that are gone.
     pub(super) fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// The version of the last update.
+    /// Returns the version of the last update.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether any replica was ready after some update so far.
+    /// Returns whether any replica has been ready after an update so far.
     pub(super) fn has_been_ready(&self) -> bool {
         self.has_been_ready
     }
 
-    /// Applies an update.
+    /// Applies an update and returns what it has changed.
     pub(super) fn apply(&mut self, update: &EndpointUpdate) -> AppliedUpdate {
         self.version = update.index;
         self.forget_gone_replicas();
-        let mut stopped = Vec::new();
+        let mut stopped_connections = Vec::new();
         let mut entries = Vec::with_capacity(update.endpoints.len());
         for endpoint in &update.endpoints {
-            entries.extend(self.apply_endpoint(endpoint, &mut stopped));
+            entries.extend(self.apply_endpoint(endpoint, &mut stopped_connections));
         }
         let kind = if update.snapshot {
-            self.mark_omitted_as_gone(&entries, &mut stopped);
+            self.mark_omitted_as_gone(&entries, &mut stopped_connections);
             EndpointUpdateKind::Snapshot
         } else {
             EndpointUpdateKind::Delta
@@ -131,18 +132,19 @@
             .filter(|entry| entry.state != ReplicaState::Ready);
         for entry in not_ready {
             let replica = self.replicas.get(&entry.replica);
-            stopped.extend(replica.into_iter().flat_map(|replica| &replica.connections));
+            stopped_connections
+                .extend(replica.into_iter().flat_map(|replica| &replica.connections));
         }
         let mut replicas = self.replicas.values();
         self.has_been_ready |= replicas.any(|replica| replica.state == ReplicaState::Ready);
         AppliedUpdate {
             kind,
             entries,
-            stopped,
+            stopped_connections,
         }
     }
 
-    /// Forgets the replicas that were gone before this update and have no connections left.
+    /// Removes the replicas that were gone before this update and have no connections left.
     fn forget_gone_replicas(&mut self) {
         self.replicas.retain(|_, replica| {
             replica.state != ReplicaState::Gone || !replica.connections.is_empty()
@@ -151,35 +153,39 @@
         self.ids_by_name.retain(|_, id| replicas.contains_key(id));
     }
 
-    /// A snapshot omits the replicas that are gone.
-    fn mark_omitted_as_gone(&mut self, entries: &[ReplicaEntry], stopped: &mut Vec<ConnectionId>) {
+    /// Marks the replicas that a snapshot omits as gone.
+    fn mark_omitted_as_gone(
+        &mut self,
+        entries: &[ReplicaEntry],
+        stopped_connections: &mut Vec<ConnectionId>,
+    ) {
         let present: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.replica).collect();
         for (id, replica) in &mut self.replicas {
             if !present.contains(id) {
                 replica.state = ReplicaState::Gone;
-                stopped.extend(&replica.connections);
+                stopped_connections.extend(&replica.connections);
             }
         }
     }
 
-    /// Applies one line of an update; none where the line is unusable.
+    /// Applies one line of an update. Returns `None` if the line is invalid.
     fn apply_endpoint(
         &mut self,
         endpoint: &Endpoint,
-        stopped: &mut Vec<ConnectionId>,
+        stopped_connections: &mut Vec<ConnectionId>,
     ) -> Option<ReplicaEntry> {
         let state = match endpoint.status {
             Status::Up => ReplicaState::Ready,
             Status::Draining => ReplicaState::Draining,
             Status::Removed => ReplicaState::Gone,
         };
-        // The line of a replica that is known may lack a valid address, as after its removal.
+        // The line of a known replica may lack a valid address, for example after its removal.
         let address = endpoint.address.parse().ok();
         let Some(address) = address.or_else(|| self.known_address(&endpoint.name)) else {
             tracing::warn!(
                 name = endpoint.name,
                 address = endpoint.address,
-                "endpoint without a valid address"
+                "endpoint ignored: address is not valid"
             );
             return None;
         };
@@ -192,8 +198,8 @@
             connections: Vec::new(),
         });
         if replica.address != address {
-            // Its connections lead to the old address: they only finish what is in flight.
-            stopped.append(&mut replica.connections);
+            // Connections to the old address only finish the attempts in flight.
+            stopped_connections.append(&mut replica.connections);
         }
         replica.address = address;
         replica.zone = zone;
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the watch that they come from.
+//! Handlers for updates of the endpoint list, and the watch that delivers them.
 
 use super::effect::Effect;
 use super::endpoint_table::AppliedUpdate;
@@ -6,12 +6,12 @@
 use crate::api::{AttemptOutcome, EndpointUpdateKind, Event, Nanos};
 use crate::protocol::discovery::EndpointUpdate;
 
-/// The latest watch on the endpoint list, which may have ended.
+/// The latest watch on the endpoint list, which may have ended already.
 #[derive(Debug)]
 pub(super) struct CurrentWatch {
-    /// Counts the watches from 1; 0 before the first.
+    /// Number of the watch, counted from 1; 0 before the first watch.
     number: u64,
-    /// How long a watch may take to answer.
+    /// Time within which a watch must be answered, in nanoseconds.
     answer_timeout: Nanos,
 }
 
@@ -30,19 +30,19 @@
         let AppliedUpdate {
             kind,
             entries,
-            stopped,
+            stopped_connections,
         } = self.endpoints.apply(update);
         tracing::info!(
             version = update.index,
             complete = update.snapshot,
             lines = entries.len(),
-            stopped_connections = stopped.len(),
+            stopped_connections = stopped_connections.len(),
             "endpoint list updated"
         );
         self.events.push(Event::EndpointsUpdated { kind, entries });
-        // What waits for a replica that drains, is gone or has moved must never be sent: an attempt
-        // counts as sent with its first byte.
-        for connection in stopped {
+        // Attempts that wait for a replica that drains, is gone or has moved must never be sent. An
+        // attempt counts as sent from its first byte on.
+        for connection in stopped_connections {
             for attempt in self.connections.unsent_attempts(connection) {
                 self.cancel_attempt(now, attempt, AttemptOutcome::NotSent);
             }
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn on_watch_ended(&mut self, watch: u64) {
-        // The end of a watch that was replaced may be reported late; the current one goes on.
+        // A watch that was replaced may report its end late, while the current watch continues.
         if watch == self.watch.number {
             self.events.push(Event::EndpointsUpdated {
                 kind: EndpointUpdateKind::Unavailable,
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Starts a new watch, since the address of discovery may have changed. It is started even if
-    /// the address is the same: an operator may reload in order to restart the watch. The endpoint
-    /// list, connections and queries stay.
+    /// Starts a new watch after a reload, since the address of discovery may have changed. The
+    /// watch is started even if the address is the same, because an operator may reload in order to
+    /// restart it. The endpoint list, connections and queries are kept.
     pub(super) fn on_configuration_reloaded(&mut self, usable: bool) {
         if !usable {
             self.counters.reloads.failed += 1;
@@ -72,7 +72,7 @@
         self.start_watch();
     }
 
-    /// Watches the list from the current version on, in place of any other watch.
+    /// Starts a watch from the current version of the list, replacing any earlier watch.
     pub(super) fn start_watch(&mut self) {
         self.watch.number += 1;
         self.effects.push(Effect::StartWatch {
--- a/crates/core/src/engine/frames.rs
+++ b/crates/core/src/engine/frames.rs
@@ -1,4 +1,4 @@
-//! Frames to and from leaf servers.
+//! Writes frames to leaf servers and handles the frames that they send.
 
 use super::effect::Effect;
 use super::ids::ConnectionId;
@@ -8,7 +8,7 @@
 use crate::protocol::leaf::{CallPart, LeafRequest, LeafResponse, PartStatus};
 use bytes::Bytes;
 
-/// A leaf server's result for one part.
+/// Result of one part, as received from a leaf server.
 struct PartResult {
     wire_id: String,
     status: PartStatus,
@@ -17,8 +17,8 @@
 }
 
 impl Engine {
-    /// Writes the next frame on each connection that has one, and closes the connections that are
-    /// of no use any more.
+    /// Writes the next frame of each connection that has one, and closes the connections that have
+    /// become useless.
     pub(super) fn flush_pending_writes(&mut self, now: Nanos) {
         while let Some(connection) = self.connections.pop_pending() {
             self.drop_expired_attempts(now, connection);
@@ -42,12 +42,12 @@
     fn write_frame(&mut self, now: Nanos, connection: ConnectionId, frame: OutgoingFrame) {
         match self.build_leaf_request(now, frame) {
             Some(frame) => self.effects.push(Effect::WriteFrame { connection, frame }),
-            // All its attempts have ended: continue as if it were written.
+            // All attempts of the call have ended: continue as if the frame had been written.
             None => self.connections.on_frame_written(connection),
         }
     }
 
-    /// Builds the request of a frame; none for a call whose attempts have all ended.
+    /// Builds the request of a frame. Returns `None` for a call whose attempts have all ended.
     fn build_leaf_request(&mut self, now: Nanos, frame: OutgoingFrame) -> Option<LeafRequest> {
         match frame {
             OutgoingFrame::Call(entries) => {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Builds an entry of a call; none if its attempt has ended.
+    /// Builds one entry of a call. Returns `None` if its attempt has ended.
     fn build_call_part(&self, now: Nanos, entry: CallEntry) -> Option<CallPart> {
         let attempt = self.attempts.get(entry.attempt)?;
         Some(attempt.call_part(now, entry.wire_id))
@@ -129,7 +129,7 @@
             PartStatus::Busy => AttemptOutcome::Rejected,
         };
         if outcome == AttemptOutcome::Success {
-            // The codec has checked that it is text, so nothing is lost here.
+            // The codec has verified that the value is valid UTF-8, so the conversion is lossless.
             let text = || String::from_utf8_lossy(&result.value).into_owned();
             self.queries.add_result(attempt.part, text);
         }
@@ -137,10 +137,10 @@
         self.on_attempt_ended(now, attempt, outcome, report);
     }
 
-    /// A leaf server has sent a frame that can't be decoded. It is alive and has executed the part
-    /// that it answered: that attempt has failed. The start of its next frame is unknown, so the
-    /// other attempts on the connection get no response: they are cancelled at once by closing the
-    /// connection.
+    /// Handles a frame that cannot be decoded. The leaf server is alive and has executed the part
+    /// that it responded to, so that attempt has failed. The start of the next frame is unknown, so
+    /// the other attempts on the connection cannot get a response: closing the connection cancels
+    /// them at once.
     fn on_malformed_response(&mut self, now: Nanos, id: ConnectionId, wire_id: Option<&str>) {
         let replica = self.connections.replica_of(id);
         let Some(connection) = self.connections.get_mut(id) else {
@@ -153,7 +153,7 @@
             connection = id,
             replica = replica.map(|replica| replica.0),
             id = wire_id,
-            "malformed response: closing its connection"
+            "malformed response: closing the connection"
         );
         if let Some(failed) = failed {
             self.on_attempt_ended(now, failed, AttemptOutcome::Error, LoadReport::new());
--- a/crates/core/src/engine/health_checks.rs
+++ b/crates/core/src/engine/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of leaf servers, which the policy requests.
+//! Health checks of leaf servers, requested by the policy.
 
 use super::ids::{ConnectionId, HealthCheckId};
 use super::leaf_connection::LeafConnection;
--- a/crates/core/src/engine/idle_timer.rs
+++ b/crates/core/src/engine/idle_timer.rs
@@ -2,19 +2,20 @@
 
 use crate::api::Nanos;
 
-/// What an idle timer has found when it was due.
+/// Result of checking a connection whose idle timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IdleCheck {
-    /// The connection is in use, or has ended.
+    /// The connection is in use or has ended.
     InUse,
-    /// The connection was used in the meantime: the timer has to be set again.
+    /// The connection has been used since the timer was set. The timer must be set again, for this
+    /// time.
     DueLater(Nanos),
-    /// The connection has been idle for the whole period.
+    /// The connection has been idle for the whole idle period.
     Expired,
 }
 
-/// Since when a connection has been idle, and when that is checked. There is one timer at a time,
-/// however often the connection becomes idle.
+/// Time since which a connection has been idle, and the timer that checks it. At most one timer is
+/// set at a time, no matter how often the connection becomes idle.
 #[derive(Debug)]
 pub(super) struct IdleTimer {
     idle_since: Nanos,
@@ -29,13 +30,13 @@
         }
     }
 
-    /// When the connection is checked next; none if no timer is set.
+    /// Returns the time of the next check, or `None` if no timer is set.
     pub(super) fn due(&self) -> Option<Nanos> {
         self.due
     }
 
-    /// The connection is idle from now on. True if the timer has to be set for `due`; false if it
-    /// is set already.
+    /// Starts an idle period. Returns `true` if the timer must be set for `due`, `false` if a timer
+    /// is already set.
     pub(super) fn begin(&mut self, now: Nanos, due: Nanos) -> bool {
         self.idle_since = now;
         let needs_timer = self.due.is_none();
@@ -43,12 +44,12 @@
         needs_timer
     }
 
-    /// The timer is due, and the connection is in use.
+    /// Handles a due timer of a connection that is in use.
     pub(super) fn clear(&mut self) {
         self.due = None;
     }
 
-    /// The timer is due, and the connection is idle.
+    /// Handles a due timer of a connection that is idle.
     pub(super) fn check(&mut self, now: Nanos, idle_period: Nanos) -> IdleCheck {
         let due = self.idle_since + idle_period;
         if due <= now {
--- a/crates/core/src/engine/input.rs
+++ b/crates/core/src/engine/input.rs
@@ -7,78 +7,79 @@
 use crate::protocol::leaf::LeafResponse;
 use crate::protocol::query::ClientRequest;
 
-/// An event outside the engine.
+/// An event outside the engine, reported by the sockets or the process.
 #[derive(Debug)]
 pub enum Input {
-    /// A frontend has started, which may hand over requests from now on.
+    /// A frontend has started. It may submit requests from now on.
     FrontendStarted,
-    /// A frontend accepts no more clients, and has handed over all requests of those it accepted.
+    /// A frontend accepts no more clients, and has submitted all requests of the clients that it
+    /// had accepted.
     FrontendStopped,
     /// A client has connected.
     ClientConnected {
-        /// The client.
+        /// Identifier of the new client connection.
         client: ClientId,
     },
     /// A client has sent a request, valid or not.
     RequestReceived {
-        /// The client.
+        /// Identifier of the client connection.
         client: ClientId,
-        /// When the last byte of the request was received.
+        /// Time at which the last byte of the request was received.
         arrived_at: Nanos,
-        /// The request, or why it is invalid.
+        /// The parsed request, or the reason why it is invalid.
         request: Result<ClientRequest, RequestError>,
     },
-    /// A client's connection has ended.
+    /// The connection of a client has ended.
     ClientDisconnected {
-        /// The client.
+        /// Identifier of the client connection.
         client: ClientId,
     },
     /// A connection to a leaf server has been established.
     ConnectionOpened {
-        /// The connection.
+        /// Identifier of the connection.
         connection: ConnectionId,
     },
-    /// The socket of a connection has taken the last byte of the frame that it was given.
+    /// A socket has accepted the last byte of the frame that it was writing.
     FrameWritten {
-        /// The connection.
+        /// Identifier of the connection.
         connection: ConnectionId,
     },
     /// A leaf server has sent a frame.
     FrameReceived {
-        /// The connection.
+        /// Identifier of the connection.
         connection: ConnectionId,
-        /// The frame.
+        /// The decoded frame.
         frame: LeafResponse,
     },
-    /// A connection to a leaf server was refused, or has failed or ended.
+    /// A connection to a leaf server was refused, has failed or has ended.
     ConnectionClosed {
-        /// The connection.
+        /// Identifier of the connection.
         connection: ConnectionId,
     },
-    /// The endpoint list has changed.
+    /// Discovery has sent the endpoint list or the changes to it.
     EndpointsUpdated(EndpointUpdate),
-    /// A watch on the endpoint list has ended. Another one starts when the policy requests it.
+    /// A watch on the endpoint list has ended. The next one starts when the policy requests it.
     WatchEnded {
-        /// The watch, as numbered by [`super::Effect::StartWatch`].
+        /// Number of the watch, as given in [`super::Effect::StartWatch`].
         watch: u64,
     },
-    /// Another aggregator has sent a message.
+    /// Another aggregator has sent a gossip message.
     GossipReceived {
-        /// The sender, by number.
+        /// Number of the sending aggregator.
         from: u32,
-        /// The message.
+        /// Payload of the message.
         bytes: Vec<u8>,
     },
-    /// The configuration was reloaded.
+    /// The configuration has been read again.
     ConfigurationReloaded {
-        /// The new configuration is valid and has been applied.
+        /// Whether the new configuration is valid and has been applied.
         usable: bool,
     },
-    /// The operator requests a graceful shutdown.
+    /// The operator has requested a graceful shutdown.
     ShutdownRequested,
-    /// The process exits, and no input follows.
+    /// The process exits. No further input follows.
     InputsEnded,
-    /// All inputs that were ready have been applied: the policy decides now, and frames are
-    /// written.
+    /// All available inputs have been applied: the policy handles the events of the batch, and
+    /// frames are written.
     BatchEnded,
 }
--- a/crates/core/src/engine/leaf_connection/in_flight.rs
+++ b/crates/core/src/engine/leaf_connection/in_flight.rs
@@ -1,42 +1,43 @@
-//! The attempts of a connection that have not ended, by the ids that stand for them in frames. They
-//! include those that are still queued.
+//! The attempts of a connection that have not ended, by wire id. Attempts that are still queued are
+//! included.
 
 use super::write_queue::CallEntry;
 use crate::api::Nanos;
 use crate::engine::ids::{AttemptId, WireId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most ids kept of attempts that have ended, to distinguish a late response from an unknown
-/// one. A leaf server has fewer responses under way.
+/// Maximum number of wire ids of ended attempts that are kept, to distinguish a late response from
+/// an unknown one. A leaf server has fewer responses in transit.
 const MAX_ENDED_IDS: usize = 64;
 
-/// What the wire id of a response stands for.
+/// What the wire id of a response refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMatch {
-    /// An attempt that was in flight and has ended with this response.
+    /// An attempt that was in flight and that this response ends.
     Attempt(AttemptId),
-    /// An attempt that has ended before: the response is a duplicate, or was sent before our
+    /// An attempt that had already ended: the response is a duplicate, or was sent before our
     /// cancellation arrived.
     AlreadyEnded,
-    /// Nothing that was ever written to this connection: the response is malformed.
+    /// No part that was ever written to this connection: the response is malformed.
     Unknown,
 }
 
-/// How far an attempt has come: queued, being written or written.
+/// Progress of an attempt: queued, being written or written.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptProgress {
     pub(super) attempt: AttemptId,
-    /// When the socket was given its frame.
-    pub(super) given_at: Option<Nanos>,
-    /// The socket has taken the last byte of its frame.
+    /// Time at which its frame was passed to the socket, or `None` while it is queued.
+    pub(super) write_started_at: Option<Nanos>,
+    /// Whether the socket has accepted the last byte of its frame.
     pub(super) is_written: bool,
 }
 
-/// The attempts of a connection that have not ended, and the wire ids of some that have.
+/// The attempts of a connection that have not ended, and the wire ids of those that ended most
+/// recently.
 #[derive(Debug, Default)]
 pub(super) struct InFlightAttempts {
     attempts: BTreeMap<WireId, AttemptProgress>,
-    /// Wire ids that were written and have ended, latest last.
+    /// Wire ids of written attempts that have ended, oldest first.
     ended_ids: VecDeque<WireId>,
 }
 
@@ -44,7 +45,7 @@
     pub(super) fn insert(&mut self, entry: &CallEntry) {
         let progress = AttemptProgress {
             attempt: entry.attempt,
-            given_at: None,
+            write_started_at: None,
             is_written: false,
         };
         self.attempts.insert(entry.wire_id.clone(), progress);
@@ -62,17 +63,17 @@
         self.attempts.contains_key(wire_id)
     }
 
-    /// The attempts in the order of their wire ids.
+    /// Returns the attempts in the order of their wire ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = &AttemptProgress> {
         self.attempts.values()
     }
 
-    /// The socket was given a call.
-    pub(super) fn on_given(&mut self, call: &[CallEntry], now: Nanos) {
-        self.update(call, |progress| progress.given_at = Some(now));
+    /// Records that the frame of a call has been passed to the socket.
+    pub(super) fn on_write_started(&mut self, call: &[CallEntry], now: Nanos) {
+        self.update(call, |progress| progress.write_started_at = Some(now));
     }
 
-    /// The socket has taken the last byte of a call.
+    /// Records that the socket has accepted the last byte of a call.
     pub(super) fn on_written(&mut self, call: &[CallEntry]) {
         self.update(call, |progress| progress.is_written = true);
     }
@@ -80,15 +81,15 @@
     fn update(&mut self, call: &[CallEntry], update: impl Fn(&mut AttemptProgress)) {
         for entry in call {
             let progress = self.attempts.get_mut(&entry.wire_id);
-            // A later attempt may have taken the wire id of one that was cancelled.
+            // A later attempt may use the wire id of one that was cancelled.
             if let Some(progress) = progress.filter(|other| other.attempt == entry.attempt) {
                 update(progress);
             }
         }
     }
 
-    /// Ends the attempt that a response is for. A response to an attempt that is not written yet
-    /// is for an earlier attempt with the same wire id.
+    /// Ends the attempt that a response refers to. If that attempt has not been written yet, the
+    /// response belongs to an earlier attempt with the same wire id.
     pub(super) fn match_response(&mut self, wire_id: &str) -> ResponseMatch {
         let entry = self.attempts.get_key_value(wire_id);
         match entry.filter(|(_, progress)| progress.is_written) {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// The attempt that a malformed response is assigned to: the one with its wire id, else the
-    /// one that has been in flight for longest.
+    /// Returns the attempt that a malformed response is attributed to: the attempt with its wire
+    /// id, or else the one that has been in flight for longest.
     pub(super) fn attempt_of_malformed_response(&self, wire_id: Option<&str>) -> Option<AttemptId> {
         let is_written = |progress: &&AttemptProgress| progress.is_written;
         let named = wire_id
@@ -114,12 +115,12 @@
             .filter(is_written);
         let oldest = || {
             let candidates = self.iter().filter(is_written);
-            candidates.min_by_key(|progress| (progress.given_at, progress.attempt))
+            candidates.min_by_key(|progress| (progress.write_started_at, progress.attempt))
         };
         named.or_else(oldest).map(|progress| progress.attempt)
     }
 
-    /// Removes an attempt that has ended without a response, with its wire id.
+    /// Removes an attempt that has ended without a response and returns its wire id and progress.
     pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<(WireId, AttemptProgress)> {
         let mut entries = self.attempts.iter();
         let (wire_id, _) = entries.find(|(_, progress)| progress.attempt == attempt)?;
@@ -127,7 +128,7 @@
         self.attempts.remove_entry(&wire_id)
     }
 
-    /// Keeps the wire id of an attempt that has ended, for its late response.
+    /// Keeps the wire id of an attempt that has ended, to recognize a late response to it.
     pub(super) fn remember_ended(&mut self, wire_id: WireId) {
         if self.ended_ids.len() == MAX_ENDED_IDS {
             self.ended_ids.pop_front();
--- a/crates/core/src/engine/leaf_connection/mod.rs
+++ b/crates/core/src/engine/leaf_connection/mod.rs
@@ -1,10 +1,10 @@
 //! The state machine of one connection to a leaf server.
 //!
-//! It holds the frames that wait to be written and the attempts that are in flight, and decides
-//! which frame is written next. It has no socket: the engine passes on what the socket reports.
+//! It holds the frames that wait to be written and the attempts in flight, and decides which frame
+//! is written next. It has no socket: the engine calls it for each event that the socket reports.
 //!
-//! Invariants: the socket has at most one frame at a time, and each attempt that is queued leaves
-//! the connection exactly once, by its response, by [`LeafConnection::cancel_attempt`] or by
+//! Invariants: the socket writes at most one frame at a time, and each attempt that is queued
+//! leaves the connection exactly once, through its response, [`LeafConnection::cancel_attempt`] or
 //! [`LeafConnection::end`].
 
 mod in_flight;
@@ -22,36 +22,38 @@
 /// Whether a connection has been established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeafConnectionPhase {
-    /// Not yet.
+    /// The connection is being established.
     Connecting,
-    /// It has.
+    /// The connection has been established.
     Open,
 }
 
-/// How a connection ends.
+/// Which side ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The socket has reported the end, and before it every frame that it took completely.
+    /// The socket has reported the end. Before that, it has reported every frame that it accepted
+    /// completely.
     ReportedBySocket,
-    /// We close the connection: the report of a frame that the socket took may still follow.
-    ClosedByUs,
+    /// The engine closes the connection. The socket may have accepted a frame completely without
+    /// having reported it yet.
+    ClosedByEngine,
 }
 
-/// An attempt that was in flight when its connection ended.
+/// An attempt that was queued or in flight when its connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LostAttempt {
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The leaf server may have executed it.
+    /// Whether the leaf server may have executed the attempt.
     pub may_have_run: bool,
 }
 
-/// What was in flight when a connection ended.
+/// Attempts and health checks that were queued or in flight when a connection ended.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LostWork {
-    /// The attempts, in the order of their wire ids.
+    /// Attempts, in the order of their wire ids.
     pub attempts: Vec<LostAttempt>,
-    /// The health checks, those written first.
+    /// Health checks, beginning with those already written.
     pub health_checks: Vec<HealthCheckId>,
 }
 
@@ -61,16 +63,16 @@
     phase: LeafConnectionPhase,
     queue: WriteQueue,
     in_flight: InFlightAttempts,
-    /// Health checks that were written, in order. Responses carry no id, so one that is cancelled
-    /// keeps its place as `None`.
+    /// Health checks that were written, in order. Responses to health checks carry no id, so a
+    /// cancelled one keeps its place as `None`.
     written_health_checks: VecDeque<Option<HealthCheckId>>,
     last_activity: Nanos,
-    /// It left an attempt without any response, and nothing has come in on it since.
+    /// Whether an attempt ended without any response and nothing has been received since.
     is_unresponsive: bool,
 }
 
 impl LeafConnection {
-    /// A connection that is being established.
+    /// Creates a connection that is being established.
     pub fn new(now: Nanos) -> LeafConnection {
         LeafConnection {
             phase: LeafConnectionPhase::Connecting,
@@ -82,14 +84,14 @@
         }
     }
 
-    /// Whether the connection has been established.
+    /// Returns whether the connection has been established.
     pub fn phase(&self) -> LeafConnectionPhase {
         self.phase
     }
 
-    /// Whether one more attempt with this wire id, or a health check without one, may be sent on
-    /// it. Two attempts with one wire id can't be distinguished, and nothing new is sent while the
-    /// connection is unresponsive.
+    /// Returns whether one more attempt with this wire id, or a health check without one, may be
+    /// sent. Two attempts with the same wire id cannot be distinguished, and nothing new is sent
+    /// while the connection is unresponsive.
     pub fn has_capacity(&self, max_streams: usize, wire_id: Option<&str>) -> bool {
         !self.is_unresponsive
             && self.streams_in_use() < max_streams
@@ -101,19 +103,19 @@
         self.in_flight.len() + self.written_health_checks.len() + unwritten_health_checks
     }
 
-    /// Nothing is queued, half written or in flight.
+    /// Returns whether no frame is queued or being written and nothing is in flight.
     pub fn is_idle(&self) -> bool {
         self.streams_in_use() == 0 && self.queue.is_empty()
     }
 
-    /// It left an attempt without any response, and nothing has come in on it since.
+    /// Returns whether an attempt ended without any response and nothing has been received since.
     pub fn is_unresponsive(&self) -> bool {
         self.is_unresponsive
     }
 
-    /// Unresponsive, with nothing in flight that might still be answered. Only cancellations can be
-    /// queued then, and to close the connection cancels as well; a frame that the socket can't
-    /// deliver would wait forever.
+    /// Returns whether the connection is unresponsive and no attempt in flight could still be
+    /// answered. Only cancellations can be queued then, and closing the connection cancels as well.
+    /// A frame that the socket cannot deliver would keep the connection open forever.
     pub fn should_close(&self) -> bool {
         self.is_unresponsive && self.in_flight.is_empty()
     }
@@ -129,25 +131,27 @@
         self.queue.push(OutgoingFrame::HealthCheck(check));
     }
 
-    /// The connection has been established.
+    /// Marks the connection as established.
     pub fn on_opened(&mut self, now: Nanos) {
         self.phase = LeafConnectionPhase::Open;
         self.last_activity = now;
     }
 
-    /// The next frame for the socket; none while the socket is writing another.
+    /// Returns the next frame for the socket, or `None` if the connection is not established,
+    /// nothing is queued or the socket is writing another frame.
     pub fn next_frame(&mut self, now: Nanos) -> Option<OutgoingFrame> {
         if self.phase != LeafConnectionPhase::Open {
             return None;
         }
         let frame = self.queue.begin_next()?;
         if let OutgoingFrame::Call(call) = frame {
-            self.in_flight.on_given(call, now);
+            self.in_flight.on_write_started(call, now);
         }
         Some(frame.clone())
     }
 
-    /// The socket has taken the last byte of the frame: from now on its parts may be executed.
+    /// Handles the report that the socket has accepted the last byte of the frame that it was
+    /// writing. From now on, the parts of that frame may be executed.
     pub fn on_frame_written(&mut self) {
         match self.queue.finish() {
             Some(OutgoingFrame::Call(call)) => self.in_flight.on_written(&call),
@@ -158,35 +162,36 @@
         }
     }
 
-    /// Something has come in on the connection: it is responsive.
+    /// Marks the connection as responsive because a frame was received on it.
     pub fn on_activity(&mut self, now: Nanos) {
         self.last_activity = now;
         self.is_unresponsive = false;
     }
 
-    /// Ends the attempt that a response is for.
+    /// Ends the attempt that a response refers to.
     pub fn match_response(&mut self, wire_id: &str) -> ResponseMatch {
         self.in_flight.match_response(wire_id)
     }
 
-    /// The attempt that a malformed response is assigned to: the one with its wire id, else the
-    /// one that has been in flight for longest.
+    /// Returns the attempt that a malformed response is attributed to: the attempt with its wire
+    /// id, or else the one that has been in flight for longest.
     pub fn attempt_of_malformed_response(&self, wire_id: Option<&str>) -> Option<AttemptId> {
         self.in_flight.attempt_of_malformed_response(wire_id)
     }
 
-    /// The attempts of which the socket has taken the last byte.
+    /// Returns the attempts in flight whose frames the socket has accepted completely.
     pub fn written_attempts(&self) -> Vec<AttemptId> {
         let written = self.in_flight.iter().filter(|progress| progress.is_written);
         written.map(|progress| progress.attempt).collect()
     }
 
-    /// The health check that a response is for; none where that was cancelled or never sent.
+    /// Returns the health check that a response belongs to, or `None` if that check was cancelled
+    /// or no check was sent.
     pub fn match_health_check_response(&mut self) -> Option<HealthCheckId> {
         self.written_health_checks.pop_front().flatten()
     }
 
-    /// Cancels a health check. A late response to it is not assigned to the next one.
+    /// Cancels a health check. A late response to it is not attributed to the next health check.
     pub fn cancel_health_check(&mut self, check: HealthCheckId) {
         self.queue.remove_health_check(check);
         let mut written = self.written_health_checks.iter_mut();
@@ -195,11 +200,12 @@
         }
     }
 
-    /// Cancels an attempt. One that is queued is removed and never sent; for one that the socket
-    /// was given, a cancellation is queued. True if the attempt may have been executed.
+    /// Cancels an attempt and returns whether it may have been executed. A queued attempt is
+    /// removed and never sent. If its frame has been passed to the socket, a cancellation is
+    /// queued.
     ///
-    /// A connection on which nothing has come in for `response_timeout` since the socket was given
-    /// the attempt counts as unresponsive.
+    /// The connection becomes unresponsive if nothing has been received on it since the frame was
+    /// passed to the socket and that was at least `response_timeout` ago.
     pub fn cancel_attempt(
         &mut self,
         attempt: AttemptId,
@@ -214,32 +220,33 @@
         }
         self.in_flight.remember_ended(wire_id.clone());
         self.queue.push(OutgoingFrame::Cancel(wire_id));
-        if let Some(given_at) = progress.given_at {
-            let no_activity_since = self.last_activity <= given_at;
-            let waited = now.saturating_sub(given_at);
+        if let Some(write_started_at) = progress.write_started_at {
+            let no_activity_since = self.last_activity <= write_started_at;
+            let waited = now.saturating_sub(write_started_at);
             self.is_unresponsive |= no_activity_since && waited >= response_timeout;
         }
         true
     }
 
-    /// Whether an attempt is here and the socket was not given it yet.
+    /// Returns whether an attempt is queued here and its frame has not been passed to the socket.
     pub fn is_unsent(&self, attempt: AttemptId) -> bool {
         let mut in_flight = self.in_flight.iter();
-        in_flight.any(|other| other.attempt == attempt && other.given_at.is_none())
+        in_flight.any(|other| other.attempt == attempt && other.write_started_at.is_none())
     }
 
-    /// The attempts that the socket was not given yet.
+    /// Returns the attempts whose frames have not been passed to the socket.
     pub fn unsent_attempts(&self) -> Vec<AttemptId> {
         self.queue.waiting_attempts()
     }
 
-    /// Ends the connection and returns what was in flight.
+    /// Ends the connection and returns what was queued or in flight.
     pub fn end(self, end: ConnectionEnd) -> LostWork {
         let attempts = self.in_flight.iter().map(|progress| {
-            let was_given = end == ConnectionEnd::ClosedByUs && progress.given_at.is_some();
+            let may_be_written =
+                end == ConnectionEnd::ClosedByEngine && progress.write_started_at.is_some();
             LostAttempt {
                 attempt: progress.attempt,
-                may_have_run: progress.is_written || was_given,
+                may_have_run: progress.is_written || may_be_written,
             }
         });
         let written_health_checks = self.written_health_checks.iter().flatten().copied();
--- a/crates/core/src/engine/leaf_connection/write_queue.rs
+++ b/crates/core/src/engine/leaf_connection/write_queue.rs
@@ -1,4 +1,4 @@
-//! The frames that wait for the socket of a connection, and the one that it is writing.
+//! The frames of a connection that wait for the socket, and the frame that the socket is writing.
 
 use crate::engine::ids::{AttemptId, HealthCheckId, WireId};
 use std::collections::VecDeque;
@@ -6,42 +6,42 @@
 /// An attempt as one entry of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallEntry {
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The id of its part on the wire.
+    /// Identifier of the attempted part in frames.
     pub wire_id: WireId,
 }
 
-/// What is written as one frame.
+/// A frame to a leaf server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OutgoingFrame {
-    /// Execute these parts.
+    /// Requests the execution of these parts.
     Call(Vec<CallEntry>),
-    /// Stop executing a part.
+    /// Cancels the execution of a part.
     Cancel(WireId),
-    /// Answer a health check.
+    /// Requests the response to a health check.
     HealthCheck(HealthCheckId),
 }
 
-/// Which call an attempt is queued in.
+/// The call to which a queued attempt is added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPlacement {
-    /// A call of its own.
+    /// A new call.
     NewCall,
-    /// The last call in the queue, if that holds fewer parts than `max_parts`.
+    /// The last call in the queue, if it has fewer than `max_parts` parts; a new call otherwise.
     LastCall {
-        /// The most parts of one call.
+        /// Maximum number of parts in one call.
         max_parts: usize,
     },
 }
 
-/// Frames in the order in which they are written. The socket takes one at a time: what is still in
-/// the queue can be removed, and the leaf server receives nothing of it.
+/// Frames in the order in which they are written. The socket writes one frame at a time. A frame
+/// that is still queued can be removed, in which case the leaf server receives nothing of it.
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
     /// Frames that wait for the socket, oldest first.
     waiting: VecDeque<OutgoingFrame>,
-    /// The frame that the socket was given and has not taken completely.
+    /// Frame that was passed to the socket and that the socket has not accepted completely.
     writing: Option<OutgoingFrame>,
 }
 
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Takes the next frame for the socket; none while the socket is writing another.
+    /// Takes the next frame for the socket. Returns `None` if the queue is empty or the socket is
+    /// writing another frame.
     pub(super) fn begin_next(&mut self) -> Option<&OutgoingFrame> {
         if self.writing.is_some() {
             return None;
@@ -70,17 +71,17 @@
         self.writing.as_ref()
     }
 
-    /// The socket has taken the last byte of the frame that it was given.
+    /// Removes and returns the frame that the socket was writing and has now accepted completely.
     pub(super) fn finish(&mut self) -> Option<OutgoingFrame> {
         self.writing.take()
     }
 
-    /// Nothing waits or is being written.
+    /// Returns whether no frame is queued or being written.
     pub(super) fn is_empty(&self) -> bool {
         self.waiting.is_empty() && self.writing.is_none()
     }
 
-    /// Removes an attempt that waits; whether there was one.
+    /// Removes a queued attempt. Returns whether the attempt was queued.
     pub(super) fn remove_attempt(&mut self, attempt: AttemptId) -> bool {
         let mut removed = false;
         self.waiting.retain_mut(|frame| {
@@ -95,13 +96,13 @@
         removed
     }
 
-    /// Removes a health check that waits.
+    /// Removes a queued health check.
     pub(super) fn remove_health_check(&mut self, check: HealthCheckId) {
         self.waiting
             .retain(|frame| *frame != OutgoingFrame::HealthCheck(check));
     }
 
-    /// The attempts that wait, in the order of their frames.
+    /// Returns the queued attempts, in the order of their frames.
     pub(super) fn waiting_attempts(&self) -> Vec<AttemptId> {
         let calls = self.waiting.iter().filter_map(|frame| match frame {
             OutgoingFrame::Call(call) => Some(call),
@@ -110,7 +111,8 @@
         calls.flatten().map(|entry| entry.attempt).collect()
     }
 
-    /// The health checks that the socket has not taken completely: those that wait come first.
+    /// Returns the health checks that the socket has not accepted completely: first those that are
+    /// queued, then the one that is being written.
     pub(super) fn unwritten_health_checks(&self) -> impl Iterator<Item = HealthCheckId> + '_ {
         let unwritten = self.waiting.iter().chain(&self.writing);
         unwritten.filter_map(|frame| match frame {
--- a/crates/core/src/engine/load_reports.rs
+++ b/crates/core/src/engine/load_reports.rs
@@ -1,9 +1,9 @@
-//! The load reports that leaf servers send with their responses.
+//! Parsing of the load reports that leaf servers send with their responses.
 
 use crate::api::LoadReport;
 
-/// The values of the fields that the settings name, in their order. A report that is `-`, or that
-/// lacks one of the fields, is read as one without values.
+/// Returns the values of the fields that the settings name, in the order of the settings. A report
+/// that is `-` or that lacks one of the fields yields no values.
 pub(super) fn parse(report: &str, field_names: &[String]) -> LoadReport {
     let values: Option<LoadReport> = field_names
         .iter()
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -1,16 +1,17 @@
-//! The engine: one reducer that owns the whole state of an aggregator.
+//! The engine: a single reducer that owns the entire state of an aggregator.
 //!
-//! Data flows from the sockets as [`Input`]s into [`Engine::apply`], which returns [`Effect`]s for
-//! the sockets. The engine has neither a socket nor a clock, so it is deterministic: the same
-//! inputs at the same times yield the same effects. Inputs become events; at the end of each batch
-//! of inputs the [`Policy`] decides on them, and its actions are executed (`actions.rs`).
+//! The sockets pass [`Input`]s to [`Engine::apply`], which returns the [`Effect`]s that the sockets
+//! carry out. The engine has no socket and no clock, so it is deterministic: the same inputs at the
+//! same times yield the same effects. Inputs are turned into events. At the end of each batch of
+//! inputs, the [`Policy`] handles the events, and the actions that it returns are executed
+//! (`actions.rs`).
 //!
-//! The state is in tables, one for each kind of thing, which keep their fields private:
-//! `client_table`, `connection_table` (a [`leaf_connection`] and an `idle_timer` a connection),
-//! `endpoint_table`, `query_table`, `attempt_table` and `watermark_tracker`; the small ones of
-//! `health_checks`, `timers` and `shutdown` are in the same file as their handlers. The handlers
-//! are methods of [`Engine`]: `clients`, `connections`, `endpoints`, `frames`, `queries`,
-//! `replies`, `attempts` and `usage_log`.
+//! The state is kept in one table per kind of entity, with private fields: `client_table`,
+//! `connection_table` (each connection has a [`leaf_connection`] and an `idle_timer`),
+//! `endpoint_table`, `query_table`, `attempt_table` and `watermark_tracker`. The small tables of
+//! `health_checks`, `timers` and `shutdown` are defined in the same file as their handlers. The
+//! other handlers are methods of [`Engine`] in `clients`, `connections`, `endpoints`, `frames`,
+//! `queries`, `replies`, `attempts` and `usage_log`.
 
 mod actions;
 mod attempt_table;
@@ -62,27 +63,30 @@
 use timers::TimerQueue;
 use watermark_tracker::WatermarkTracker;
 
-/// In nanoseconds.
+/// One millisecond, in nanoseconds.
 const MILLISECOND: Nanos = 1_000_000;
 
-/// The shares of the file descriptors, in percent, for connections to leaf servers and to clients.
-/// Neither kind can use up the share of the other. In normal operation each needs a third at most.
+/// Share of the file descriptors for connections to leaf servers, in percent. Leaf servers and
+/// clients have separate shares, so that neither can use up the descriptors of the other. In normal
+/// operation each needs a third of the descriptors at most.
 const LEAF_CONNECTION_PERCENT: usize = 40;
+/// Share of the file descriptors for connections to clients, in percent.
 const CLIENT_PERCENT: usize = 45;
 
-/// How long a watch may take to answer where the list is pushed. The local agent answers at once; a
-/// watch without an answer is soon restarted, to get the list once discovery is available again.
+/// Time within which a watch must be answered when discovery pushes the endpoint list. The local
+/// agent answers immediately. Restarting an unanswered watch early yields the list soon after
+/// discovery has become available again.
 const PUSHED_LIST_TIMEOUT: Nanos = 1_000 * MILLISECOND;
 
-/// How long a watch may take to answer where the list is polled: a single service answers all
-/// aggregators in turn.
+/// Time within which a watch must be answered when the endpoint list is polled. It is longer
+/// because a single service answers all aggregators in turn.
 const POLLED_LIST_TIMEOUT: Nanos = 4_500 * MILLISECOND;
 
-/// The state of an aggregator.
+/// The state of an aggregator and the reducer that updates it.
 pub struct Engine {
     settings: AggregatorSettings,
     policy: Policy,
-    /// Events of this batch, on which the policy has not decided yet.
+    /// Events of the current batch that the policy has not handled yet.
     events: Vec<Event>,
     /// Effects that `apply` has not returned yet.
     effects: Vec<Effect>,
@@ -97,13 +101,13 @@
     health_checks: HealthCheckTable,
     shutdown: ShutdownState,
     counters: EngineCounters,
-    /// None while no usage is recorded.
+    /// `None` while usage is not recorded.
     watermarks: Option<WatermarkTracker>,
 }
 
 impl Engine {
-    /// Starts an engine. The effects of its start are returned by the first call of
-    /// [`Engine::apply`].
+    /// Creates an engine with the cached endpoint list. The first call of [`Engine::apply`] also
+    /// returns the effects of the start.
     pub fn new(now: Nanos, options: EngineOptions) -> Engine {
         let EngineOptions {
             settings,
@@ -137,7 +141,7 @@
             watermarks: None,
         };
         engine.load_cached_endpoints(&cached_endpoints);
-        // Where the list is polled, the policy starts the first watch, at a random time.
+        // When the list is polled, the policy starts the first watch itself, at a random time.
         if !list_is_polled {
             engine.start_watch();
         }
@@ -153,17 +157,18 @@
         });
     }
 
-    /// The version of the current endpoint list, from which a watch continues.
+    /// Returns the version of the current endpoint list, from which a new watch continues.
     pub fn endpoints_version(&self) -> u64 {
         self.endpoints.version()
     }
 
-    /// The most clients that may be connected.
+    /// Returns the maximum number of connected clients.
     pub fn max_clients(&self) -> usize {
         self.clients.capacity()
     }
 
-    /// When a batch has to end next, even if there is no input until then. 0 stands for at once.
+    /// Returns the time at which the current batch must end even if no further input arrives.
+    /// `Some(0)` means immediately, `None` that neither an event nor a timer is pending.
     pub fn next_due(&self) -> Option<Nanos> {
         if !self.events.is_empty() {
             return Some(0);
@@ -171,8 +176,8 @@
         self.timers.next_due()
     }
 
-    /// The number of entries in all tables. While the load is bounded it is too, however many
-    /// replicas, clients and queries with new names there were.
+    /// Returns the number of entries in all tables. It is bounded as long as the load is bounded,
+    /// no matter how many replicas, clients and query ids have come and gone.
     pub fn retained_entries(&self) -> usize {
         self.queries.entries()
             + self.attempts.len()
@@ -184,15 +189,16 @@
             + self.policy.retained_records()
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start of the process.
     pub fn counters(&self) -> &EngineCounters {
         &self.counters
     }
 
-    /// Applies one input at `now` and returns the effects, in the order to carry them out.
+    /// Applies one input at time `now` and returns the effects in the order in which they must be
+    /// carried out.
     ///
-    /// Frames are only written at [`Input::BatchEnded`], so that a disconnected client, a draining
-    /// replica or a shutdown takes precedence over a connection that was opened in the same batch.
+    /// Frames are written only at [`Input::BatchEnded`], so that a disconnected client, a draining
+    /// replica or a shutdown takes precedence over a connection that opened in the same batch.
     pub fn apply(&mut self, now: Nanos, input: Input) -> Vec<Effect> {
         self.handle(now, input);
         self.maybe_exit();
--- a/crates/core/src/engine/options.rs
+++ b/crates/core/src/engine/options.rs
@@ -1,20 +1,20 @@
-//! What an engine starts with.
+//! The options of a new engine.
 
 use crate::api::PolicySettings;
 use crate::config::AggregatorSettings;
 use crate::protocol::discovery::EndpointUpdate;
 
-/// What an engine starts with.
+/// Options of a new [`Engine`](super::Engine).
 #[derive(Debug)]
 pub struct EngineOptions {
-    /// The settings of the engine itself.
+    /// Settings of the engine.
     pub settings: AggregatorSettings,
-    /// The settings of the policy.
+    /// Settings of the policy.
     pub policy_settings: PolicySettings,
-    /// The seed of the policy's random numbers.
+    /// Seed of the policy's random number generator.
     pub policy_seed: u64,
-    /// The endpoint list as it was last received, which may be stale.
+    /// Endpoint list that was received last, which may be stale.
     pub cached_endpoints: EndpointUpdate,
-    /// The file descriptors that the process may use.
+    /// Maximum number of file descriptors that the process may open.
     pub max_descriptors: usize,
 }
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -1,5 +1,5 @@
-//! Queries: which are passed to the policy and which are rejected on arrival, and their removal.
-//! The replies are composed in [`super::replies`].
+//! Accepts queries or rejects them on arrival, and removes them when they end. The replies are
+//! composed in [`super::replies`].
 
 use super::ids::{AttemptId, ClientId};
 use super::query_table::{EndedQuery, OpenPart, OpenQuery};
@@ -9,10 +9,11 @@
 use crate::protocol::http::RequestError;
 use crate::protocol::query::{QueryPart, QueryReply, QueryRequest};
 
-/// Subtracted from the client timeout: the network both ways, and a delay on our side.
+/// Margin subtracted from the client timeout, for the network in both directions and a delay in the
+/// aggregator.
 const CLIENT_TIMEOUT_MARGIN: Nanos = 8 * MILLISECOND;
 
-/// A query that has arrived and is not passed to the policy yet.
+/// A query that has arrived and has not been passed to the policy yet.
 #[derive(Debug)]
 pub(super) struct ArrivedQuery {
     pub(super) client: ClientId,
@@ -21,21 +22,23 @@
 }
 
 impl Engine {
-    /// Passes a query to the policy, or rejects it on arrival, by these checks in this order:
+    /// Passes a query to the policy or rejects it on arrival. The checks are made in this order:
     ///
     /// 1. A query whose client has disconnected is dropped.
     /// 2. A query with the id of an open query is an invalid request.
-    /// 3. Over the capacity for open queries and parts (`limits.open_cap`), it is rejected.
-    /// 4. If its client has no time left, or the process exits, it is rejected.
+    /// 3. A query that exceeds the capacity for open queries and parts (`limits.open_cap`) is
+    ///    rejected.
+    /// 4. A query whose client has no time left is rejected, and so is every query when the process
+    ///    exits.
     ///
-    /// Admission follows at the end of the batch: the policy may reject the query too
+    /// Admission follows at the end of the batch: the policy may reject the query as well
     /// (`admission.rs` of the policy).
     pub(super) fn on_query(&mut self, now: Nanos, query: ArrivedQuery) {
         let (client, name) = (query.client, &query.request.name);
         if !self.clients.contains(client) {
             return;
         }
-        // Its parts would have the wire ids of the open query's parts.
+        // Its parts would have the same wire ids as those of the open query.
         if self.queries.has_name(name) {
             let error = RequestError {
                 status: 409,
@@ -60,18 +63,25 @@
         if client_timeout == 0 {
             self.counters.received.too_late += 1;
             let timeout_ms = query.request.timeout / MILLISECOND;
-            tracing::info!(client, name, timeout_ms, "query rejected: no time left");
+            tracing::info!(
+                client,
+                name,
+                timeout_ms,
+                "query rejected: client has no time left"
+            );
             return self.reject_on_arrival(now, &query);
         }
         self.accept_query(now, query, client_timeout);
     }
 
-    /// How long the client still waits for a reply that is sent by us.
+    /// Returns the time within which a reply must be sent to reach the client before its timeout.
+    /// During a shutdown, this time ends at the answer deadline; it is 0 once the exit was
+    /// requested.
     fn remaining_client_timeout(&self, now: Nanos, query: &ArrivedQuery) -> Nanos {
         let spent = now.saturating_sub(query.arrived_at) + CLIENT_TIMEOUT_MARGIN;
         let remaining = query.request.timeout.saturating_sub(spent);
         match self.shutdown.answer_deadline() {
-            // The process ends: nothing more is forwarded.
+            // The process exits: no further query is passed to the policy.
             Some(_) if self.shutdown.is_exit_requested() => 0,
             Some(answer_deadline) => remaining.min(answer_deadline.saturating_sub(now)),
             None => remaining,
@@ -151,7 +161,7 @@
         id
     }
 
-    /// Shortens the deadline of every open query to `latest` at most.
+    /// Moves the deadline of every open query to `latest` if it is later, together with its timer.
     pub(super) fn shorten_deadlines(&mut self, latest: Nanos) {
         for (id, former_deadline) in self.queries.shorten_deadlines(latest) {
             let timer = Timer::ReplyDeadline(id);
@@ -160,8 +170,8 @@
         }
     }
 
-    /// Removes a query and its parts. Attempts that are in flight end on their own. Those that
-    /// were not given to a socket are never sent, whether or not cancellation is allowed.
+    /// Removes a query and its parts. Attempts in flight end on their own. Attempts whose frames
+    /// have not been passed to a socket are never sent, whether or not cancellation is allowed.
     pub(super) fn end_query(&mut self, now: Nanos, id: RequestId) -> Option<EndedQuery> {
         let ended = self.queries.remove(id)?;
         for part in &ended.query.parts {
--- a/crates/core/src/engine/query_table.rs
+++ b/crates/core/src/engine/query_table.rs
@@ -1,4 +1,4 @@
-//! The queries that wait for their replies, and their parts.
+//! The open queries, which wait for their replies, and their parts.
 
 use super::ids::{AttemptId, ClientId, WireId};
 use super::usage::JoinKey;
@@ -11,41 +11,41 @@
 /// A query that waits for its reply.
 #[derive(Debug)]
 pub(super) struct OpenQuery {
-    /// The client's name for it.
+    /// Id that the client gave the query.
     pub(super) name: Rc<str>,
     pub(super) client: ClientId,
     pub(super) class: u16,
     pub(super) tenant: u32,
-    /// By when the reply has to be sent.
+    /// Time by which the reply must be sent.
     pub(super) deadline: Nanos,
-    /// Its parts, in the order of the request.
+    /// Parts, in the order of the request.
     pub(super) parts: Vec<RequestId>,
-    /// When it arrived, as the usage log counts it.
+    /// Time of arrival as recorded in the usage log.
     pub(super) arrived_at: Nanos,
     pub(super) is_retry: bool,
-    /// Identifies the use that it requests; 0 while no usage is recorded.
+    /// Identifies the logical request; 0 while usage is not recorded.
     pub(super) join_key: JoinKey,
 }
 
-/// A part of a query that waits for its reply.
+/// A part of an open query.
 #[derive(Debug)]
 pub(super) struct OpenPart {
     query: RequestId,
     pub(super) shard: u32,
     weight: f64,
     wire_id: WireId,
-    /// The query's text.
+    /// Text of the query.
     text: Bytes,
-    /// Attempts that the policy has requested.
+    /// Number of attempts that the policy has requested.
     pub(super) attempts: u8,
-    /// Of the attempts, those to replicas in other zones.
+    /// Number of these attempts that were requested at replicas in other zones.
     pub(super) cross_zone_attempts: u8,
-    /// The result of the first attempt that succeeded.
+    /// Result of the first successful attempt.
     pub(super) value: Option<String>,
 }
 
 impl OpenPart {
-    /// A part without attempts. Its id in frames is made of the query's name and the shard.
+    /// Creates a part without attempts. Its wire id is composed of the query id and the shard.
     pub(super) fn new(query: RequestId, request: &QueryRequest, part: &QueryPart) -> OpenPart {
         OpenPart {
             query,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The number of the next attempt, which is counted.
+    /// Counts an attempt and returns its number.
     fn count_attempt(&mut self, crosses_zones: bool) -> u8 {
         let number = self.attempts;
         self.attempts = self.attempts.saturating_add(1);
@@ -74,9 +74,9 @@
 pub(super) struct NewAttempt {
     pub(super) id: AttemptId,
     pub(super) shard: u32,
-    /// What stands for its part in frames.
+    /// Identifier of the part in frames.
     pub(super) wire_id: WireId,
-    /// The query's text.
+    /// Text of the query.
     pub(super) text: Bytes,
     pub(super) times_out_at: Nanos,
 }
@@ -89,26 +89,26 @@
 }
 
 impl EndedQuery {
-    /// The weight of all parts.
+    /// Returns the total weight of all parts.
     pub(super) fn total_weight(&self) -> f64 {
         self.parts.iter().map(|part| part.weight).sum()
     }
 
-    /// The weight of the parts that have a result.
+    /// Returns the total weight of the parts with a result.
     pub(super) fn covered_weight(&self) -> f64 {
         let covered = self.parts.iter().filter(|part| part.value.is_some());
         covered.map(|part| part.weight).sum()
     }
 }
 
-/// The queries that wait for their replies, and their parts.
+/// The open queries, which wait for their replies, and their parts.
 #[derive(Debug, Default)]
 pub(super) struct OpenQueryTable {
     queries: BTreeMap<RequestId, OpenQuery>,
     parts: BTreeMap<RequestId, OpenPart>,
-    /// The names of the queries.
+    /// Ids that the clients gave the open queries.
     names: BTreeSet<Rc<str>>,
-    /// The number that joined the latest query and its parts in the events.
+    /// Group number of the latest query. It links a query to its parts in the events.
     last_group: u32,
 }
 
@@ -125,7 +125,7 @@
         self.queries.is_empty()
     }
 
-    /// The number of queries, parts and names.
+    /// Returns the total number of queries, parts and query ids.
     pub(super) fn entries(&self) -> usize {
         self.queries.len() + self.parts.len() + self.names.len()
     }
@@ -134,14 +134,14 @@
         self.names.contains(name)
     }
 
-    /// The number of parts without a result. A part that has its result takes no capacity any
-    /// more: counting it would reject queries that fit.
+    /// Returns the number of parts without a result. Parts with a result use no more capacity, and
+    /// counting them would reject queries that fit.
     pub(super) fn count_open_parts(&self) -> usize {
         let open = self.parts.values().filter(|part| part.value.is_none());
         open.count()
     }
 
-    /// The number that joins a new query and its parts in the events.
+    /// Returns the group number of a new query, which links the query to its parts in the events.
     pub(super) fn next_group(&mut self) -> u32 {
         self.last_group = self.last_group.wrapping_add(1);
         self.last_group
@@ -156,8 +156,8 @@
         self.parts.insert(id, part);
     }
 
-    /// Counts an attempt at a part; none if the part has ended. It times out as requested, but no
-    /// later than its query's deadline.
+    /// Counts an attempt at a part, or returns `None` if the part has ended. The attempt times out
+    /// at the requested time, but not after the deadline of its query.
     pub(super) fn begin_attempt(
         &mut self,
         id: RequestId,
@@ -178,15 +178,15 @@
         })
     }
 
-    /// Keeps the result of a part, unless it has one or has ended.
+    /// Stores the result of a part, unless the part already has one or has ended.
     pub(super) fn add_result(&mut self, part: RequestId, value: impl FnOnce() -> String) {
         if let Some(part) = self.parts.get_mut(&part) {
             part.value.get_or_insert_with(value);
         }
     }
 
-    /// Moves the deadlines that are later than `latest` there; returns each query with its former
-    /// deadline.
+    /// Moves all deadlines after `latest` to `latest`. Returns the affected queries with their
+    /// former deadlines.
     pub(super) fn shorten_deadlines(&mut self, latest: Nanos) -> Vec<(RequestId, Nanos)> {
         let queries = self.queries.iter_mut();
         let late = queries.filter(|(_, query)| query.deadline > latest);
--- a/crates/core/src/engine/replies.rs
+++ b/crates/core/src/engine/replies.rs
@@ -1,4 +1,4 @@
-//! The replies to queries, and the ways in which a query ends.
+//! Ends queries and composes the replies to them.
 
 use super::query_table::{EndedQuery, OpenPart};
 use super::usage::QueryOutcome;
@@ -6,11 +6,12 @@
 use crate::api::{Event, Nanos, RequestId};
 use crate::protocol::query::{QueryHit, QueryReply};
 
-/// How far below a threshold a coverage may be because of rounding, as a share of the weight.
+/// Tolerance for rounding errors when a coverage is compared with a threshold, as a share of the
+/// weight.
 const COVERAGE_TOLERANCE: f64 = 1e-4;
 
 impl Engine {
-    /// Answers a query from the results so far.
+    /// Answers a query from the results received so far.
     pub(super) fn answer_query(&mut self, now: Nanos, id: RequestId, complete: bool) {
         let Some(ended) = self.end_query(now, id) else {
             return;
@@ -35,13 +36,13 @@
         self.reply_to_query(now, id, ended, QueryReply::Failed);
     }
 
-    /// Fails a query that the policy has not ended in time, which is a fault: the policy must end
+    /// Fails a query that is still open at its reply deadline. This is a fault: the policy must end
     /// each query before its client times out.
     pub(super) fn on_reply_deadline(&mut self, now: Nanos, id: RequestId) {
         self.counters.faults.reply_deadline += 1;
         let name = self.queries.get(id).map(|query| &*query.name);
-        tracing::error!(id, name, "query still open at its reply deadline");
-        // The policy forgets the query by the same event as on a disconnect.
+        tracing::error!(id, name, "query failed: still open at its reply deadline");
+        // The event makes the policy drop the query, as after a disconnect of the client.
         self.events.push(Event::ClientDisconnected { id });
         self.fail_query(now, id);
     }
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Records a query that has ended, then sends its reply.
+    /// Records the usage of a query that has ended, then sends its reply.
     fn reply_to_query(&mut self, now: Nanos, id: RequestId, ended: EndedQuery, reply: QueryReply) {
         let outcome = QueryOutcome::of_reply(&reply, ended.covered_weight(), ended.total_weight());
         self.record_query(&ended, outcome);
@@ -63,15 +64,21 @@
         self.send_reply(now, ended.query.client, reply);
     }
 
-    /// The answer from the results so far. If they cover less than the policy's decision requires,
-    /// the query fails instead: a single answer that overstates its coverage is very costly.
+    /// Composes the answer from the results received so far. If they cover less than the decision
+    /// of the policy requires, the query fails instead: even a single answer that overstates its
+    /// coverage is very costly.
     fn compose_answer(&mut self, ended: &EndedQuery, complete: bool) -> QueryReply {
         let class = usize::from(ended.query.class);
-        let is_complete = covers(ended, &self.settings.completeness_thresholds, class);
-        let is_sufficient = covers(ended, &self.settings.minimum_coverages, class);
+        let is_complete = reaches_threshold(ended, &self.settings.completeness_thresholds, class);
+        let is_sufficient = reaches_threshold(ended, &self.settings.minimum_coverages, class);
         if !is_sufficient || complete && !is_complete {
             let covered = ended.covered_weight();
-            tracing::error!(covered, complete, class, "answer overstates its coverage");
+            tracing::error!(
+                covered,
+                complete,
+                class,
+                "query failed: its answer would overstate the coverage"
+            );
             self.counters.faults.overstated_coverage += 1;
             self.counters.queries_ended.failed += 1;
             return QueryReply::Failed;
@@ -86,9 +93,9 @@
     }
 }
 
-/// Whether the results so far reach the threshold of the class. A class without a threshold needs
-/// all parts.
-fn covers(ended: &EndedQuery, thresholds: &[f64], class: usize) -> bool {
+/// Returns whether the results received so far reach the threshold of the class. A class without a
+/// threshold requires all parts.
+fn reaches_threshold(ended: &EndedQuery, thresholds: &[f64], class: usize) -> bool {
     let threshold = thresholds.get(class).copied().unwrap_or(1.0);
     let needed = threshold * ended.total_weight().min(1.0);
     ended.covered_weight() + COVERAGE_TOLERANCE >= needed
@@ -100,8 +107,8 @@
     Some(QueryHit { shard, doc })
 }
 
-/// Logs a query that has ended, with the number of attempts at each of its parts and whether the
-/// part has a result.
+/// Logs the end of a query, with the number of attempts at each part and whether the part has a
+/// result (`+`) or not (`-`).
 fn log_query_ended(now: Nanos, id: RequestId, ended: &EndedQuery, outcome: QueryOutcome) {
     let attempts = |part: &OpenPart| {
         let result = if part.value.is_some() { "+" } else { "-" };
--- a/crates/core/src/engine/shutdown.rs
+++ b/crates/core/src/engine/shutdown.rs
@@ -1,46 +1,47 @@
-//! Graceful shutdown: its phases, and when each ends.
+//! Graceful shutdown: its phases and when each of them ends.
 //!
-//! 1. **Drain period** ([`Effect::StartDraining`]): from the request on, everything goes on, since
-//!    it takes a while until clients know of the shutdown. Each reply states that its connection
-//!    closes.
+//! 1. **Drain period** ([`Effect::StartDraining`]): after the request, all service continues, since
+//!    it takes a while until clients know of the shutdown. Each reply announces that its connection
+//!    will be closed.
 //! 2. **End of the drain period** ([`Effect::StopListening`]): no more clients are accepted, and
-//!    idle ones are closed ([`Effect::DrainClient`]). Open queries go on, and so do requests on
-//!    connections that have not closed yet.
+//!    idle clients are closed ([`Effect::DrainClient`]). Open queries continue, and so do requests
+//!    on connections that have not been closed yet.
 //! 3. **Answer deadline** ([`Effect::ReleaseReplies`]): every query has ended, since none has a
-//!    later deadline. What still arrives is rejected at once, and no reply waits for the usage log.
-//! 4. **Exit** ([`Effect::Exit`]): once no query is open, every frontend has reported that it has
-//!    stopped and every client's connection that it has ended; at the latest at the **exit
-//!    deadline**, without these reports. That no query is open is not enough: a request may be on
-//!    its way from a connection that is still read.
+//!    later deadline. Requests that still arrive are rejected at once, and no reply waits for the
+//!    usage log.
+//! 4. **Exit** ([`Effect::Exit`]): as soon as no query is open, every frontend has stopped and the
+//!    connection of every client has ended; in any case at the **exit deadline**. It is not
+//!    sufficient that no query is open, since a request may be in transit on a connection that is
+//!    still being read.
 //!
 //! The platform may kill the process some time after the request, which depends on the longest
 //! client deadline in the settings (`Schedule`). The answer deadline and the exit deadline are
 //! fixed times before the earliest kill, so no phase can last until the kill.
 //!
-//! What the sockets do in each phase is described in [`crate::net`].
+//! [`crate::net`] describes what the sockets do in each phase.
 
 use super::effect::Effect;
 use super::timers::Timer;
 use super::{Engine, MILLISECOND};
 use crate::api::{Event, Nanos};
 
-/// The length of the drain period. Clients open new connections for 0.4 s after the request.
+/// Length of the drain period. Clients open new connections for 0.4 s after the shutdown request.
 const DRAIN_PERIOD: Nanos = 500 * MILLISECOND;
 
-/// The earliest kill comes this long after the longest client deadline has passed.
+/// Time from the end of the longest client deadline to the earliest kill.
 const KILL_GRACE: Nanos = 700 * MILLISECOND;
 
-/// The longest client deadline that delays the kill; a longer one counts as this.
+/// Maximum client deadline that delays the kill. A longer deadline counts as this one.
 const MAX_COUNTED_DEADLINE: Nanos = 3_000 * MILLISECOND;
 
-/// How long before the earliest kill every query is answered. A process may be suspended for 150 ms
+/// Time from the answer deadline to the earliest kill. A process may be suspended for 150 ms
 /// between reading its clock and writing.
 const ANSWER_MARGIN: Nanos = 200 * MILLISECOND;
 
-/// How long before the earliest kill the process exits.
+/// Time from the exit deadline to the earliest kill.
 const EXIT_MARGIN: Nanos = 50 * MILLISECOND;
 
-/// When the phases of a shutdown end.
+/// Times at which the phases of a shutdown end.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     drain_period_end: Nanos,
@@ -60,13 +61,13 @@
     }
 }
 
-/// How far a graceful shutdown has come.
+/// Progress of a graceful shutdown.
 #[derive(Debug, Default)]
 pub(super) struct ShutdownState {
-    /// None while no shutdown was requested.
+    /// `None` until a shutdown is requested.
     schedule: Option<Schedule>,
     is_drain_period_over: bool,
-    /// Frontends that may still hand over a request.
+    /// Number of frontends that may still submit a request.
     running_frontends: usize,
     is_exit_requested: bool,
 }
@@ -76,22 +77,25 @@
         self.schedule.is_some()
     }
 
-    /// By when every query has to be answered; none while no shutdown was requested.
+    /// Returns the time by which every query must be answered, or `None` if no shutdown was
+    /// requested.
     pub(super) fn answer_deadline(&self) -> Option<Nanos> {
         self.schedule.map(|schedule| schedule.answer_deadline)
     }
 
-    /// No more clients are accepted, and idle ones are closed.
+    /// Returns whether the drain period is over: no more clients are accepted, and idle clients are
+    /// closed.
     pub(super) fn is_drain_period_over(&self) -> bool {
         self.is_drain_period_over
     }
 
-    /// The engine has requested the exit of the process.
+    /// Returns whether the engine has requested the exit of the process.
     pub(super) fn is_exit_requested(&self) -> bool {
         self.is_exit_requested
     }
 
-    /// The exit deadline if a shutdown was requested and the exit was not: notes the exit.
+    /// Marks the exit as requested and returns the exit deadline. Returns `None` if no shutdown was
+    /// requested, or if the exit has already been requested.
     fn begin_exit(&mut self) -> Option<Nanos> {
         let schedule = self.schedule.filter(|_| !self.is_exit_requested)?;
         self.is_exit_requested = true;
@@ -118,7 +122,7 @@
         self.effects.push(Effect::StartDraining);
     }
 
-    /// The longest that a client of any class waits.
+    /// Returns the longest client deadline of all classes.
     fn longest_client_deadline(&self) -> Nanos {
         let deadlines = self.settings.deadlines.iter();
         deadlines.max().copied().unwrap_or_default()
@@ -143,22 +147,24 @@
         }
     }
 
-    /// No query is open any more, since none had a later deadline. From now on no reply waits for
-    /// its usage record.
+    /// Handles the answer deadline. No query is open any more, since none had a later deadline.
+    /// From now on, no reply waits for its usage record.
     pub(super) fn on_answer_deadline(&mut self) {
-        self.log_shutdown_state("answer deadline");
+        self.log_shutdown_state("answer deadline reached");
         self.effects.push(Effect::ReleaseReplies);
     }
 
-    /// Exits although something has not ended: a client does not read, or does not close.
+    /// Exits although not everything has ended, for example because a client does not read or does
+    /// not close its connection.
     pub(super) fn on_exit_deadline(&mut self) {
         if !self.shutdown.is_exit_requested() {
-            self.log_shutdown_state("exit deadline");
+            self.log_shutdown_state("exit deadline reached");
         }
         self.exit();
     }
 
-    /// Requests the exit of the process once nothing is left that could need an answer.
+    /// Requests the exit of the process once the drain period is over and no query, client or
+    /// frontend is left that could need an answer.
     pub(super) fn maybe_exit(&mut self) {
         let nothing_left = self.queries.is_empty()
             && self.clients.is_empty()
--- a/crates/core/src/engine/timers.rs
+++ b/crates/core/src/engine/timers.rs
@@ -1,37 +1,37 @@
-//! The engine's timers.
+//! The timers of the engine.
 
 use super::ids::{AttemptId, ConnectionId, HealthCheckId};
 use super::Engine;
 use crate::api::{AttemptOutcome, Event, LoadReport, Nanos, RequestId};
 use std::collections::BTreeSet;
 
-/// What happens when a timer is due. Timers that are due at the same time run in the order of the
-/// variants.
+/// A timer of the engine, by what happens when it is due. Timers that are due at the same time run
+/// in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer of the policy, by its token.
+    /// A timer set by the policy, identified by its token.
     Policy(u64),
-    /// An attempt times out: see [`Engine::cancel_attempt`].
+    /// An attempt times out; see [`Engine::cancel_attempt`].
     AttemptTimeout(AttemptId),
-    /// A connection should have been established.
+    /// A connection must have been established.
     ConnectTimeout(ConnectionId),
-    /// A connection may have been idle for too long.
+    /// A connection may have been idle for the whole idle period.
     IdleTimeout(ConnectionId),
     /// A health check times out.
     HealthCheckTimeout(HealthCheckId),
-    /// A query's reply has to be sent now to reach its client in time.
+    /// A query's reply must be sent now to reach the client before the client times out.
     ReplyDeadline(RequestId),
     /// The next watermark of the usage log is due.
     UsageWatermark,
-    /// The drain period is over.
+    /// The drain period of a shutdown ends.
     DrainPeriodEnded,
-    /// During a shutdown, every query has to be answered.
+    /// Every query must have been answered during a shutdown.
     AnswerDeadline,
-    /// A graceful shutdown has to be complete.
+    /// A graceful shutdown must be complete.
     ExitDeadline,
 }
 
-/// The timers that are set, by the time at which they are due.
+/// The pending timers, ordered by the time at which they are due.
 #[derive(Debug, Default)]
 pub(super) struct TimerQueue {
     timers: BTreeSet<(Nanos, Timer)>,
@@ -46,12 +46,12 @@
         self.timers.remove(&(due, timer));
     }
 
-    /// When the first timer is due.
+    /// Returns the time at which the first timer is due.
     pub(super) fn next_due(&self) -> Option<Nanos> {
         self.timers.first().map(|(due, _)| *due)
     }
 
-    /// Removes the first timer if it is due.
+    /// Removes and returns the first timer if it is due.
     fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
         self.next_due().filter(|due| *due <= now)?;
         self.timers.pop_first().map(|(_, timer)| timer)
--- a/crates/core/src/engine/usage.rs
+++ b/crates/core/src/engine/usage.rs
@@ -1,26 +1,26 @@
-//! Usage records: one for each query that ended, for the usage ledger.
+//! Usage records for the usage ledger: one for each query that has ended.
 
 use crate::api::Nanos;
 use crate::protocol::query::QueryReply;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The unit of [`QueryOutcome::Partial`]: the total weight is this many.
-const MILLIONTHS: f64 = 1e6;
+/// Value of [`QueryOutcome::Partial`] that stands for the total weight.
+const MILLIONTHS_PER_WHOLE: f64 = 1e6;
 
-/// Identifies one use, which a client may request several times. The key is the same at every
-/// aggregator and in every run, so that a retry at another aggregator is recognised. Keys that the
-/// client gave are odd, others even; 0 is no key.
+/// Identifies a logical request, which a client may send several times. The key is the same at
+/// every aggregator and in every run, so that a retry at another aggregator is recognized. Keys
+/// derived from an idempotency key are odd, others are even, and 0 stands for no key.
 pub type JoinKey = u64;
 
-/// The key of a use for which the client has sent an idempotency key.
-pub fn client_join_key(class: &str, key: &str) -> JoinKey {
-    let mut hash = hash_of(class);
-    hash.update(key.as_bytes());
-    hash.digest() | 1
+/// Returns the join key of a logical request for which the client has sent an idempotency key.
+pub fn client_join_key(class: &str, idempotency_key: &str) -> JoinKey {
+    let mut hasher = class_hasher(class);
+    hasher.update(idempotency_key.as_bytes());
+    hasher.digest() | 1
 }
 
-/// The key of a use by its request: the class, the parts (shard and weight) in any order, and the
-/// text.
+/// Returns the join key of a logical request without an idempotency key. It is derived from the
+/// class, the parts (shard and weight, in any order) and the text.
 pub fn content_join_key(
     class: &str,
     parts: impl Iterator<Item = (u32, f64)>,
@@ -30,46 +30,46 @@
         .map(|(shard, weight)| (shard, weight.to_bits()))
         .collect();
     parts.sort_unstable();
-    let mut hash = hash_of(class);
+    let mut hasher = class_hasher(class);
     for (shard, weight) in parts {
-        hash.update(&shard.to_le_bytes());
-        hash.update(&weight.to_le_bytes());
+        hasher.update(&shard.to_le_bytes());
+        hasher.update(&weight.to_le_bytes());
     }
-    hash.update(text);
+    hasher.update(text);
     // Even, and never 0.
-    hash.digest() & !1 | 2
+    hasher.digest() & !1 | 2
 }
 
-/// Whether a key is one that the client gave.
+/// Returns whether a join key was derived from an idempotency key of the client.
 pub fn is_client_key(key: JoinKey) -> bool {
     key & 1 != 0
 }
 
-fn hash_of(class: &str) -> Xxh3 {
-    let mut hash = Xxh3::new();
-    hash.update(class.as_bytes());
-    hash.update(&[0]);
-    hash
+fn class_hasher(class: &str) -> Xxh3 {
+    let mut hasher = Xxh3::new();
+    hasher.update(class.as_bytes());
+    hasher.update(&[0]);
+    hasher
 }
 
-/// How a query ended for its client.
+/// Outcome of a query for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum QueryOutcome {
-    /// Answered completely.
+    /// The client received a complete answer.
     Complete,
-    /// Answered from parts with this share of the weight, in millionths.
+    /// The client received a partial answer that covers this share of the weight, in millionths.
     Partial(u32),
-    /// Rejected: trying again is harmless.
+    /// The query was rejected. A retry is harmless.
     Rejected,
-    /// Failed: it may have had an effect.
+    /// The query failed. It may have had an effect.
     Failed,
     /// The client disconnected before the reply.
     ClientDisconnected,
 }
 
 impl QueryOutcome {
-    /// The outcome of a query with this reply, whose parts with a result have `covered_weight` of
-    /// the `total_weight`.
+    /// Returns the outcome of a query with this reply, given the weight of all its parts and the
+    /// weight of those that have a result.
     pub(super) fn of_reply(
         reply: &QueryReply,
         covered_weight: f64,
@@ -79,7 +79,11 @@
             QueryReply::Answer { complete: true, .. } => QueryOutcome::Complete,
             QueryReply::Answer { .. } => {
                 let share = covered_weight / total_weight.max(f64::MIN_POSITIVE);
-                QueryOutcome::Partial((share * MILLIONTHS).round().clamp(0.0, MILLIONTHS) as u32)
+                QueryOutcome::Partial(
+                    (share * MILLIONTHS_PER_WHOLE)
+                        .round()
+                        .clamp(0.0, MILLIONTHS_PER_WHOLE) as u32,
+                )
             }
             QueryReply::Rejected { .. } => QueryOutcome::Rejected,
             _ => QueryOutcome::Failed,
@@ -87,42 +91,42 @@
     }
 }
 
-/// The usage record of one query that has ended.
+/// Usage record of a query that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryUsage {
-    /// Counts from 1 over the records of this run, without a gap.
+    /// Sequence number of the record, counted from 1 without gaps in each run of the process.
     pub sequence: u64,
-    /// The tenant, by its number in the settings.
+    /// Number of the tenant in the settings.
     pub tenant: u32,
-    /// The class, by its number in the settings.
+    /// Number of the class in the settings.
     pub class: u16,
-    /// Unix nanoseconds by this aggregator's clock; never before the
+    /// Time of arrival by the clock of this aggregator, in Unix nanoseconds. It is never before the
     /// [`complete_until`](UsageWatermark::complete_until) of an earlier watermark.
     pub arrived_at: Nanos,
-    /// How the query ended.
+    /// Outcome of the query for its client.
     pub outcome: QueryOutcome,
-    /// The number of its parts.
+    /// Number of parts of the query.
     pub parts: u32,
-    /// The number of attempts at its parts.
+    /// Number of attempts at all parts.
     pub attempts: u32,
-    /// Of the attempts, those to replicas in other zones.
+    /// Number of these attempts that were requested at replicas in other zones.
     pub cross_zone_attempts: u32,
-    /// The client marked it as a retry.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// The same for all queries by which a client requests the same use.
+    /// Identifies the logical request, and is the same for all queries that request it.
     pub join_key: JoinKey,
-    /// The client gave the join key.
+    /// Whether the join key was derived from an idempotency key of the client.
     pub has_client_key: bool,
 }
 
-/// States up to when the usage records are complete: every query that arrived before
-/// `complete_until` has ended and is recorded with a sequence up to `sequence`.
+/// Statement that the usage records are complete up to a time: every query that arrived before
+/// `complete_until` has ended and has a record with a sequence number of at most `sequence`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageWatermark {
-    /// The sequence of the last record.
+    /// Sequence number of the last record.
     pub sequence: u64,
-    /// Unix nanoseconds; no later record has an earlier arrival.
+    /// Time in Unix nanoseconds. No later record has an earlier arrival.
     pub complete_until: Nanos,
-    /// No record follows at all: the aggregator exits.
+    /// Whether no further record follows, because the aggregator exits.
     pub is_final: bool,
 }
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -1,8 +1,8 @@
-//! The usage log: a record for each query that ended, and watermarks that state up to when the
-//! records are complete. Nothing is recorded before [`Engine::record_usage`] is called.
+//! The usage log: a record for each query that has ended, and watermarks up to which the records
+//! are complete. Nothing is recorded until [`Engine::record_usage`] is called.
 //!
-//! [`Effect::RecordUsage`] precedes the reply to the query. That the reply waits until the record
-//! is written is ensured in [`crate::net::pending_replies`].
+//! [`Effect::RecordUsage`] precedes the reply to the query. [`crate::net::pending_replies`] ensures
+//! that the reply waits until the record is written.
 
 use super::effect::Effect;
 use super::queries::ArrivedQuery;
@@ -14,18 +14,18 @@
 use crate::api::{Nanos, RequestId};
 use crate::protocol::query::QueryRequest;
 
-/// The tenant by which usage is counted where the settings name none.
-const ONLY_TENANT: &str = "all";
+/// Tenant to which all usage is attributed if the settings name none.
+const DEFAULT_TENANT: &str = "all";
 
 impl Engine {
-    /// Records usage from now on, with a watermark each `interval`.
+    /// Records usage from now on, with a watermark every `interval` nanoseconds.
     pub fn record_usage(&mut self, interval: Nanos) {
         self.watermarks = Some(WatermarkTracker::new(interval));
         self.timers.set(0, Timer::UsageWatermark);
     }
 
-    /// The key of the use that a query requests: by the client's idempotency key, else by the
-    /// contents of the query. 0 while no usage is recorded.
+    /// Returns the join key of a query, derived from the idempotency key if the client has sent
+    /// one, otherwise from the contents of the query. Returns 0 while usage is not recorded.
     pub(super) fn join_key(&self, request: &QueryRequest) -> JoinKey {
         if self.watermarks.is_none() {
             return 0;
@@ -49,10 +49,10 @@
         let tenants = &self.settings.tenants;
         tenants
             .get(tenant as usize)
-            .map_or(ONLY_TENANT, String::as_str)
+            .map_or(DEFAULT_TENANT, String::as_str)
     }
 
-    /// Notes that a query is open, and returns when it counts as arrived.
+    /// Registers an open query and returns its effective time of arrival.
     pub(super) fn track_open_query(&mut self, id: RequestId, arrived_at: Nanos) -> Nanos {
         let Some(watermarks) = &mut self.watermarks else {
             return arrived_at;
@@ -62,14 +62,14 @@
         arrived_at
     }
 
-    /// Notes that a query is no longer open.
+    /// Removes a query that is no longer open.
     pub(super) fn untrack_query(&mut self, id: RequestId, arrived_at: Nanos) {
         if let Some(watermarks) = &mut self.watermarks {
             watermarks.remove(arrived_at, id);
         }
     }
 
-    /// Records a query that has ended.
+    /// Records the usage of a query that has ended.
     pub(super) fn record_query(&mut self, ended: &EndedQuery, outcome: QueryOutcome) {
         let Some(watermarks) = &mut self.watermarks else {
             return;
@@ -93,7 +93,7 @@
         self.count_and_record(usage);
     }
 
-    /// Records a query that was rejected on its arrival.
+    /// Records the usage of a query that was rejected on arrival.
     pub(super) fn record_rejection_on_arrival(&mut self, query: &ArrivedQuery) {
         let request = &query.request;
         let join_key = self.join_key(request);
@@ -136,7 +136,7 @@
         self.effects.push(Effect::RecordWatermark(watermark));
     }
 
-    /// Records the last watermark, which states that no record follows.
+    /// Records the final watermark, which states that no further record follows.
     pub(super) fn record_final_watermark(&mut self) {
         if let Some(watermarks) = &self.watermarks {
             let watermark = watermarks.final_watermark();
--- a/crates/core/src/engine/watermark_tracker.rs
+++ b/crates/core/src/engine/watermark_tracker.rs
@@ -1,4 +1,4 @@
-//! The sequence of the usage records, and up to when they are complete.
+//! The sequence numbers of the usage records, and the time up to which the records are complete.
 
 use super::usage::UsageWatermark;
 use crate::api::{Nanos, RequestId};
@@ -7,12 +7,12 @@
 /// Numbers the usage records and computes the watermarks.
 #[derive(Debug)]
 pub(super) struct WatermarkTracker {
-    /// The time between two watermarks.
+    /// Time between two watermarks, in nanoseconds.
     interval: Nanos,
     last_sequence: u64,
-    /// Up to when the records were declared complete.
+    /// Time up to which the records have been declared complete.
     complete_until: Nanos,
-    /// The open queries, by the time of their arrival.
+    /// Open queries, ordered by their effective time of arrival.
     open: BTreeSet<(Nanos, RequestId)>,
 }
 
@@ -30,36 +30,38 @@
         self.interval
     }
 
-    /// When a query counts as arrived: not in the time that was declared complete, even if it
-    /// arrived then and had to wait for this batch.
+    /// Returns the time at which a query counts as arrived. That time is not before the one up to
+    /// which the records were declared complete, even if the query arrived earlier and had to wait
+    /// for this batch.
     pub(super) fn effective_arrival(&self, arrived_at: Nanos) -> Nanos {
         arrived_at.max(self.complete_until)
     }
 
-    /// Notes that a query is open, by its effective arrival.
+    /// Registers an open query by its effective time of arrival.
     pub(super) fn insert(&mut self, arrived_at: Nanos, id: RequestId) {
         self.open.insert((arrived_at, id));
     }
 
-    /// Notes that a query is no longer open.
+    /// Removes a query that is no longer open.
     pub(super) fn remove(&mut self, arrived_at: Nanos, id: RequestId) {
         self.open.remove(&(arrived_at, id));
     }
 
-    /// The sequence of the next record.
+    /// Returns the sequence number of the next record.
     pub(super) fn next_sequence(&mut self) -> u64 {
         self.last_sequence += 1;
         self.last_sequence
     }
 
-    /// Declares complete what arrived before the oldest open query, or before `now`.
+    /// Declares the records complete up to the arrival of the oldest open query, or up to `now` if
+    /// no query is open. Returns the new watermark.
     pub(super) fn advance(&mut self, now: Nanos) -> UsageWatermark {
         let oldest = self.open.first().map_or(now, |(arrived_at, _)| *arrived_at);
         self.complete_until = self.complete_until.max(oldest);
         self.watermark()
     }
 
-    /// The watermark after which no record follows.
+    /// Returns the watermark after which no further record follows.
     pub(super) fn final_watermark(&self) -> UsageWatermark {
         UsageWatermark {
             is_final: true,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,5 @@
-//! A query aggregator around its policy: the configuration, the protocols, the engine that holds
-//! all state, and the sockets.
+//! The core of a query aggregator, around the policy: the configuration, the protocols, the engine
+//! that owns all state, and the sockets.
 
 pub mod config;
 pub mod engine;
--- a/crates/core/tests/connection.rs
+++ b/crates/core/tests/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a leaf server is compared with a plain model, and the invariants of the engine
-//! are checked, both under random steps.
+//! Random steps: a connection to a leaf server must match a simple model, and the engine must keep
+//! its invariants.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use support::engine_harness::{EngineHarness, MS};
 
-fn config(cases: u32) -> ProptestConfig {
+fn fixed_seed_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(7),
@@ -23,7 +23,7 @@
     }
 }
 
-/// One thing that happens to a connection.
+/// An operation on a connection or an event that it handles. The numbers select an attempt.
 #[derive(Clone, Debug)]
 enum Step {
     QueueAttempt,
@@ -56,7 +56,8 @@
     Written,
 }
 
-/// The plain model: the state of each attempt, and the frames that are still to be sent, in order.
+/// A simple model of a connection: the state of each attempt, and the frames still to be sent, in
+/// order.
 #[derive(Default)]
 struct Model {
     open: bool,
@@ -99,19 +100,22 @@
 }
 
 /// A connection and its model, which take the same steps.
-struct Pair {
+struct ModeledConnection {
     connection: LeafConnection,
     model: Model,
 }
 
-impl Pair {
-    /// Takes one step with both and compares what they return.
-    fn take_step(&mut self, n: u64, step: Step) -> Result<(), TestCaseError> {
-        let Pair { connection, model } = self;
-        let now = n * MS;
+impl ModeledConnection {
+    /// Takes one step with the connection and the model and compares the results.
+    fn take_step(&mut self, step_number: u64, step: Step) -> Result<(), TestCaseError> {
+        let ModeledConnection { connection, model } = self;
+        let now = step_number * MS;
         match step {
             Step::QueueAttempt => {
-                let attempt = AttemptId { part: n, number: 0 };
+                let attempt = AttemptId {
+                    part: step_number,
+                    number: 0,
+                };
                 connection.queue_attempt(call_entry(attempt), CallPlacement::NewCall);
                 model.attempts.insert(attempt, AttemptState::Queued);
                 model.frames.push_back(call(attempt));
@@ -125,8 +129,10 @@
             Step::Respond(nth) => self.respond(nth)?,
             Step::CancelAttempt(nth) => self.cancel_attempt(nth, now)?,
             Step::QueueHealthCheck => {
-                connection.queue_health_check(n);
-                model.frames.push_back(OutgoingFrame::HealthCheck(n));
+                connection.queue_health_check(step_number);
+                model
+                    .frames
+                    .push_back(OutgoingFrame::HealthCheck(step_number));
             }
             Step::HealthCheckResponse => prop_assert_eq!(
                 connection.match_health_check_response(),
@@ -137,7 +143,7 @@
     }
 
     fn take_frame(&mut self, now: u64) -> Result<(), TestCaseError> {
-        let Pair { connection, model } = self;
+        let ModeledConnection { connection, model } = self;
         let due = model.open && model.writing.is_none();
         let expected = if due { model.frames.pop_front() } else { None };
         prop_assert_eq!(connection.next_frame(now), expected.clone());
@@ -151,7 +157,7 @@
     }
 
     fn frame_written(&mut self) {
-        let Pair { connection, model } = self;
+        let ModeledConnection { connection, model } = self;
         connection.on_frame_written();
         match model.writing.take() {
             Some(OutgoingFrame::Call(call)) => {
@@ -164,7 +170,7 @@
     }
 
     fn respond(&mut self, nth: usize) -> Result<(), TestCaseError> {
-        let Pair { connection, model } = self;
+        let ModeledConnection { connection, model } = self;
         let Some(attempt) = model.nth_attempt(nth) else {
             return Ok(());
         };
@@ -180,20 +186,27 @@
         prop_assert_eq!(unknown, ResponseMatch::Unknown);
         if written {
             let again = connection.match_response(&id);
-            prop_assert_eq!(again, ResponseMatch::AlreadyEnded, "a duplicate");
+            prop_assert_eq!(
+                again,
+                ResponseMatch::AlreadyEnded,
+                "expected a duplicate response to be recognized"
+            );
             model.attempts.remove(&attempt);
         }
         Ok(())
     }
 
     fn cancel_attempt(&mut self, nth: usize, now: u64) -> Result<(), TestCaseError> {
-        let Pair { connection, model } = self;
+        let ModeledConnection { connection, model } = self;
         let Some(attempt) = model.nth_attempt(nth) else {
             return Ok(());
         };
         let was_sent = model.attempts.remove(&attempt) != Some(AttemptState::Queued);
         prop_assert_eq!(connection.cancel_attempt(attempt, now, MS), was_sent);
-        prop_assert!(!connection.cancel_attempt(attempt, now, MS), "it has ended");
+        prop_assert!(
+            !connection.cancel_attempt(attempt, now, MS),
+            "expected no effect on an attempt that has ended"
+        );
         let expected = if was_sent {
             ResponseMatch::AlreadyEnded
         } else {
@@ -202,7 +215,7 @@
         prop_assert_eq!(
             connection.match_response(&wire_id(attempt)),
             expected,
-            "its response may cross our cancellation"
+            "expected only sent attempts to be remembered, since a response may cross the cancellation"
         );
         if was_sent {
             let cancel = OutgoingFrame::Cancel(wire_id(attempt));
@@ -213,16 +226,16 @@
         Ok(())
     }
 
-    /// Compares the states of both.
+    /// Compares the states of the connection and the model.
     fn check_state(&mut self) -> Result<(), TestCaseError> {
-        let Pair { connection, model } = self;
+        let ModeledConnection { connection, model } = self;
         let queued = model.attempts_in(AttemptState::Queued);
         let written = model.attempts_in(AttemptState::Written);
-        let blamed = connection.attempt_of_malformed_response(None);
-        prop_assert_eq!(blamed.is_some(), !written.is_empty());
+        let attributed = connection.attempt_of_malformed_response(None);
+        prop_assert_eq!(attributed.is_some(), !written.is_empty());
         for attempt in &written {
-            let blamed = connection.attempt_of_malformed_response(Some(&wire_id(*attempt)));
-            prop_assert_eq!(blamed, Some(*attempt));
+            let attributed = connection.attempt_of_malformed_response(Some(&wire_id(*attempt)));
+            prop_assert_eq!(attributed, Some(*attempt));
         }
         prop_assert_eq!(connection.written_attempts().len(), written.len());
         prop_assert_eq!(connection.unsent_attempts(), queued);
@@ -230,18 +243,19 @@
         Ok(())
     }
 
-    /// Ends the connection and compares what was lost.
-    fn end(self, closed_by_us: bool) -> Result<(), TestCaseError> {
-        let end = if closed_by_us {
-            ConnectionEnd::ClosedByUs
+    /// Ends the connection and compares the lost attempts.
+    fn end(self, closed_by_engine: bool) -> Result<(), TestCaseError> {
+        let end = if closed_by_engine {
+            ConnectionEnd::ClosedByEngine
         } else {
             ConnectionEnd::ReportedBySocket
         };
         let mut lost = self.connection.end(end).attempts;
         lost.sort();
-        // Where we close, the socket's report of a frame that it took may still be on its way.
+        // If the engine closes the connection, the socket may not have reported yet that it has
+        // accepted a frame.
         let may_have_run = |state| {
-            state == AttemptState::Written || closed_by_us && state == AttemptState::Writing
+            state == AttemptState::Written || closed_by_engine && state == AttemptState::Writing
         };
         let attempts = self.model.attempts.into_iter();
         let expected = attempts.map(|(attempt, state)| LostAttempt {
@@ -254,23 +268,26 @@
 }
 
 proptest! {
-    #![proptest_config(config(512))]
+    #![proptest_config(fixed_seed_config(512))]
 
     #[test]
-    fn a_connection_keeps_to_its_model(steps in prop::collection::vec(step(), 1..60), closed_by_us in any::<bool>()) {
-        let mut pair = Pair {
+    fn a_connection_matches_its_model(
+        steps in prop::collection::vec(step(), 1..60),
+        closed_by_engine in any::<bool>(),
+    ) {
+        let mut modeled = ModeledConnection {
             connection: LeafConnection::new(0),
             model: Model::default(),
         };
-        for (n, step) in steps.into_iter().enumerate() {
-            pair.take_step(n as u64, step)?;
-            pair.check_state()?;
+        for (step_number, step) in steps.into_iter().enumerate() {
+            modeled.take_step(step_number as u64, step)?;
+            modeled.check_state()?;
         }
-        pair.end(closed_by_us)?;
+        modeled.end(closed_by_engine)?;
     }
 
     #[test]
-    fn every_query_ends_once_and_every_attempt_ends_once(
+    fn every_query_and_every_attempt_ends_once(
         steps in prop::collection::vec((0u8..12, any::<u64>(), 1u64..400), 1..80),
     ) {
         let mut harness = EngineHarness::new(4);
@@ -281,7 +298,7 @@
         for (client, replies) in &harness.replies {
             let disconnected = harness.disconnected.contains(client);
             let replied_once = replies.len() == 1 || disconnected && replies.is_empty();
-            prop_assert!(replied_once, "client {client}: {replies:?}");
+            prop_assert!(replied_once, "expected one reply to client {client}, got {replies:?}");
         }
         let counters = harness.engine.counters().clone();
         let ended = &counters.attempts_ended;
@@ -289,7 +306,7 @@
         let not_executed = ended.unreachable + ended.not_sent;
         let uncertain = ended.timed_out + ended.connection_lost + ended.cancelled;
         let all_ended = settled + not_executed + uncertain;
-        prop_assert_eq!(all_ended, counters.sent.attempts, "each attempt ends once");
+        prop_assert_eq!(all_ended, counters.sent.attempts, "expected each attempt to end once");
         prop_assert_eq!(&counters.faults, &Default::default());
         let is_empty_call =
             |frame: &LeafRequest| matches!(frame, LeafRequest::Call(parts) if parts.is_empty());
@@ -297,16 +314,16 @@
     }
 }
 
-/// Takes a random step with an engine: `kind` selects the step, `selector` what it concerns, and
-/// `ms` how long it takes.
+/// Takes a random step with an engine. `kind` selects the step, `selector` its subject, and `ms`
+/// the time that it takes in milliseconds.
 fn take_engine_step(harness: &mut EngineHarness, kind: u8, selector: u64, ms: u64) {
-    let ends = [
+    let part_statuses = [
         PartStatus::Ok,
         PartStatus::Ok,
         PartStatus::Error,
         PartStatus::Busy,
     ];
-    let statuses = ["up", "draining", "removed"];
+    let endpoint_statuses = ["up", "draining", "removed"];
     let connections: Vec<ConnectionId> = harness.connections.keys().copied().collect();
     let picked = selector as usize % connections.len().max(1);
     match (kind, connections.get(picked).copied()) {
@@ -315,11 +332,11 @@
         }
         (3..=4, Some(connection)) => harness.open_connection(connection),
         (5..=6, Some(connection)) => {
-            harness.respond_to_oldest(connection, ends[selector as usize % 4]);
+            harness.respond_to_oldest(connection, part_statuses[selector as usize % 4]);
         }
         (7, Some(connection)) => harness.lose_connection(connection),
         (8, _) => {
-            let status = statuses[selector as usize / 4 % 3];
+            let status = endpoint_statuses[selector as usize / 4 % 3];
             harness.list_replica(1 + selector % 4, status, harness.now);
         }
         (9, _) => harness.disconnect_some_client(selector),
