--- a/crates/core/tests/reducer/attempts.rs
+++ b/crates/core/tests/reducer/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that were sent: which may have been executed, and how they end.
+//! Sent attempts: which of them may have been executed, and how they end.
 
 use crate::sent_parts;
 use crate::support::engine_harness::{EngineHarness, SETTINGS};
@@ -7,7 +7,7 @@
 use aggregator_core::protocol::query::QueryReply;
 
 #[test]
-fn a_frame_lost_before_its_end_never_ran_and_after_it_may_have() {
+fn an_attempt_may_have_run_only_if_its_frame_was_written() {
     let ended = |harness: &EngineHarness| {
         let ended = &harness.engine.counters().attempts_ended;
         (ended.unreachable, ended.connection_lost)
@@ -37,13 +37,16 @@
     assert!(harness.frames.iter().any(|sent| sent.frame == cancel));
     harness.respond(connection, "q1.0", PartStatus::Ok);
     assert_eq!(harness.engine.counters().attempts_ended.success, 0);
-    assert!(harness.replies[&client].is_empty(), "nobody waits for it");
+    assert!(
+        harness.replies[&client].is_empty(),
+        "expected no reply to a client that has disconnected"
+    );
 }
 
-/// The socket has taken a frame's last byte and has not reported it yet when a malformed response
-/// ends the connection.
+/// The socket has accepted the last byte of a frame but has not reported it yet when a malformed
+/// response ends the connection.
 #[test]
-fn a_frame_that_the_socket_was_given_when_we_close_may_have_run() {
+fn an_attempt_may_have_run_if_its_frame_is_being_written_when_we_close() {
     let settings = SETTINGS.replace(
         "classes.1.semantics=read_like",
         "classes.1.semantics=non_idempotent",
@@ -63,10 +66,10 @@
     assert_eq!(
         sent_parts(&harness).len(),
         1,
-        "it may have run: it is not retried"
+        "expected no retry of an attempt that may have run"
     );
     assert!(
         matches!(harness.last_reply(client), Some(QueryReply::Failed)),
-        "and the client is not told that trying again is harmless"
+        "expected a failure rather than a rejection, which would declare a retry harmless"
     );
 }
--- a/crates/core/tests/reducer/connections.rs
+++ b/crates/core/tests/reducer/connections.rs
@@ -4,7 +4,7 @@
 use crate::support::engine_harness::{EngineHarness, SETTINGS};
 use aggregator_core::protocol::leaf::LeafRequest;
 
-/// The number of parts of each call that was sent, in order.
+/// Returns the number of parts of each call that was sent, in order.
 fn parts_per_call(harness: &EngineHarness) -> Vec<usize> {
     let calls = harness.frames.iter().filter_map(|sent| match &sent.frame {
         LeafRequest::Call(parts) => Some(parts.len()),
@@ -32,7 +32,7 @@
     assert_eq!(
         harness.connections.len(),
         2,
-        "four streams on one connection"
+        "expected a second connection for the part beyond the limit of four streams"
     );
 }
 
@@ -48,23 +48,23 @@
 }
 
 #[test]
-fn an_unresponsive_connection_gets_nothing_more() {
+fn an_unresponsive_connection_gets_no_new_attempt() {
     let mut harness = EngineHarness::new(1);
     let client = harness.send_query(1, &[1.0]);
     harness.open_all_connections();
     let unresponsive = harness.first_connection();
-    // The only replica responds to nothing until the client times out.
+    // The only replica sends no response until the client times out.
     harness.advance(6000);
     assert!(harness.last_reply(client).is_some());
     assert!(
         !harness.connections.contains_key(&unresponsive),
-        "closed, since nothing more is in flight on it"
+        "expected the connection to be closed, since nothing is in flight on it"
     );
     harness.send_query(1, &[1.0]);
     let mut connections = harness.connections.keys();
     assert!(
         connections.all(|connection| *connection > unresponsive),
-        "a new one shows at once whether the replica is there"
+        "expected a new connection, which shows at once whether the replica is reachable"
     );
 }
 
@@ -78,7 +78,7 @@
     harness.advance(6000);
     assert!(
         !harness.connections.contains_key(&stuck),
-        "its machine has vanished with the buffer full"
+        "expected the connection to be closed: its peer has vanished with the send buffer full"
     );
 }
 
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_call_holds_no_more_parts_than_allowed() {
+fn a_call_has_no_more_parts_than_the_settings_allow() {
     let settings = format!("{SETTINGS}extra.bundle_max=3\n");
     let mut harness = EngineHarness::with_settings(&settings, 1);
     harness.send_query(1, &[0.25; 4]);
@@ -104,19 +104,22 @@
 }
 
 #[test]
-fn a_part_of_a_later_batch_does_not_join_a_call_that_waits() {
+fn a_part_of_a_later_batch_does_not_join_a_queued_call() {
     let settings = format!("{SETTINGS}extra.bundle_max=3\n");
     let mut harness = EngineHarness::with_settings(&settings, 1);
     harness.send_query(1, &[0.5, 0.5]);
     harness.send_query(1, &[1.0]);
-    assert!(harness.frames.is_empty(), "both wait for the connection");
+    assert!(
+        harness.frames.is_empty(),
+        "expected both calls to wait for the connection"
+    );
     harness.open_all_connections();
     assert_eq!(parts_per_call(&harness), [2, 1]);
 }
 
-/// The rest of the descriptors is for clients, the watch and the process itself.
+/// The remaining descriptors are for clients, the watch and the process itself.
 #[test]
-fn they_use_no_more_than_their_share_of_the_descriptors() {
+fn leaf_connections_use_no_more_than_their_share_of_the_descriptors() {
     const MAX_CONNECTIONS: usize = 409;
     let settings = SETTINGS.replace("open_cap=60", "open_cap=9999");
     let mut harness = EngineHarness::with_settings(&settings, 500);
@@ -125,5 +128,8 @@
         harness.send_query(1, &[1.0]);
         peak = peak.max(harness.connections.len());
     }
-    assert_eq!(peak, MAX_CONNECTIONS, "of 1,024 descriptors 40 percent");
+    assert_eq!(
+        peak, MAX_CONNECTIONS,
+        "expected 40 percent of the 1,024 descriptors"
+    );
 }
--- a/crates/core/tests/reducer/endpoints.rs
+++ b/crates/core/tests/reducer/endpoints.rs
@@ -1,30 +1,30 @@
-//! The endpoint list, and the watch on it.
+//! The endpoint list and the watch that delivers it.
 
 use crate::snapshot_of_one;
 use crate::support::engine_harness::{address, EngineHarness, MS, SETTINGS, START};
 use aggregator_core::engine::Input;
 
-/// Discovery is one service for all aggregators. If all whose watch was rejected retried at the
-/// same time, they would overload it, and none would get a list.
+/// Discovery is a single service for all aggregators. If all aggregators whose watch was rejected
+/// retried at the same time, they would overload it, and none would get a list.
 #[test]
-fn a_polled_list_is_watched_on_the_policys_request_and_not_in_step() {
+fn watches_of_a_polled_list_are_spread_over_time_and_back_off() {
     let settings =
         format!("{SETTINGS}discovery=on_request\nguarantees.ask_within_ns=10000000000\n");
     let mut starts = Vec::new();
     for seed in 0..20 {
         let mut harness = EngineHarness::with_seed(&settings, 1, seed);
-        let mut failed = 0;
+        let mut ended_watches = 0;
         while harness.now < START + 60_000 * MS {
             harness.advance(50);
-            if harness.watch_starts.len() > failed {
-                failed = harness.watch_starts.len();
+            if harness.watch_starts.len() > ended_watches {
+                ended_watches = harness.watch_starts.len();
                 let watch = harness.last_watch;
                 harness.apply(Input::WatchEnded { watch });
             }
         }
         assert!(
-            (5..=20).contains(&failed),
-            "it goes on polling, ever more rarely: {failed} watches in a minute"
+            (5..=20).contains(&ended_watches),
+            "expected 5 to 20 watches in a minute, with increasing delays, got {ended_watches}"
         );
         starts.extend(harness.watch_starts[..2].to_vec());
     }
@@ -36,13 +36,13 @@
     let maximum = starts.iter().map(starts_within_half_a_second).max();
     assert!(
         maximum <= Some(starts.len() / 3),
-        "no half second sees most of the first watches: {maximum:?}"
+        "expected at most a third of the first watches within half a second, got {maximum:?}"
     );
 }
 
-/// Where discovery pushes its list, a new watch costs little, and the list must not be late.
+/// When discovery pushes the list, a new watch is cheap, and the list must not be late.
 #[test]
-fn a_pushed_list_is_watched_from_the_start_and_again_soon() {
+fn a_pushed_list_is_watched_from_the_start_and_soon_after_each_end() {
     let mut harness = EngineHarness::new(1);
     assert_eq!(harness.watch_starts, [START]);
     let watch = harness.last_watch;
@@ -53,12 +53,12 @@
     assert_eq!(
         harness.watch_starts.len(),
         3,
-        "a new address is watched at once"
+        "expected a watch on the new address right after the reload"
     );
 }
 
 #[test]
-fn the_end_of_a_replaced_watch_starts_no_other() {
+fn the_late_end_of_a_replaced_watch_starts_no_other_watch() {
     let mut harness = EngineHarness::new(1);
     let replaced = harness.last_watch;
     harness.apply(Input::ConfigurationReloaded { usable: true });
@@ -67,12 +67,12 @@
     assert_eq!(
         harness.watch_starts.len(),
         2,
-        "the one that replaced it is kept"
+        "expected no watch after the one that replaced it"
     );
 }
 
 #[test]
-fn a_cached_list_may_be_stale_and_a_snapshot_replaces_it() {
+fn a_snapshot_replaces_a_stale_cached_list() {
     let mut harness = EngineHarness::new(2);
     harness.apply(snapshot_of_one(2, &address(2)));
     harness.send_query(1, &[0.5, 0.5]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_replica_that_has_moved_is_called_at_its_new_address() {
+fn calls_to_a_replica_that_has_moved_go_to_its_new_address() {
     let mut harness = EngineHarness::new(2);
     harness.send_query(1, &[0.5, 0.5]);
     harness.open_all_connections();
--- a/crates/core/tests/reducer/main.rs
+++ b/crates/core/tests/reducer/main.rs
@@ -1,5 +1,5 @@
-//! The engine with hand-made inputs: its guarantees to clients and leaf servers, one behaviour a
-//! test.
+//! The engine, driven by hand-made inputs: its guarantees to clients and leaf servers, with one
+//! behavior per test.
 
 mod attempts;
 mod clients;
@@ -18,7 +18,7 @@
 use aggregator_core::protocol::query::QueryReply;
 use support::engine_harness::{EngineHarness, MS};
 
-/// The connection of each part that was sent, in order.
+/// Returns the connection of each part that was sent, in order.
 fn sent_parts(harness: &EngineHarness) -> Vec<ConnectionId> {
     let mut connections = Vec::new();
     for sent in &harness.frames {
@@ -29,7 +29,7 @@
     connections
 }
 
-/// Whether a reply is a rejection with a `Retry-After` that the settings allow.
+/// Returns whether a reply is a rejection with a `Retry-After` that the settings allow.
 fn is_rejected(reply: Option<&QueryReply>) -> bool {
     matches!(reply, Some(QueryReply::Rejected { retry_after: Some(after) }) if (1..=500 * MS).contains(after))
 }
@@ -38,8 +38,7 @@
     matches!(reply, Some(QueryReply::Answer { complete: true, .. }))
 }
 
-/// Applies inputs that come at once, and returns the frames that are written at the end of their
-/// batch.
+/// Applies the inputs as one batch and returns the frames that are written at its end.
 fn frames_of_batch(harness: &mut EngineHarness, inputs: Vec<Input>) -> Vec<Effect> {
     let now = harness.now;
     let inputs = inputs.into_iter().chain([Input::BatchEnded]);
@@ -49,10 +48,10 @@
         .collect()
 }
 
-/// A snapshot of the endpoint list that holds this replica alone.
+/// Returns a snapshot of the endpoint list that contains only this replica.
 fn snapshot_of_one(replica: u64, address: &str) -> Input {
     let line = serde_json::json!(
         {"name": format!("s-{replica}"), "address": address, "group": 0, "status": "up"});
     let snapshot = serde_json::json!({"index": 9, "snapshot": true, "endpoints": [line]});
-    Input::EndpointsUpdated(serde_json::from_value(snapshot).expect("an endpoint list"))
+    Input::EndpointsUpdated(serde_json::from_value(snapshot).expect("valid endpoint list"))
 }
--- a/crates/core/tests/reducer/malformed_responses.rs
+++ b/crates/core/tests/reducer/malformed_responses.rs
@@ -1,4 +1,4 @@
-//! Responses that can't be decoded, and responses to nothing that is in flight.
+//! Responses that cannot be decoded, and responses that match no attempt in flight.
 
 use crate::is_complete;
 use crate::support::engine_harness::{EngineHarness, START};
@@ -21,17 +21,20 @@
         );
         assert!(
             !harness.connections.contains_key(&connection),
-            "where its next frame begins is not known"
+            "expected the connection to be closed, since the start of its next frame is unknown"
         );
         harness.open_all_connections();
         harness.respond_to_all();
         assert!(is_complete(harness.last_reply(client)));
-        assert_eq!(harness.now, START, "nothing was waited for");
+        assert_eq!(
+            harness.now, START,
+            "expected a complete answer without any delay"
+        );
     }
 }
 
 #[test]
-fn a_response_to_nothing_in_flight_is_malformed_but_a_duplicate_is_not() {
+fn a_response_with_an_unknown_id_is_malformed_but_a_duplicate_is_not() {
     let mut harness = EngineHarness::new(1);
     harness.send_query(1, &[0.5, 0.5]);
     harness.open_all_connections();
@@ -44,6 +47,6 @@
     assert_eq!(
         harness.engine.counters().attempts_ended.error,
         1,
-        "the one that was in flight has failed"
+        "expected the attempt in flight to fail"
     );
 }
--- a/crates/core/tests/reducer/queries.rs
+++ b/crates/core/tests/reducer/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: their admission, their answers and their end.
+//! Admission, answers and end of queries.
 
 use crate::support::engine_harness::{query, EngineHarness, MS, SETTINGS, START};
 use crate::{is_rejected, sent_parts};
@@ -8,7 +8,7 @@
 use aggregator_core::protocol::query::{ClientRequest, QueryReply};
 
 #[test]
-fn a_query_is_answered_completely_with_the_values_as_given() {
+fn a_complete_answer_contains_the_unchanged_values_of_all_parts() {
     let mut harness = EngineHarness::new(2);
     let client = harness.send_query(1, &[0.5, 0.5]);
     harness.open_all_connections();
@@ -18,7 +18,10 @@
         hits,
     }) = harness.last_reply(client)
     else {
-        panic!("{:?}", harness.last_reply(client))
+        panic!(
+            "expected a complete answer, got {:?}",
+            harness.last_reply(client)
+        )
     };
     assert_eq!(hits[1].doc, "doc q1.1");
     assert_eq!(hits.len(), 2);
@@ -30,13 +33,17 @@
     let mut harness = EngineHarness::with_settings(&settings, 3);
     let client = harness.send_query(0, &[0.7, 0.3]);
     let connections: Vec<ConnectionId> = harness.connections.keys().copied().collect();
-    assert_eq!(connections.len(), 2, "each part at a replica of its own");
+    assert_eq!(
+        connections.len(),
+        2,
+        "expected a separate replica for each part"
+    );
     let has_no_frame = |connection: &&ConnectionId| {
         let mut frames = harness.frames.iter();
         frames.all(|sent| sent.connection != **connection)
     };
-    let heavy = *connections.iter().find(has_no_frame).unwrap();
-    harness.open_connection(heavy);
+    let opened = *connections.iter().find(has_no_frame).unwrap();
+    harness.open_connection(opened);
     harness.respond_to_all();
     harness.advance(10_000);
     assert!(harness.last_reply(client).is_some());
@@ -46,12 +53,12 @@
     assert_eq!(
         sent_parts(&harness).len(),
         sent_before,
-        "what waited for its connection has ended with its query"
+        "expected the queued attempts to end with their query"
     );
 }
 
 #[test]
-fn without_retry_after_in_the_settings_a_rejected_client_gets_none() {
+fn a_rejection_has_no_retry_after_if_the_settings_disable_it() {
     let settings = SETTINGS.replace("retry_after=true", "retry_after=false");
     let mut harness = EngineHarness::with_settings(&settings, 0);
     let without_replicas = harness.send_query(1, &[1.0]);
@@ -77,13 +84,13 @@
     assert_eq!(
         harness.engine.counters().received.over_capacity,
         10,
-        "ten queries of five parts fill the capacity of 60"
+        "expected 10 of 20 queries to be rejected: ten with five parts each fill the capacity of 60"
     );
     assert!(rejected_at_once >= 10);
 }
 
 #[test]
-fn parts_with_a_result_take_no_capacity() {
+fn parts_with_a_result_do_not_count_towards_the_capacity() {
     let mut harness = EngineHarness::new(3);
     for _ in 0..10 {
         harness.send_query(1, &[0.2; 5]);
@@ -92,7 +99,11 @@
     let connection = *harness.in_flight.keys().next().unwrap();
     harness.respond_to_oldest(connection, PartStatus::Ok);
     let client = harness.send_query(1, &[0.2; 5]);
-    assert_eq!(harness.last_reply(client), None, "59 are open, 60 may be");
+    assert_eq!(
+        harness.last_reply(client),
+        None,
+        "expected no rejection with 59 of 60 queries and parts open"
+    );
     let client = harness.send_query(1, &[0.2; 5]);
     assert!(is_rejected(harness.last_reply(client)));
 }
@@ -143,16 +154,21 @@
     assert_eq!(
         sent_parts(&harness).len(),
         1,
-        "its parts would have the same wire ids"
+        "expected no attempt for the second query, whose wire ids would be the same"
     );
     harness.respond_to_all();
     send_with_same_id(&mut harness);
-    assert_eq!(sent_parts(&harness).len(), 2, "the first has ended");
+    assert_eq!(
+        sent_parts(&harness).len(),
+        2,
+        "expected the id to be accepted once the first query has ended"
+    );
 }
 
-/// Replicas, clients and queries with new names again and again.
+/// Replicas, clients and queries come and go, each with a new name. A table that kept an entry for
+/// each of them would grow without bound.
 #[test]
-fn memory_does_not_grow_with_the_names_that_came_and_went() {
+fn tables_do_not_grow_with_past_replicas_clients_and_queries() {
     let mut harness = EngineHarness::new(1);
     let mut retained = Vec::new();
     let mut replica = 1;
@@ -171,7 +187,9 @@
         retained.push(harness.engine.retained_entries());
     }
     assert!(
-        retained[1..].iter().all(|now| *now <= retained[0] + 5),
+        retained[1..]
+            .iter()
+            .all(|entries| *entries <= retained[0] + 5),
         "{retained:?}"
     );
     assert_eq!(harness.engine.counters().queries_ended.complete, 400);
--- a/crates/core/tests/reducer/shutdown.rs
+++ b/crates/core/tests/reducer/shutdown.rs
@@ -5,9 +5,9 @@
 use aggregator_core::engine::Input;
 use aggregator_core::protocol::leaf::LeafRequest;
 
-/// How long new connections keep coming after SIGTERM, in milliseconds.
+/// Time after SIGTERM during which clients open new connections, in milliseconds.
 const NEW_CONNECTIONS_MS: u64 = 400;
-/// When the drain period is over, in milliseconds after SIGTERM.
+/// Time after SIGTERM at which the drain period is over, in milliseconds.
 const AFTER_DRAIN_PERIOD_MS: u64 = 550;
 
 #[test]
@@ -20,22 +20,25 @@
     harness.advance(NEW_CONNECTIONS_MS);
     assert!(
         harness.is_listening && harness.closed_clients.is_empty(),
-        "clients may still come for 0.4 s"
+        "expected new clients to be accepted for 0.4 s"
     );
     let late = harness.send_query(1, &[1.0]);
     harness.advance(AFTER_DRAIN_PERIOD_MS - NEW_CONNECTIONS_MS);
     assert!(!harness.is_listening);
     assert_eq!(harness.closed_clients, [idle]);
-    assert!(!harness.has_exited, "a query is still open");
+    assert!(
+        !harness.has_exited,
+        "expected no exit while a query is open"
+    );
     harness.respond_to_all();
     assert!(is_complete(harness.last_reply(late)));
     assert!(harness.has_exited);
 }
 
-/// Otherwise a client that sends its next request at once might have it on its way when the
+/// Otherwise a client that sends its next request immediately could have it in transit when the
 /// connection is closed.
 #[test]
-fn each_reply_of_a_shutdown_asks_its_client_to_close() {
+fn each_reply_during_a_shutdown_closes_its_connection() {
     let mut harness = EngineHarness::new(1);
     let client = harness.send_query(1, &[1.0]);
     harness.open_all_connections();
@@ -44,7 +47,10 @@
     assert!(is_complete(harness.last_reply(client)));
     harness.advance(AFTER_DRAIN_PERIOD_MS);
     assert!(harness.has_exited);
-    assert!(harness.closed_clients.is_empty(), "it has closed before");
+    assert!(
+        harness.closed_clients.is_empty(),
+        "expected the connection to have ended after the reply"
+    );
 }
 
 #[test]
@@ -64,12 +70,12 @@
     assert!(harness.has_exited && harness.replies[&busy].len() == 1);
 }
 
-/// What a leaf server computes after the kill is lost.
+/// A result that a leaf server returns after the kill is lost.
 #[test]
-fn a_query_of_the_drain_period_waits_no_longer_than_the_shutdown() {
-    // The class's deadline of 6 s counts as 3 s, and 0.15 s are left for a process that is held up.
+fn the_wait_sent_to_leaf_servers_in_the_drain_period_ends_before_the_kill() {
+    // The client deadline of 6 s counts as 3 s, and a process may be suspended for 0.15 s.
     const KILL_MS: u64 = 3700;
-    const HELD_UP_MS: u64 = 150;
+    const MAX_SUSPENSION_MS: u64 = 150;
     let objective = "classes.1.aim_ns=6000000000";
     let settings = SETTINGS.replace("classes.1.aim_ns=2000000000", objective);
     let mut harness = EngineHarness::with_settings(&settings, 1);
@@ -79,11 +85,11 @@
     harness.send_query_from(client, 1, &[1.0], 6000);
     harness.open_all_connections();
     let LeafRequest::Call(parts) = &harness.frames[0].frame else {
-        panic!("no call: {:?}", harness.frames);
+        panic!("expected a call, got {:?}", harness.frames);
     };
-    let stated = parts[0].wait_ms;
+    let wait_ms = parts[0].wait_ms;
     assert!(
-        stated <= KILL_MS - HELD_UP_MS - NEW_CONNECTIONS_MS,
-        "{stated} ms stated"
+        wait_ms <= KILL_MS - MAX_SUSPENSION_MS - NEW_CONNECTIONS_MS,
+        "expected a wait that ends before the kill, got {wait_ms} ms"
     );
 }
--- a/crates/core/tests/reducer/unsent_attempts.rs
+++ b/crates/core/tests/reducer/unsent_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait for a connection or a free socket, and when they are not sent.
+//! Attempts that wait for a connection or for a busy socket, and the events that end them unsent.
 
 use crate::support::engine_harness::{address, EngineHarness, MS, SETTINGS, START};
 use crate::{frames_of_batch, sent_parts, snapshot_of_one};
@@ -7,7 +7,7 @@
 use aggregator_core::protocol::query::QueryReply;
 
 #[test]
-fn are_dropped_when_their_replica_drains() {
+fn queued_attempts_are_dropped_when_their_replica_drains() {
     let mut harness = EngineHarness::new(1);
     harness.send_query(1, &[1.0]);
     let connection = harness.first_connection();
@@ -16,13 +16,13 @@
     harness.advance(3000);
     assert!(
         sent_parts(&harness).is_empty(),
-        "its first byte would break the rule"
+        "expected nothing to be sent to a draining replica"
     );
     assert_eq!(harness.engine.counters().attempts_ended.not_sent, 1);
 }
 
 #[test]
-fn are_not_sent_once_expired_in_the_queue() {
+fn queued_attempts_are_not_sent_after_their_timeout() {
     let mut harness = EngineHarness::new(1);
     harness.writes_are_stuck = true;
     harness.send_query(1, &[0.5, 0.5]);
@@ -30,12 +30,16 @@
     let connection = harness.first_connection();
     harness.now = START + 2100 * MS;
     let frames = frames_of_batch(&mut harness, vec![Input::FrameWritten { connection }]);
-    assert_eq!(frames, [], "its time was the latency objective of 2 s");
+    assert_eq!(
+        frames,
+        [],
+        "expected no frame after the latency objective of 2 s"
+    );
     assert_eq!(harness.engine.counters().attempts_ended.not_sent, 1);
 }
 
 #[test]
-fn are_not_sent_to_the_former_address_of_their_replica() {
+fn queued_attempts_are_not_sent_to_the_former_address_of_their_replica() {
     let mut harness = EngineHarness::new(2);
     harness.send_query(1, &[0.5, 0.5]);
     harness.set_status_of_address("127.0.0.9:7070", "up");
@@ -53,15 +57,19 @@
         former
             .iter()
             .all(|connection| !harness.connections.contains_key(connection)),
-        "nothing is left to do on them"
+        "expected the connections to the former address to be closed"
     );
     harness.open_all_connections();
-    assert_eq!(sent_parts(&harness).len(), 2, "both at the new address");
+    assert_eq!(
+        sent_parts(&harness).len(),
+        2,
+        "expected both parts at the new address"
+    );
 }
 
-/// When several inputs come at once, nothing may be written that any of them forbids.
+/// Nothing may be written that any input of the same batch forbids, whatever their order.
 #[test]
-fn are_not_sent_after_a_disconnect_or_drain_in_the_batch_of_the_open() {
+fn nothing_is_sent_on_a_connection_that_opens_in_the_batch_of_a_disconnect_or_removal() {
     for (opened_first, cancelling) in [(true, true), (true, false), (false, true), (false, false)] {
         let cancelling = format!("cancelling={cancelling}");
         let settings = SETTINGS.replace("cancelling=true", &cancelling);
@@ -78,7 +86,7 @@
         assert_eq!(
             frames_of_batch(&mut harness, inputs),
             [],
-            "nobody waits for it any more, whether or not cancellation is allowed"
+            "expected no frame after the client has disconnected, whether or not cancellation is allowed"
         );
         assert_eq!(harness.engine.counters().attempts_ended.cancelled, 2);
     }
@@ -92,16 +100,20 @@
         snapshot_of_one(other, &address(other)),
     ];
     let frames: Vec<Effect> = frames_of_batch(&mut harness, inputs);
-    assert_eq!(frames, [], "a replica that the snapshot omits is gone");
+    assert_eq!(
+        frames,
+        [],
+        "expected no frame to a replica that the snapshot omits"
+    );
 }
 
-/// Leaf servers drop duplicates for a while after a part may first have been executed. A retry that
-/// its connection delays for longer would be executed again.
+/// Leaf servers drop duplicates within a limited time after a part may first have been executed. A
+/// retry that is delayed for longer by its connection would be executed again.
 #[test]
-fn retries_are_not_sent_after_their_idempotency_window() {
+fn retries_are_not_sent_after_the_idempotency_window() {
     let keyed = "classes.1.semantics=idempotency_key\nclasses.1.dedup_window_ns=100000000";
     let settings = SETTINGS.replace("classes.1.semantics=read_like", keyed);
-    for (opened_after_ms, sent) in [(60, 2), (150, 1)] {
+    for (opened_after_ms, expected_attempts) in [(60, 2), (150, 1)] {
         let mut harness = EngineHarness::with_settings(&settings, 2);
         let client = harness.send_query(1, &[1.0]);
         let first = harness.first_connection();
@@ -112,31 +124,35 @@
         assert_eq!(
             harness.connections.len(),
             2,
-            "the retry waits for its connection"
+            "expected the retry to wait for its connection"
         );
         harness.advance(opened_after_ms - 30);
         harness.open_all_connections();
         assert_eq!(
             sent_parts(&harness).len(),
-            sent,
-            "opened after {opened_after_ms} ms"
+            expected_attempts,
+            "connection opened after {opened_after_ms} ms"
         );
         harness.advance(200);
         let reply = harness.last_reply(client);
         let failed = matches!(reply, Some(QueryReply::Failed));
-        assert_eq!(failed, sent == 1, "{reply:?}");
+        assert_eq!(failed, expected_attempts == 1, "{reply:?}");
     }
 }
 
 #[test]
-fn are_not_sent_behind_a_stuck_frame_after_a_disconnect() {
+fn attempts_queued_behind_a_stuck_frame_are_not_sent_after_a_disconnect() {
     let mut harness = EngineHarness::new(1);
     harness.writes_are_stuck = true;
     let client = harness.send_query(1, &[0.5, 0.5]);
     harness.open_all_connections();
-    assert_eq!(harness.frames.len(), 1, "the other is in the queue");
+    assert_eq!(
+        harness.frames.len(),
+        1,
+        "expected the other part to be queued"
+    );
     let LeafRequest::Call(stuck) = harness.frames[0].frame.clone() else {
-        panic!("no call: {:?}", harness.frames);
+        panic!("expected a call, got {:?}", harness.frames);
     };
     harness.advance(300);
     harness.disconnected.insert(client);
--- a/crates/core/tests/support/engine_harness.rs
+++ b/crates/core/tests/support/engine_harness.rs
@@ -1,4 +1,4 @@
-//! An engine with hand-made inputs in place of sockets.
+//! An engine that is driven by hand-made inputs in place of sockets.
 
 mod effects;
 mod inputs;
@@ -14,80 +14,81 @@
 use inputs::{endpoint_update, ListLine};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When an engine starts, in nanoseconds.
+/// Time at which the engine starts, in nanoseconds.
 pub const START: u64 = 1_000_000 * MS;
-/// The file descriptors that an engine may use.
+/// Maximum number of file descriptors of the engine.
 const DESCRIPTORS: usize = 1024;
-/// `limits.streams_per_conn` of the settings.
+/// Value of `limits.streams_per_conn` in [`SETTINGS`].
 const STREAMS_PER_CONNECTION: usize = 4;
 
-/// A reply and when it was sent.
+/// A reply and the time at which it was sent, in nanoseconds.
 #[derive(Debug)]
 pub struct SentReply {
     pub at: u64,
     pub reply: QueryReply,
 }
 
-/// A frame and the connection that it was written to.
+/// A frame and the connection on which it was written.
 #[derive(Debug)]
 pub struct SentFrame {
     pub connection: ConnectionId,
     pub frame: LeafRequest,
 }
 
-/// A connection as the sockets know it.
+/// State of the socket of a connection to a leaf server.
 #[derive(Debug)]
 pub struct Socket {
     pub address: String,
     pub is_open: bool,
 }
 
-/// An engine, with the state of the sockets, clients and leaf servers around it.
+/// An engine with the state of the sockets, clients and leaf servers around it.
 pub struct EngineHarness {
     pub engine: Engine,
+    /// Current time, in nanoseconds.
     pub now: u64,
     pub replies: BTreeMap<ClientId, Vec<SentReply>>,
-    /// Clients that have disconnected on their own.
+    /// Clients that have disconnected without being closed by the engine.
     pub disconnected: BTreeSet<ClientId>,
     pub connections: BTreeMap<ConnectionId, Socket>,
-    /// All frames that were written.
+    /// All frames that were written, in order.
     pub frames: Vec<SentFrame>,
-    /// The wire ids in flight at each connection, oldest first.
+    /// Wire ids in flight on each connection, oldest first.
     pub in_flight: BTreeMap<ConnectionId, Vec<String>>,
     /// Clients that the engine has closed.
     pub closed_clients: Vec<ClientId>,
     pub is_listening: bool,
     pub has_exited: bool,
-    /// No socket reports that it has taken the last byte of a frame.
+    /// Whether the sockets withhold the report that a frame was written.
     pub writes_are_stuck: bool,
-    /// Connections to clients stay open although the engine has closed them.
+    /// Whether client connections stay open after the engine has closed them.
     pub closes_are_pending: bool,
     pub records: Vec<QueryUsage>,
     pub watermarks: Vec<UsageWatermark>,
-    /// When watches on the endpoint list were started.
+    /// Times at which watches on the endpoint list were started, in nanoseconds.
     pub watch_starts: Vec<u64>,
-    /// The number of the last watch.
+    /// Number of the latest watch.
     pub last_watch: u64,
-    /// The status that discovery lists for each address.
+    /// Status of each address in the endpoint list.
     status_by_address: BTreeMap<String, String>,
-    /// Connections whose socket has a frame.
+    /// Connections whose socket is writing a frame.
     writing: BTreeSet<ConnectionId>,
     last_client: ClientId,
     list_version: u64,
 }
 
 impl EngineHarness {
-    /// An engine with this many replicas, all of them ready.
+    /// Creates an engine with this number of replicas, all of them ready.
     pub fn new(replicas: u64) -> EngineHarness {
         EngineHarness::with_settings(SETTINGS, replicas)
     }
 
-    /// An engine with these settings.
+    /// Creates an engine with these settings and this number of ready replicas.
     pub fn with_settings(settings: &str, replicas: u64) -> EngineHarness {
         EngineHarness::with_seed(settings, replicas, 7)
     }
 
-    /// An engine whose policy has this seed.
+    /// Creates an engine whose policy uses this seed.
     pub fn with_seed(settings: &str, replicas: u64, seed: u64) -> EngineHarness {
         let ready = |replica| ListLine {
             replica,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Lets time pass, and ends a batch whenever one is due.
+    /// Advances the clock, and ends a batch whenever one is due.
     pub fn advance(&mut self, ms: u64) {
         let end = self.now + ms * MS;
         while let Some(due) = self.engine.next_due().filter(|due| *due <= end) {
@@ -156,14 +157,14 @@
         client
     }
 
-    /// Sends a query from a new client that waits 5 s.
+    /// Sends a query with a timeout of 5 s from a new client.
     pub fn send_query(&mut self, class: u16, weights: &[f64]) -> ClientId {
         let client = self.connect_client();
         self.send_query_from(client, class, weights, 5000);
         client
     }
 
-    /// Sends a query from a client that is connected.
+    /// Sends a query from a connected client.
     pub fn send_query_from(
         &mut self,
         client: ClientId,
@@ -176,7 +177,7 @@
         self.send_request(client, ClientRequest::Query(query));
     }
 
-    /// Sends a request that has arrived just now.
+    /// Sends a request that arrives at the current time.
     pub fn send_request(&mut self, client: ClientId, request: ClientRequest) {
         self.apply(Input::RequestReceived {
             client,
@@ -185,7 +186,7 @@
         });
     }
 
-    /// Establishes a connection.
+    /// Establishes a connection that the engine has initiated.
     pub fn open_connection(&mut self, connection: ConnectionId) {
         let socket = self.connections.get_mut(&connection);
         if let Some(socket) = socket.filter(|socket| !socket.is_open) {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Establishes all connections that were begun.
+    /// Establishes all connections that the engine has initiated.
     pub fn open_all_connections(&mut self) {
         let connections: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for connection in connections {
@@ -202,12 +203,12 @@
         }
     }
 
-    /// The oldest connection.
+    /// Returns the oldest connection.
     pub fn first_connection(&self) -> ConnectionId {
         *self.connections.keys().next().unwrap()
     }
 
-    /// Responds to the part that has been in flight for longest at a connection.
+    /// Responds to the part that has been in flight for longest on a connection.
     pub fn respond_to_oldest(&mut self, connection: ConnectionId, status: PartStatus) {
         let in_flight = self.in_flight.entry(connection).or_default();
         if !in_flight.is_empty() {
@@ -228,7 +229,7 @@
         self.apply(Input::FrameReceived { connection, frame });
     }
 
-    /// Responds to all parts in flight, until none is.
+    /// Responds to all parts in flight, including those that are sent meanwhile.
     pub fn respond_to_all(&mut self) {
         let busy = |in_flight: &BTreeMap<ConnectionId, Vec<String>>| {
             let mut connections = in_flight.iter();
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Sends a frame that can't be decoded, with or without the id of the oldest part in flight.
+    /// Sends a frame that cannot be decoded, with or without the id of the oldest part in flight.
     pub fn send_malformed(&mut self, connection: ConnectionId, with_id: bool) {
         let in_flight = self.in_flight.get(&connection);
         let oldest = in_flight.and_then(|in_flight| in_flight.first().cloned());
@@ -251,20 +252,20 @@
         }
     }
 
-    /// Fails a connection.
+    /// Ends a connection as if it had failed.
     pub fn lose_connection(&mut self, connection: ConnectionId) {
         self.connections.remove(&connection);
         self.in_flight.remove(&connection);
         self.apply(Input::ConnectionClosed { connection });
     }
 
-    /// Sets the listed status of an address, which decides what may be written there.
+    /// Sets the status of an address, which decides whether frames may be written there.
     pub fn set_status_of_address(&mut self, address: &str, status: &str) {
         self.status_by_address
             .insert(address.to_string(), status.to_string());
     }
 
-    /// Updates one line of the endpoint list.
+    /// Updates the line of one replica in the endpoint list.
     pub fn list_replica(&mut self, replica: u64, status: &str, started: u64) {
         self.list_version += 1;
         self.set_status_of_address(&address(replica), status);
@@ -277,7 +278,7 @@
         self.apply(Input::EndpointsUpdated(update));
     }
 
-    /// Disconnects one of the clients so far, unless it has disconnected before.
+    /// Disconnects one of the clients that have connected, unless it has disconnected before.
     pub fn disconnect_some_client(&mut self, random: u64) {
         if self.last_client > 0 {
             let client = 1 + random % self.last_client;
@@ -287,7 +288,7 @@
         }
     }
 
-    /// The last reply that was sent to a client.
+    /// Returns the latest reply to a client.
     pub fn last_reply(&self, client: ClientId) -> Option<&QueryReply> {
         let last = self.replies.get(&client)?.last()?;
         Some(&last.reply)
--- a/crates/core/tests/support/engine_harness/effects.rs
+++ b/crates/core/tests/support/engine_harness/effects.rs
@@ -1,4 +1,4 @@
-//! The effects of the engine, carried out as sockets would, with checks of what must always hold.
+//! Carries out the effects of the engine as the sockets would, and checks what must always hold.
 
 use super::{EngineHarness, SentFrame, SentReply, Socket, STREAMS_PER_CONNECTION};
 use aggregator_core::engine::{ClientId, ConnectionId, Effect, Input};
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Ends a client's connection that the engine has closed, unless closes are pending.
+    /// Ends a client connection that the engine has closed, unless closes are pending.
     fn disconnect_closed(&mut self, client: ClientId) {
         if !self.closes_are_pending {
             self.apply(Input::ClientDisconnected { client });
@@ -61,7 +61,7 @@
     fn carry_out_open(&mut self, connection: ConnectionId, address: String) {
         assert_eq!(
             self.status_by_address[&address], "up",
-            "no new connection where nothing may go"
+            "expected no connection to a replica that is not ready"
         );
         let socket = Socket {
             address,
@@ -74,9 +74,12 @@
         let socket = &self.connections[&connection];
         assert!(
             socket.is_open,
-            "nothing is written before the connection is open"
+            "expected no frame on a connection that is not established"
+        );
+        assert!(
+            self.writing.insert(connection),
+            "expected no frame while the socket is writing another"
         );
-        assert!(self.writing.insert(connection), "one frame at a time");
         match &frame {
             LeafRequest::Call(parts) => self.check_call(connection, parts),
             LeafRequest::Cancel(id) => {
@@ -98,17 +101,20 @@
         let address = &self.connections[&connection].address;
         assert_eq!(
             self.status_by_address[address], "up",
-            "nothing new goes to a replica that drains or is gone"
+            "expected no call to a replica that drains or is gone"
         );
         let in_flight = self.in_flight.entry(connection).or_default();
         for part in parts {
             let id = part.id.to_string();
-            assert!(!in_flight.contains(&id), "{id} is in flight");
+            assert!(
+                !in_flight.contains(&id),
+                "expected no second attempt with the wire id {id} in flight"
+            );
             in_flight.push(id);
         }
         assert!(
             in_flight.len() <= STREAMS_PER_CONNECTION,
-            "no more than streams_per_conn"
+            "expected at most {STREAMS_PER_CONNECTION} parts in flight on a connection"
         );
     }
 }
--- a/crates/core/tests/usage.rs
+++ b/crates/core/tests/usage.rs
@@ -1,4 +1,5 @@
-//! The engine's usage log: one record for each query that ends, and watermarks that stay valid.
+//! The usage log of the engine: one record for each query that has ended, and watermarks that stay
+//! valid.
 
 mod support;
 
@@ -10,14 +11,15 @@
 use aggregator_core::protocol::query::{ClientRequest, QueryRequest};
 use support::engine_harness::{query, EngineHarness, MS, START};
 
-/// An engine that records usage, with a watermark each 100 ms.
-fn recording(replicas: u64) -> EngineHarness {
+/// Creates an engine that records usage, with a watermark every 100 ms.
+fn recording_harness(replicas: u64) -> EngineHarness {
     let mut harness = EngineHarness::new(replicas);
     harness.engine.record_usage(100 * MS);
     harness
 }
 
-/// Sends a query of class `lookup` for two parts. With a key it is a retry.
+/// Sends a query of class `lookup` with two parts. A query with an idempotency key is marked as a
+/// retry.
 fn send_lookup(harness: &mut EngineHarness, name: &str, timeout_ms: u64, key: Option<&str>) {
     let client = harness.connect_client();
     let query = QueryRequest {
@@ -30,17 +32,17 @@
 }
 
 #[test]
-fn each_query_that_ends_is_one_record_with_its_outcome() {
-    let mut harness = recording(2);
+fn each_query_that_ends_has_one_record_with_its_outcome() {
+    let mut harness = recording_harness(2);
     harness.send_query(1, &[0.5, 0.5]);
     harness.open_all_connections();
     harness.respond_to_all();
-    // Its client disconnects before the reply.
+    // The client disconnects before the reply.
     let client = harness.send_query(1, &[1.0]);
     harness.apply(Input::ClientDisconnected { client });
-    // Rejected before any decision: no time left, and over capacity.
+    // Rejected before they reach the policy: without time left, and over capacity.
     send_lookup(&mut harness, "late", 1, None);
-    let many: Vec<u64> = (0..30)
+    let burst: Vec<u64> = (0..30)
         .map(|_| harness.send_query(1, &[0.5, 0.5]))
         .collect();
     let rejected = harness
@@ -51,29 +53,29 @@
     assert_eq!(
         rejected,
         1 + 10,
-        "20 queries of two parts each are all that may be open"
+        "expected one late rejection and 10 over the capacity of 20 queries with two parts each"
     );
-    // Failed or rejected once their time is up: none is left without a record.
+    // Failed or rejected when their time has passed. Each of them has a record.
     harness.advance(7000);
-    assert_eq!(harness.records.len(), 3 + many.len());
+    assert_eq!(harness.records.len(), 3 + burst.len());
     let first = &harness.records[0];
     assert_eq!(
         (first.outcome, first.parts, first.attempts, first.arrived_at),
         (QueryOutcome::Complete, 2, 2, START)
     );
     assert_eq!(harness.records[1].outcome, QueryOutcome::ClientDisconnected);
-    let numbers: Vec<u64> = harness
+    let sequences: Vec<u64> = harness
         .records
         .iter()
         .map(|record| record.sequence)
         .collect();
     assert_eq!(
-        numbers,
-        (1..=numbers.len() as u64).collect::<Vec<_>>(),
-        "without a gap"
+        sequences,
+        (1..=sequences.len() as u64).collect::<Vec<_>>(),
+        "expected sequence numbers without a gap"
     );
     let counters = harness.engine.counters();
-    assert_eq!(counters.recorded, numbers.len() as u64);
+    assert_eq!(counters.recorded, sequences.len() as u64);
     assert_eq!(
         counters.recorded_of.values().sum::<u64>(),
         counters.recorded
@@ -85,8 +87,8 @@
 }
 
 #[test]
-fn the_record_of_a_partial_answer_has_its_share() {
-    let mut harness = recording(1);
+fn the_record_of_a_partial_answer_states_its_coverage() {
+    let mut harness = recording_harness(1);
     harness.send_query(0, &[0.7, 0.2, 0.1]);
     harness.open_all_connections();
     let connection = harness.first_connection();
@@ -96,29 +98,25 @@
     assert_eq!(
         harness.records[0].outcome,
         QueryOutcome::Partial(700_000),
-        "{:?}",
+        "unexpected outcome in {:?}",
         harness.records[0]
     );
 }
 
-/// A query that arrives before a watermark and is read after it counts as arrived at the watermark,
-/// and an open query delays the watermark.
+/// A query that arrives before a watermark and is read after it counts as arrived at the time of
+/// the watermark. An open query delays the watermark.
 #[test]
-fn what_a_watermark_declares_complete_stays_complete() {
-    let mut harness = recording(1);
+fn the_time_that_a_watermark_declares_complete_stays_complete() {
+    let mut harness = recording_harness(1);
     harness.advance(150);
     let early = harness.send_query(1, &[1.0]);
     let arrived = harness.now;
     harness.advance(1000);
-    let held_back = harness.watermarks.last().unwrap();
+    let delayed = harness.watermarks.last().unwrap();
     assert_eq!(
-        (
-            held_back.complete_until,
-            held_back.sequence,
-            held_back.is_final
-        ),
+        (delayed.complete_until, delayed.sequence, delayed.is_final),
         (arrived, 0, false),
-        "an open query holds it back"
+        "expected the watermark to stop at the arrival of the open query"
     );
     harness.open_all_connections();
     harness.respond_to_all();
@@ -129,13 +127,13 @@
         harness.now,
     );
     assert!(complete > arrived && harness.watermarks.last().unwrap().sequence == 1);
-    // It arrived before the watermark, and had to wait for its batch.
+    // The query arrived before the watermark, but had to wait for its batch.
     let client = harness.connect_client();
-    let waited = query("waited", 1, &[1.0], 5000);
+    let delayed_query = query("waited", 1, &[1.0], 5000);
     harness.apply(Input::RequestReceived {
         client,
         arrived_at: now - 190 * MS,
-        request: Ok(ClientRequest::Query(waited)),
+        request: Ok(ClientRequest::Query(delayed_query)),
     });
     harness.open_all_connections();
     harness.respond_to_all();
@@ -144,25 +142,25 @@
     harness.advance(7000);
     assert!(
         harness.has_exited && harness.watermarks.last().unwrap().is_final,
-        "the last watermark states that nothing follows"
+        "expected an exit and a final watermark"
     );
 }
 
 #[test]
-fn the_last_watermark_is_recorded_though_a_client_never_closes() {
-    let mut harness = recording(1);
+fn the_final_watermark_is_recorded_even_if_a_client_never_closes() {
+    let mut harness = recording_harness(1);
     harness.closes_are_pending = true;
     harness.connect_client();
     harness.apply(Input::ShutdownRequested);
     harness.advance(7000);
     assert!(
         harness.has_exited && harness.watermarks.last().unwrap().is_final,
-        "the settlement would wait for further records"
+        "expected an exit and a final watermark, without which the settlement waits for records"
     );
 }
 
 #[test]
-fn nothing_is_recorded_unless_it_is_enabled() {
+fn nothing_is_recorded_unless_recording_is_enabled() {
     let mut harness = EngineHarness::new(1);
     harness.send_query(1, &[1.0]);
     harness.open_all_connections();
@@ -179,8 +177,8 @@
 }
 
 #[test]
-fn retries_of_one_use_share_a_key_and_other_uses_do_not() {
-    let mut harness = recording(1);
+fn retries_of_one_logical_request_share_a_join_key_and_others_do_not() {
+    let mut harness = recording_harness(1);
     send_lookup(&mut harness, "a", 1, None);
     send_lookup(&mut harness, "b", 1, None);
     send_lookup(&mut harness, "c", 1, Some("k"));
@@ -193,7 +191,7 @@
     assert_eq!(
         keys[0],
         content_join_key("lookup", parts.into_iter(), b"text"),
-        "parts in any order"
+        "expected the same key for the parts in another order"
     );
     assert_eq!(
         (keys[0], keys[2]),
