--- a/crates/aggregator/tests/command_line.rs
+++ b/crates/aggregator/tests/command_line.rs
@@ -17,7 +17,7 @@
     ("[usage]\ndirectory = x\nstall = 5\n", "3: [usage] stall = 5: has to be a whole number and a unit"),
     ("[usage]\ndirectory = x\nsegment = 8MB\n", "3: [usage] segment = 8MB"),
     ("[usage]\nlisten = 127.0.0.1:1\n", "2: [usage] listen: there is no log to collect"),
-    ("[usage]\ndirectory = x\nkeep = 1MiB\n", "3: [usage] keep: has to be twice 'segment'"),
+    ("[usage]\ndirectory = x\nkeep = 1MiB\n", "3: [usage] keep: must be at least twice 'segment'"),
     ("[log]\nlevel = info\nlevel = warn\n", "3: [log] level is set twice"),
     ("[log]\n[log]\n", "2: [log] stands twice"),
     ("[price]\nwhole = 1\n", "1: [price] has to be of the form [price NAME]"),
@@ -25,7 +25,7 @@
     ("[member n0]\naddress = localhost:1\n", "2: [member n0] address"),
     ("[periods]\nevery = weekly\n", "2: [periods] every = weekly"),
     ("[periods]\nzone = Asia/Colomb\n", "2: [periods] zone: there is no time zone"),
-    ("[export]\nurl = ftp://x\n", "2: [export] url: has to begin with http://"),
+    ("[export]\nurl = ftp://x\n", "2: [export] url: must begin with http://"),
     ("[opensearch]\nlisten = 127.0.0.1:1\n", "2: [opensearch] listen: there is no [index NAME]"),
     ("[opensearch]\nlisten = 127.0.0.1:1\n[index a]\nclass = c\nshards = 0-3,2\n", "5: [index a] shards: shard 2"),
     (
--- a/crates/usage-ledger/build.rs
+++ b/crates/usage-ledger/build.rs
@@ -1,4 +1,5 @@
-//! Makes the code for `proto/usage.proto`, without a compiler of its own on the machine.
+//! Generates the Rust code for `proto/usage.proto`. Uses a protobuf compiler written in Rust, so
+//! that `protoc` need not be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/usage.proto");
--- a/crates/usage-ledger/src/closing_decision.rs
+++ b/crates/usage-ledger/src/closing_decision.rs
@@ -1,42 +1,44 @@
-//! When a period may close.
+//! Decides when a period may close.
 //!
-//! Pure: no I/O and no clock.
+//! This module is pure: it does no I/O and reads no clock.
 
 use crate::join::JoinBounds;
 use crate::period::Period;
 
-/// Up to which time the records of an aggregator are known.
+/// Progress of the collection from one aggregator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
-    /// The aggregator's name.
+    /// Name of the aggregator.
     pub member: String,
-    /// Its records are complete before this time, in Unix milliseconds; `None` if nothing was
-    /// ever collected from it.
+    /// Time before which all records have been collected, in Unix milliseconds; `None` if nothing
+    /// was ever collected.
     pub complete_until_ms: Option<i64>,
 }
 
 impl MemberProgress {
-    /// Whether all records that arrived before `until_ms` are known.
+    /// Returns whether all records that arrived before `until_ms` have been collected.
     fn is_complete_until(&self, until_ms: i64) -> bool {
         self.complete_until_ms
             .is_some_and(|complete_until_ms| complete_until_ms >= until_ms)
     }
 }
 
-/// Whether a period may close.
+/// Decision on whether a period may close.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClosingDecision {
-    /// It waits for the records of these members, until the grace period is over.
+    /// The period can't close yet. Names the members whose records are missing.
     Wait(Vec<String>),
-    /// All records are known.
+    /// The period may close: the records of all members have been collected.
     Complete,
-    /// The grace period is over; the records of these members are missing.
+    /// The period may close although records of these members are missing, since the grace period
+    /// is over.
     Incomplete(Vec<String>),
 }
 
-/// Whether `period` may close at `now_ms`, given the members that took part in it.
+/// Decides whether `period` may close at `now_ms`. `members` is the progress of all aggregators
+/// that took part in the period.
 ///
-/// Times are in Unix milliseconds; `grace_ms` is a duration.
+/// `now_ms` is in Unix milliseconds; `grace_ms` is a duration.
 pub fn decide_closing(
     period: Period,
     bounds: JoinBounds,
@@ -51,7 +53,8 @@
         .map(|member| member.member.clone())
         .collect();
     if now_ms < until_ms {
-        // A member whose clock is ahead must not close a period in which others still serve.
+        // If the clock of a member is ahead, its marks are too: the period must not close while
+        // other members may still record requests in it.
         ClosingDecision::Wait(missing)
     } else if missing.is_empty() {
         ClosingDecision::Complete
--- a/crates/usage-ledger/src/collect.rs
+++ b/crates/usage-ledger/src/collect.rs
@@ -1,4 +1,4 @@
-//! The gRPC service by which an aggregator offers its usage log; the settlement is its client.
+//! The gRPC service through which the settlement collects the usage log of an aggregator.
 
 use crate::log::{self, LogFollower, LogPosition};
 use crate::wire::usage_log_server::{UsageLog, UsageLogServer};
@@ -13,32 +13,34 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status};
 
-/// The largest number of entries in one message.
+/// Maximum number of entries in one message.
 const MAX_BATCH_ENTRIES: usize = 4096;
-/// Messages that may wait for a slow collector; the log is not read further while they wait.
+/// Maximum number of messages that wait for a slow collector. The log is not read further while the
+/// queue is full.
 const MAX_QUEUED_MESSAGES: usize = 4;
-/// Interval at which a log without new entries is polled.
+/// Interval at which the log is polled for new entries.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Number of polls without new entries after which an empty message is sent as a heartbeat.
+/// Number of consecutive polls without new entries after which an empty message is sent as a
+/// heartbeat.
 const HEARTBEAT_POLLS: u32 = 50;
 
-/// Why a log could not be offered for collection.
+/// An error that prevents the collection service from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
-    /// The address can't be listened on.
+    /// The address can't be bound.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The address of the settings.
+        /// Address from the settings.
         address: SocketAddr,
-        /// The error of the system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The listener, its runtime or its thread can't be set up.
-    #[error("{0}")]
+    /// The listener can't be configured, or its runtime or thread can't be started.
+    #[error("cannot start the collection service: {0}")]
     Setup(#[from] io::Error),
 }
 
-/// Why the service ended.
+/// An error that stops the collection service.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[error("{0}")]
@@ -47,11 +49,12 @@
     Transport(#[from] tonic::transport::Error),
 }
 
-/// Offers a log for collection, on a thread that runs until the process ends. Returns the bound
-/// address, whose port is chosen by the system if `address` has port 0.
+/// Starts the collection service for the log in `directory`, on a thread that runs until the
+/// process ends. Returns the bound address; if `address` has port 0, the operating system assigns
+/// the port.
 ///
 /// # Errors
-/// The address can't be listened on.
+/// The address can't be bound, or the runtime or the thread can't be started.
 pub fn listen(address: SocketAddr, directory: PathBuf) -> Result<SocketAddr, ListenError> {
     let listener = std::net::TcpListener::bind(address)
         .map_err(|source| ListenError::Bind { address, source })?;
@@ -64,7 +67,10 @@
         .name("usage collection".into())
         .spawn(move || {
             if let Err(error) = runtime.block_on(serve(listener, directory)) {
-                tracing::error!(error = error.to_string(), "usage collection ended");
+                tracing::error!(
+                    error = error.to_string(),
+                    "usage collection service stopped"
+                );
             }
         })?;
     Ok(bound_address)
@@ -80,7 +86,7 @@
     Ok(())
 }
 
-/// The gRPC service that reads the log in a directory.
+/// Implementation of the gRPC service for the log in one directory.
 struct CollectionService {
     directory: PathBuf,
 }
@@ -132,7 +138,7 @@
     }
 }
 
-/// Sends batches until the collector disconnects or the log can't be read.
+/// Sends batches and heartbeats until the collector disconnects or the log can't be read.
 async fn send_batches(mut follower: LogFollower, sender: mpsc::Sender<Result<Batch, Status>>) {
     let mut idle_polls = 0;
     loop {
--- a/crates/usage-ledger/src/document.rs
+++ b/crates/usage-ledger/src/document.rs
@@ -1,6 +1,8 @@
-//! Documents: what a tenant receives. Each has an id that never changes.
+//! Documents: the statements, credits and debits that a tenant receives. The id of a document never
+//! changes.
 //!
-//! Documents are exported as JSON; the names and the order of the fields are part of that format.
+//! Documents are stored and exported as JSON. The names and the order of the fields are part of
+//! this format.
 
 use crate::period::Period;
 use crate::statement::{CorrectionLine, Statement, StatementLine, TenantTotal};
@@ -9,47 +11,48 @@
 /// A document for one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The permanent id of the document.
+    /// Permanent id of the document.
     pub id: String,
-    /// What kind of document it is.
+    /// Kind of the document: statement, credit or debit.
     pub kind: DocumentKind,
-    /// The tenant's name.
+    /// Name of the tenant that receives the document.
     pub tenant: String,
-    /// The period of the statement, or of the statement that is corrected.
+    /// Name of the period of the statement or, for a credit or debit, of the corrected statement.
     pub period: String,
-    /// Micro-units; negative for a credit.
+    /// Amount to be billed, in micro-units; negative for a credit.
     pub amount: i64,
-    /// The statement's lines for the tenant.
+    /// Lines of the statement for the tenant; empty for a credit or debit.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub lines: Vec<StatementLine>,
-    /// The corrections for the tenant.
+    /// Corrections of the statement for the tenant or, for a credit or debit, the one that it
+    /// bills.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub corrections: Vec<CorrectionLine>,
-    /// The statement's totals for the tenant.
+    /// Totals of the statement for the tenant; `None` for a credit or debit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub totals: Option<TenantTotal>,
-    /// The members whose records were missing, by name.
+    /// Names of the members whose records were missing when the period closed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub missing: Vec<String>,
-    /// The statement that a credit or debit corrects.
+    /// Statement that a credit or debit corrects; `None` for a statement.
     #[serde(rename = "corrects", default, skip_serializing_if = "Option::is_none")]
     pub corrected_statement: Option<CorrectedStatement>,
 }
 
-/// The kinds of documents.
+/// Kind of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DocumentKind {
-    /// The part of a statement that concerns the tenant.
+    /// Part of a statement that concerns one tenant.
     Statement,
-    /// A correction in favour of the tenant.
+    /// Correction of a closed period in favour of the tenant.
     Credit,
-    /// Any other correction.
+    /// Any other correction of a closed period.
     Debit,
 }
 
 impl DocumentKind {
-    /// The published name, in JSON and in ids.
+    /// Returns the published name of the kind, which is used in JSON and in the ids of documents.
     pub fn as_str(self) -> &'static str {
         match self {
             DocumentKind::Statement => "statement",
@@ -59,13 +62,13 @@
     }
 }
 
-/// The statement that a credit or debit corrects; in JSON a pair.
+/// Reference to the statement that a credit or debit corrects. Encoded as a pair in JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct CorrectedStatement {
-    /// Id of the statement's document for the tenant.
+    /// Id of the document that the tenant received for the statement.
     pub document_id: String,
-    /// The statement's hash.
+    /// SHA-256 of the statement, in hexadecimal.
     pub hash: String,
 }
 
@@ -81,25 +84,25 @@
     }
 }
 
-/// A document in the outbox.
+/// A document in the outbox, with the state of its delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingDocument {
-    /// The document's id.
+    /// Permanent id of the document.
     pub id: String,
-    /// The document as JSON.
+    /// Document as JSON text.
     pub body: String,
-    /// Whether it is in the export folder.
+    /// Whether the document has been written to the export folder.
     pub in_folder: bool,
-    /// Whether the receiver has acknowledged it.
+    /// Whether the receiver has acknowledged the document.
     pub posted: bool,
-    /// The number of attempts to send it.
+    /// Number of attempts to send the document.
     pub attempts: u32,
-    /// The error of the last attempt; `None` if it succeeded.
+    /// Error of the last attempt; `None` if it succeeded or there was no attempt.
     pub error: Option<String>,
 }
 
 impl Document {
-    /// The documents of a statement, one per tenant.
+    /// Returns the documents of a statement, one per tenant.
     pub fn of_statement(statement: &Statement) -> Vec<Document> {
         let documents = statement.tenants.iter();
         documents
@@ -132,7 +135,8 @@
         }
     }
 
-    /// The credit or debit for a correction of a closed period, whose statement has this hash.
+    /// Returns the credit or debit for a correction of a closed period; `hash` is the hash of that
+    /// period's statement.
     pub fn of_correction(correction: &CorrectionLine, period: Period, hash: &str) -> Document {
         let kind = if correction.amount < 0 {
             DocumentKind::Credit
@@ -162,12 +166,12 @@
     document_id(DocumentKind::Statement, &format!("{period}-{tenant}"))
 }
 
-/// The id of a document, which is also the name of its file.
+/// Returns the id of a document, which is also the stem of its file name.
 fn document_id(kind: DocumentKind, name: &str) -> String {
     format!("{}-{}", kind.as_str(), file_name_part(name))
 }
 
-/// `text` with all characters escaped that are not allowed in file names.
+/// Escapes all characters of `text` except for ASCII letters, digits, `-`, `_` and `.`.
 fn file_name_part(text: &str) -> String {
     let escape = |character: char| {
         if character.is_ascii_alphanumeric() || "-_.".contains(character) {
--- a/crates/usage-ledger/src/export.rs
+++ b/crates/usage-ledger/src/export.rs
@@ -1,8 +1,8 @@
-//! Export of documents to a folder and to a receiver.
+//! Delivery of documents to a folder and to an HTTP receiver.
 //!
-//! A document is put into the outbox in the transaction that made it. It is sent with the same id
-//! and the same bytes until the receiver has acknowledged it. A receiver that stores one document
-//! per id therefore has each document once, even if acknowledgements were lost.
+//! A document is inserted into the outbox in the transaction that creates it. It is sent with the
+//! same id and the same bytes until the receiver has acknowledged it. A receiver that stores one
+//! document per id therefore stores each document exactly once, even if acknowledgements are lost.
 
 use crate::document::OutgoingDocument;
 use crate::settings::ExportTarget;
@@ -11,38 +11,38 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The maximum number of doublings of the retry delay.
+/// Maximum number of times that the retry delay is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// The HTTP status for a document that the receiver already has.
+/// HTTP status with which a receiver responds to a document that it already has.
 const STATUS_CONFLICT: u16 = 409;
 
-/// Why a document was not delivered.
+/// An error that prevents the delivery of a document.
 #[derive(Debug, thiserror::Error)]
 pub enum DeliveryError {
     /// The folder can't be written.
     #[error("{0}")]
     Folder(#[from] io::Error),
-    /// The receiver did not accept it.
+    /// The receiver responded with this status and did not accept the document.
     #[error("the receiver answers {0}")]
     Rejected(ureq::http::StatusCode),
-    /// The receiver did not respond; it may have received the document.
+    /// The receiver did not respond. The document may have reached it nevertheless.
     #[error("{0}")]
     Transport(#[from] ureq::Error),
 }
 
-/// The result of one attempt to send a document.
+/// Result of one attempt to deliver a document.
 #[derive(Debug, Default)]
 pub struct Delivery {
-    /// This attempt has written it to the folder.
+    /// Whether this attempt has written the document to the folder.
     pub in_folder: bool,
-    /// The receiver has acknowledged this attempt.
+    /// Whether the receiver has acknowledged the document in this attempt.
     pub posted: bool,
-    /// The first failure; `None` if the document has reached all destinations.
+    /// First error of this attempt; `None` if the document has reached all destinations.
     pub error: Option<DeliveryError>,
 }
 
 impl Delivery {
-    /// Keeps the first error. True if the result is a success.
+    /// Stores the error of `result` if it is the first one. Returns whether `result` is a success.
     fn record_result(&mut self, result: Result<(), DeliveryError>) -> bool {
         match result {
             Ok(()) => true,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Sends a document to each destination that it has not reached.
+/// Sends a document to each destination that it has not reached yet.
 pub fn deliver(target: &ExportTarget, document: &OutgoingDocument) -> Delivery {
     let mut delivery = Delivery::default();
     if let Some(folder) = target.folder.as_ref().filter(|_| !document.in_folder) {
@@ -66,13 +66,14 @@
     delivery
 }
 
-/// The pause after `attempts` failed attempts: exponential backoff.
+/// Returns the delay before the next attempt after `attempts` failed ones, by exponential backoff.
 pub fn retry_backoff(retry_delay: Duration, attempts: u32) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
     retry_delay * 2u32.pow(doublings)
 }
 
-/// Writes a document to a folder, atomically, by a rename.
+/// Writes a document to a temporary file and renames it, so that readers never see a partial
+/// document.
 ///
 /// # Errors
 /// The folder can't be written.
@@ -88,11 +89,12 @@
     Ok(())
 }
 
-/// Posts a document. It is delivered if the receiver responds with a 2xx status, or with 409, which
-/// means that it already has the document.
+/// Posts a document. The document is delivered if the receiver responds with a 2xx status, or with
+/// 409, which means that the receiver already has the document.
 ///
 /// # Errors
-/// The receiver rejected it, or did not respond; it may have received the document all the same.
+/// The receiver rejected the document, or did not respond. In the latter case the document may have
+/// been delivered nevertheless.
 fn post(url: &str, timeout: Duration, document: &OutgoingDocument) -> Result<(), DeliveryError> {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
--- a/crates/usage-ledger/src/join/joiner.rs
+++ b/crates/usage-ledger/src/join/joiner.rs
@@ -1,47 +1,49 @@
-//! The joiner: takes records in the order of their arrival and returns logical requests.
+//! The joiner: takes records in the order of their arrival and emits logical requests.
 
 use super::bounds::JoinBounds;
 use super::logical_request::{JoinCertainty, LogicalRequest};
 use super::record::{RecordId, UsageRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Joins records that are pushed in the order of [`UsageRecord::id`]. It keeps only the logical
-/// requests that may still be joined.
+/// Joins records that are pushed in the order of [`UsageRecord::id`].
+///
+/// Only the logical requests that a later record may still join are kept in memory.
 #[derive(Debug)]
 pub struct Joiner {
     bounds: JoinBounds,
+    /// Logical requests that a later record may still join.
     open: HashMap<GroupKey, Vec<LogicalRequest>>,
     deadlines: BTreeMap<Deadline, GroupKey>,
-    /// Records that may join an earlier one and wait, because a record that arrived before them may
-    /// still follow.
+    /// Records that may join an earlier record, in the order of their arrival. They wait until no
+    /// record that precedes them can follow any more.
     waiting: VecDeque<UsageRecord>,
-    /// Retries that are ambiguous because of records that are not pushed here.
-    ambiguous_before: BTreeSet<RecordId>,
+    /// Retries that are ambiguous because of records that are not pushed to this joiner.
+    known_ambiguous: BTreeSet<RecordId>,
 }
 
 impl Joiner {
-    /// A joiner with these bounds.
+    /// Creates a joiner without records.
     pub fn new(bounds: JoinBounds) -> Joiner {
         Joiner {
             bounds,
             open: HashMap::new(),
             deadlines: BTreeMap::new(),
             waiting: VecDeque::new(),
-            ambiguous_before: BTreeSet::new(),
+            known_ambiguous: BTreeSet::new(),
         }
     }
 
-    /// As [`Joiner::new`]; the retries in `ambiguous` count as ambiguous in any case.
+    /// Creates a joiner without records. The retries in `ambiguous` count as ambiguous in any case.
     pub fn with_ambiguous(bounds: JoinBounds, ambiguous: BTreeSet<RecordId>) -> Joiner {
         Joiner {
-            ambiguous_before: ambiguous,
+            known_ambiguous: ambiguous,
             ..Joiner::new(bounds)
         }
     }
 
-    /// Takes the next record. Calls `done` with each logical request that can't change any more.
-    pub fn push(&mut self, record: UsageRecord, done: &mut impl FnMut(LogicalRequest)) {
-        self.advance(record.arrived_at_ms, done);
+    /// Takes the next record. Calls `emit` with each logical request that can't change any more.
+    pub fn push(&mut self, record: UsageRecord, emit: &mut impl FnMut(LogicalRequest)) {
+        self.advance(record.arrived_at_ms, emit);
         if record.is_retry || record.has_idempotency_key {
             self.waiting.push_back(record);
         } else {
@@ -49,12 +51,13 @@
         }
     }
 
-    /// Calls `done` with all remaining logical requests, after the last record.
-    pub fn finish(&mut self, done: &mut impl FnMut(LogicalRequest)) {
-        self.advance(i64::MAX, done);
+    /// Calls `emit` with all remaining logical requests. Called after the last record.
+    pub fn finish(&mut self, emit: &mut impl FnMut(LogicalRequest)) {
+        self.advance(i64::MAX, emit);
     }
 
-    /// Milliseconds after a first request within which a retry may join it.
+    /// Returns the time after the arrival of a first request within which a retry may join it, in
+    /// milliseconds.
     fn window_ms(&self, record: &UsageRecord) -> i64 {
         if record.has_idempotency_key {
             self.bounds.horizon_ms
@@ -77,26 +80,27 @@
         requests.push(LogicalRequest::new(first, certainty));
     }
 
-    /// Joins the waiting records that no other record can precede any more, given that all records
-    /// that arrived before `now_ms` are known.
-    fn advance(&mut self, now_ms: i64, done: &mut impl FnMut(LogicalRequest)) {
+    /// Joins the waiting records that no later record can precede any more, given that all records
+    /// that arrived before `now_ms` have been pushed.
+    fn advance(&mut self, now_ms: i64, emit: &mut impl FnMut(LogicalRequest)) {
         while let Some(retry) = self.waiting.front().copied() {
             if retry.arrived_at_ms.saturating_add(self.bounds.skew_ms) >= now_ms {
                 break;
             }
             self.waiting.pop_front();
-            self.close_before(retry.arrived_at_ms, done);
+            self.close_before(retry.arrived_at_ms, emit);
             self.join_retry(retry);
         }
         let oldest_waiting_ms = self
             .waiting
             .front()
             .map_or(now_ms, |retry| retry.arrived_at_ms);
-        self.close_before(oldest_waiting_ms, done);
+        self.close_before(oldest_waiting_ms, emit);
     }
 
-    /// Calls `done` with the logical requests that no record at or after `now_ms` can join.
-    fn close_before(&mut self, now_ms: i64, done: &mut impl FnMut(LogicalRequest)) {
+    /// Calls `emit` with the logical requests that no record that arrived at or after `now_ms` can
+    /// join.
+    fn close_before(&mut self, now_ms: i64, emit: &mut impl FnMut(LogicalRequest)) {
         while let Some(entry) = self.deadlines.first_entry() {
             if entry.key().expires_at_ms >= now_ms {
                 break;
@@ -107,7 +111,7 @@
             };
             let is_due = |request: &LogicalRequest| request.first().id() == deadline.first;
             if let Some(index) = requests.iter().position(is_due) {
-                done(requests.remove(index));
+                emit(requests.remove(index));
             }
             if requests.is_empty() {
                 self.open.remove(&group);
@@ -123,51 +127,51 @@
         }
     }
 
-    /// The key identifies the logical request: all its records belong to it, in any order of their
-    /// outcomes.
+    /// Joins a record with an idempotency key. The key identifies the logical request, so records
+    /// with the same key are joined whatever their outcomes.
     fn join_by_idempotency_key(&mut self, retry: UsageRecord) {
-        let reach = self.reach(&retry);
+        let window = self.candidate_window(&retry);
         let requests = self.open.entry(GroupKey::of(&retry)).or_default();
-        match requests.iter_mut().find(|request| reach.contains(request)) {
+        match requests.iter_mut().find(|request| window.contains(request)) {
             Some(request) => request.join(retry, JoinCertainty::Certain),
             None => self.open_request(retry, JoinCertainty::Certain),
         }
     }
 
     fn join_by_query(&mut self, retry: UsageRecord) {
-        let reach = self.reach(&retry);
-        let known_ambiguous = self.ambiguous_before.contains(&retry.id());
+        let window = self.candidate_window(&retry);
+        let is_known_ambiguous = self.known_ambiguous.contains(&retry.id());
         let requests = self.open.entry(GroupKey::of(&retry)).or_default();
         let candidates: Vec<usize> = (0..requests.len())
-            .filter(|index| reach.contains(&requests[*index]))
+            .filter(|index| window.contains(&requests[*index]))
             .filter(|index| requests[*index].last().may_be_retried())
             .collect();
         let rank = |index: &usize| CandidateRank::of(&requests[*index], &retry);
         match candidates.iter().copied().min_by_key(rank) {
             Some(best) => {
-                let is_ambiguous = known_ambiguous || candidates.len() > 1;
+                let is_ambiguous = is_known_ambiguous || candidates.len() > 1;
                 requests[best].join(retry, JoinCertainty::from_ambiguity(is_ambiguous));
             }
             None => {
-                let was_answered = requests.iter().any(|request| reach.contains(request));
-                let is_ambiguous = known_ambiguous || was_answered;
+                let was_answered = requests.iter().any(|request| window.contains(request));
+                let is_ambiguous = is_known_ambiguous || was_answered;
                 self.open_request(retry, JoinCertainty::from_ambiguity(is_ambiguous));
             }
         }
     }
 
-    /// The logical requests that a retry may join, by time.
-    fn reach(&self, retry: &UsageRecord) -> RetryReach {
+    /// Returns the limits on the arrival times of the logical requests that `retry` may join.
+    fn candidate_window(&self, retry: &UsageRecord) -> CandidateWindow {
         let skew_ms = self.bounds.skew_ms;
         let longest_wait_ms = self.window_ms(retry) + skew_ms;
-        RetryReach {
+        CandidateWindow {
             earliest_first_ms: retry.arrived_at_ms.saturating_sub(longest_wait_ms),
             latest_last_ms: retry.arrived_at_ms.saturating_add(skew_ms),
         }
     }
 }
 
-/// The properties that all records of a logical request share.
+/// Properties that all records of a logical request have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GroupKey {
     tenant_id: u32,
@@ -187,35 +191,37 @@
     }
 }
 
-/// The time after which a logical request can't be joined any more. Deadlines sort by time.
+/// Time after which no record can join a logical request. Deadlines sort by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
-    /// Unix milliseconds.
+    /// Last time at which a record can join the request, in Unix milliseconds.
     expires_at_ms: i64,
-    /// The first record of the request.
+    /// First record of the request.
     first: RecordId,
 }
 
-/// The arrival times of the logical requests that a retry may join.
+/// Limits on the arrival times of the logical requests that a retry may join.
 #[derive(Clone, Copy, Debug)]
-struct RetryReach {
-    /// The earliest arrival of the first record, in Unix milliseconds.
+struct CandidateWindow {
+    /// Earliest arrival of the first record of the request, in Unix milliseconds.
     earliest_first_ms: i64,
-    /// The latest arrival of the last record, in Unix milliseconds.
+    /// Latest arrival of the last record of the request, in Unix milliseconds.
     latest_last_ms: i64,
 }
 
-impl RetryReach {
+impl CandidateWindow {
     fn contains(&self, request: &LogicalRequest) -> bool {
         request.first().arrived_at_ms >= self.earliest_first_ms
             && request.last().arrived_at_ms <= self.latest_last_ms
     }
 }
 
-/// The order in which logical requests are considered for a retry; the lowest rank is joined.
+/// Order of preference of the logical requests that a retry may join. The retry joins the request
+/// with the lowest rank.
 ///
-/// Requests that were not answered rank before uncertain ones. Of those, requests that arrived
-/// before the retry rank before those that only seem to have arrived after it.
+/// Requests without an answer rank before requests whose answer may not have been sent. Among
+/// requests that are equal in this, those that arrived before the retry rank before those that,
+/// because of clock skew, seem to have arrived after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
     is_answered: bool,
--- a/crates/usage-ledger/src/join/logical_request.rs
+++ b/crates/usage-ledger/src/join/logical_request.rs
@@ -1,16 +1,16 @@
-//! Logical requests: the records that belong together.
+//! Logical requests: groups of records that belong to one request of a client.
 
 use super::record::{RecordId, RecordedOutcome, UsageRecord};
 
-/// A first request together with its retries: the unit that is billed.
+/// A first request together with its retries: the unit of billing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogicalRequest {
-    /// Its records in the order in which they were joined; at least one.
+    /// Records in the order in which they were joined; never empty.
     pub records: Vec<UsageRecord>,
-    /// The best outcome of its records.
+    /// Best outcome among the records.
     pub outcome: RecordedOutcome,
-    /// The retries among its records that could have been joined in another way, which would have
-    /// changed the counts.
+    /// Retries among the records that could have been joined to another request, with different
+    /// counts as a result.
     pub ambiguous: Vec<RecordId>,
 }
 
@@ -27,7 +27,8 @@
         }
     }
 
-    /// The first request, or the earliest one that has a record.
+    /// Returns the record of the first request, or the earliest record if that of the first request
+    /// is missing.
     pub fn first(&self) -> &UsageRecord {
         &self.records[0]
     }
@@ -45,7 +46,7 @@
     }
 }
 
-/// Whether a record could have been joined in another way.
+/// Whether there was only one way to join a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JoinCertainty {
     Certain,
--- a/crates/usage-ledger/src/join/mod.rs
+++ b/crates/usage-ledger/src/join/mod.rs
@@ -1,22 +1,24 @@
 //! Joins usage records into logical requests: a client's first request together with its retries.
 //!
-//! A [`Joiner`] takes records in the order of their arrival and returns logical requests. A record
-//! joins an earlier one, or starts a logical request:
+//! A [`Joiner`] takes records in the order of their arrival and emits logical requests. Each record
+//! either joins an earlier record or starts a logical request:
 //! - A record with an idempotency key joins the logical request of its tenant and class that has
-//!   the same key, whatever the outcome of its records, and whether or not it is marked as a retry.
-//! - A record without a key that is marked as a retry joins a record of the same tenant, class and
-//!   query hash that was not answered, if its first request is no older than the client timeout of
-//!   the class. Each record is joined by at most one retry. Which of several it joins is the order
-//!   of `CandidateRank`. A record whose reply may not have been sent, because its aggregator
-//!   crashed, counts as not answered, but is joined only if there is no other.
+//!   the same key, whatever the outcomes of that request's records, and whether or not the record
+//!   is marked as a retry.
+//! - A record without an idempotency key that is marked as a retry joins a record of the same
+//!   tenant, class and query hash that was not answered, provided that the first request is no
+//!   older than the client timeout of the class. At most one retry joins each record. If several
+//!   records qualify, `CandidateRank` decides. A record whose reply may not have been sent because
+//!   its aggregator crashed counts as not answered, but is joined only if no other record
+//!   qualifies.
 //! - Any other record is a first request.
 //!
-//! A retry that matches no record starts a logical request of its own: its first request did not
-//! arrive, or the record of that request was lost with an aggregator. The clocks of two aggregators
-//! may differ by [`JoinBounds::skew_ms`], so a retry may seem to arrive that much earlier than its
-//! first request.
+//! A retry that matches no record starts a logical request: its first request never arrived, or the
+//! record of the first request was lost in a crash of an aggregator. Because the clocks of two
+//! aggregators may differ by [`JoinBounds::skew_ms`], a retry may seem to arrive earlier than its
+//! first request by that much.
 //!
-//! Pure: no I/O and no clock.
+//! This module is pure: it does no I/O and reads no clock.
 
 mod bounds;
 mod joiner;
--- a/crates/usage-ledger/src/join/record.rs
+++ b/crates/usage-ledger/src/join/record.rs
@@ -1,22 +1,24 @@
-//! Usage records as the input of joining.
+//! Usage records as they are joined.
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordedOutcome {
-    /// Answered completely.
+    /// The client received a complete answer.
     Complete,
-    /// Answered in part, with this share of the weight in millionths.
+    /// The client received a partial answer, which covers this share of the total weight, in
+    /// millionths.
     Partial(u32),
-    /// Rejected.
+    /// The aggregator rejected the request.
     Rejected,
-    /// Failed.
+    /// The aggregator accepted the request but could not answer it.
     Failed,
-    /// Cancelled by the client.
+    /// The client cancelled the request before it was answered.
     Cancelled,
 }
 
 impl RecordedOutcome {
-    /// The published name, in CSV and in the clients' files.
+    /// Returns the published name of the outcome, which is used in CSV output and in the files of
+    /// clients.
     pub fn published_name(self) -> &'static str {
         match self {
             RecordedOutcome::Complete => "whole",
@@ -27,7 +29,7 @@
         }
     }
 
-    /// The share of a partial answer, in millionths; 0 otherwise.
+    /// Returns the share of a partial answer, in millionths; 0 for any other outcome.
     pub fn share_millionths(self) -> u32 {
         match self {
             RecordedOutcome::Partial(share_millionths) => share_millionths,
@@ -43,7 +45,7 @@
         )
     }
 
-    /// The better of two outcomes, where `later` is that of the later record.
+    /// Returns the better of two outcomes, where `later` is the outcome of the later record.
     pub(super) fn better(self, later: RecordedOutcome) -> RecordedOutcome {
         match (self, later) {
             (RecordedOutcome::Complete, _) | (_, RecordedOutcome::Complete) => {
@@ -53,62 +55,63 @@
                 RecordedOutcome::Partial(left.max(right))
             }
             (RecordedOutcome::Partial(_), _) => self,
-            // Neither was answered: the last response counts.
+            // Neither request was answered: the last response counts.
             (_, later) => later,
         }
     }
 }
 
-/// The permanent id of a record. Ids sort by arrival.
+/// Permanent id of a record. Ids sort by arrival time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RecordId {
-    /// Arrival in Unix milliseconds.
+    /// Arrival time in Unix milliseconds, by the clock of the aggregator.
     pub arrived_at_ms: i64,
-    /// The number of the aggregator in the store.
+    /// Id that the store has assigned to the aggregator.
     pub member_id: u32,
-    /// The run of the aggregator.
+    /// Run of the aggregator that wrote the record.
     pub incarnation: u64,
-    /// The sequence number of the record in the run.
+    /// Sequence number of the record within the run.
     pub sequence: u64,
 }
 
-/// A request that an aggregator has served, with its outcome.
+/// Record of one request that an aggregator has served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageRecord {
-    /// Arrival in Unix milliseconds, by its aggregator's clock.
+    /// Arrival time in Unix milliseconds, by the clock of the aggregator.
     pub arrived_at_ms: i64,
-    /// The number of the aggregator in the store.
+    /// Id that the store has assigned to the aggregator.
     pub member_id: u32,
-    /// The run of the aggregator.
+    /// Run of the aggregator that wrote the record.
     pub incarnation: u64,
-    /// The sequence number of the record in the run.
+    /// Sequence number of the record within the run.
     pub sequence: u64,
-    /// The number of the tenant in the store.
+    /// Id that the store has assigned to the tenant.
     pub tenant_id: u32,
-    /// The number of the class in the store.
+    /// Id that the store has assigned to the class.
     pub class_id: u32,
-    /// How it ended.
+    /// Outcome that the aggregator recorded when the request ended.
     pub outcome: RecordedOutcome,
-    /// Shards that were queried.
+    /// Number of shards that were queried.
     pub parts: u32,
-    /// Attempts at replicas.
+    /// Number of attempts on replicas in all zones.
     pub attempts: u32,
-    /// Attempts at replicas of another zone.
+    /// Number of attempts on replicas in another zone than the aggregator.
     pub cross_zone_attempts: u32,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// The idempotency key of the client or, if it sent none, the hash of the query.
+    /// Hash of the idempotency key that the client sent or, if it sent none, of the query.
     pub key: u64,
-    /// Whether `key` is the idempotency key of the client.
+    /// Whether `key` is derived from an idempotency key.
     pub has_idempotency_key: bool,
-    /// The client timeout of the class over all attempts of the client, in milliseconds.
+    /// Client timeout of the class: the maximum time that a client waits over all its requests, in
+    /// milliseconds.
     pub client_timeout_ms: i64,
-    /// Whether its aggregator crashed soon afterwards, so that the reply may not have been sent.
+    /// Whether the reply may not have been sent, because the aggregator crashed soon afterwards.
     pub reply_uncertain: bool,
 }
 
 impl UsageRecord {
-    /// The id of the record.
+    /// Returns the permanent id of the record.
     pub fn id(&self) -> RecordId {
         RecordId {
             arrived_at_ms: self.arrived_at_ms,
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Whether a retry without an idempotency key may belong to this request.
+    /// Returns whether a retry without an idempotency key may belong to this request.
     pub(super) fn may_be_retried(&self) -> bool {
         !self.outcome.is_answered() || self.reply_uncertain
     }
--- a/crates/usage-ledger/src/lib.rs
+++ b/crates/usage-ledger/src/lib.rs
@@ -1,19 +1,28 @@
-//! The usage ledger: what each aggregator logs of the requests that it served, and how these logs
-//! are collected, joined, settled, corrected and exported.
+//! The usage ledger: each aggregator records the requests that it serves, and a settlement process
+//! collects, joins, settles, corrects and exports these records.
 //!
-//! The rules are pure, without I/O and clock:
+//! Terms:
+//! - A *member* is an aggregator whose usage log the settlement collects.
+//! - A *run* is one lifetime of an aggregator process, identified by its incarnation.
+//! - A *mark* is a watermark in the usage log: the records of all requests that arrived before its
+//!   time precede it.
+//! - A *use*, in published names, is a logical request: a client's first request with its retries.
+//!
+//! The rules are pure: they do no I/O and read no clock.
 //! - [`join`]: which records belong to one logical request.
 //! - [`period`]: the billing periods.
 //! - [`closing_decision`]: when a period may close.
-//! - [`period_settler`] and [`line_counts`]: what a period counts, and what late records change.
-//! - [`rate`]: the price of what is counted.
+//! - [`period_settler`] and [`line_counts`]: the counts of a period, and its adjustments for late
+//!   records.
+//! - [`rate`]: the price of the counted usage.
 //!
-//! At the aggregator, [`writer`] writes the usage log in the format of [`log`], and [`collect`]
-//! serves it over gRPC. The settlement is a process of its own: [`settlement`] follows the logs of
-//! all aggregators, [`store`] keeps records and statements, and [`export`] sends documents.
+//! In the aggregator, [`writer`] writes the usage log in the format of [`log`], and [`collect`]
+//! serves the log over gRPC. The settlement is a separate process: [`settlement`] follows the logs
+//! of all aggregators, [`store`] stores records and statements, and [`export`] delivers documents.
 //!
-//! A [`statement`] is the result of a closed period, a [`document`] the part of it that one tenant
-//! receives. [`reconcile`] compares the ledger with the clients' own records.
+//! A [`statement`] is the result of a closed period, and a [`document`] is the part of a statement
+//! that one tenant receives. [`reconcile`] compares the ledger with the records that clients keep
+//! of their requests.
 
 pub mod closing_decision;
 pub mod collect;
@@ -32,7 +41,8 @@
 pub mod store;
 pub mod writer;
 
-/// The messages between processes and in segments, generated from `proto/usage.proto`.
+/// Protobuf messages of the usage log and of the collection service, generated from
+/// `proto/usage.proto`.
 pub mod wire {
     #![allow(
         missing_docs,
--- a/crates/usage-ledger/src/line_counts.rs
+++ b/crates/usage-ledger/src/line_counts.rs
@@ -1,28 +1,29 @@
-//! The counts of a period by line, and the differences that late records make.
+//! Counts of a period by tenant and class, and their adjustment after late records.
 //!
-//! Pure: no I/O and no clock.
+//! This module is pure: it does no I/O and reads no clock.
 
 use crate::rate::UsageCounts;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Identifies a line: the usage of one tenant in one class.
+/// Key of a line of a statement: one tenant and class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LineKey {
-    /// The number of the tenant in the store.
+    /// Id that the store has assigned to the tenant.
     pub tenant_id: u32,
-    /// The number of the class in the store.
+    /// Id that the store has assigned to the class.
     pub class_id: u32,
 }
 
-/// The lines of a period.
+/// Counts of a period by tenant and class.
 pub type LineCounts = BTreeMap<LineKey, UsageCounts>;
 
-/// The adjustments of a closed period: its present counts minus those of all statements so far.
-pub fn adjustments(now: &LineCounts, stated: &LineCounts) -> LineCounts {
-    let keys: BTreeSet<LineKey> = now.keys().chain(stated.keys()).copied().collect();
+/// Returns the adjustments of a closed period: its current counts minus `stated`, its counts in all
+/// statements so far. Lines without a difference are left out.
+pub fn adjustments(current: &LineCounts, stated: &LineCounts) -> LineCounts {
+    let keys: BTreeSet<LineKey> = current.keys().chain(stated.keys()).copied().collect();
     let counts = |lines: &LineCounts, key: &LineKey| lines.get(key).copied().unwrap_or_default();
     keys.into_iter()
-        .map(|key| (key, counts(now, &key) - counts(stated, &key)))
+        .map(|key| (key, counts(current, &key) - counts(stated, &key)))
         .filter(|(_, difference)| !difference.is_zero())
         .collect()
 }
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -1,4 +1,4 @@
-//! Reads a log that is still being written, from any position on.
+//! The follower: reads a log, which may still be written, from any position on.
 
 use super::format::{
     parse_header, read_items, SegmentContent, SegmentHeader, SegmentItem, MAGIC, MAX_HEADER_BYTES,
@@ -10,21 +10,23 @@
 use std::io::{self, Read as _, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
 
-/// Number of bytes that are read at a time, unless more bytes in a row are damaged.
+/// Number of bytes in one read. More are read only to find the next frame after damaged bytes.
 const CHUNK_BYTES: u64 = 256 * 1024;
-/// Upper bound of the length of magic number and frame head, which precede the header, in bytes.
+/// Upper bound on the length of the magic number and the frame head, which precede the header.
 const HEADER_MARGIN_BYTES: u64 = 64;
 
 /// Reads a log from a position on, batch by batch.
 #[derive(Debug)]
 pub struct LogFollower {
     directory: PathBuf,
+    /// Entries up to this position are not delivered.
     after: LogPosition,
+    /// Segment that is currently read; `None` before the first one.
     open: Option<OpenSegment>,
 }
 
 impl LogFollower {
-    /// A follower that delivers the entries after a position of the log in `directory`.
+    /// Creates a follower of the log in `directory` that delivers the entries after a position.
     pub fn new(directory: &Path, after: LogPosition) -> LogFollower {
         LogFollower {
             directory: directory.into(),
@@ -33,8 +35,8 @@
         }
     }
 
-    /// The next batch, of at most `max_entries` entries of one run; `None` if nothing new has been
-    /// written.
+    /// Returns the next batch, of at most `max_entries` entries of one run; `None` if there are no
+    /// new entries.
     ///
     /// # Errors
     /// The log can't be read.
@@ -55,8 +57,9 @@
         }
     }
 
+    /// Reads the next chunk of a segment, or continues with the next segment.
     fn step(&mut self, mut open: OpenSegment, max_entries: usize) -> io::Result<Step> {
-        // Looked up before reading: once there is a later segment, this one does not grow any more.
+        // Must be looked up before the read: a segment no longer grows once a later one exists.
         let later = self.segment_after(&open.segment)?;
         let chunk = self.read_chunk(&open, max_entries)?;
         let advanced = chunk.end > open.offset;
@@ -71,7 +74,7 @@
             }));
         }
         if advanced {
-            // All entries that were read precede the position.
+            // All entries of the chunk are at or before the start position.
             self.open = Some(open);
             return Ok(Step::Advanced);
         }
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Continues with the segment `later`. The last `unread` bytes of `finished` are damage, since
-    /// it does not grow any more.
+    /// Continues with the segment `later`. The last `unread` bytes of `finished` are reported as
+    /// damage, since `finished` no longer grows.
     fn finish_segment(
         &mut self,
         finished: OpenSegment,
@@ -108,14 +111,15 @@
         }))
     }
 
-    /// The segment with the position: the last one that does not begin after it.
+    /// Returns the segment that contains the start position: the last one that does not begin after
+    /// it, or the first segment if all begin after it.
     fn first_segment(&self) -> io::Result<Option<Segment>> {
         let segments = segments(&self.directory)?;
         let from = (self.after.incarnation, self.after.sequence + 1);
-        let holder = segments
+        let containing = segments
             .iter()
             .rposition(|segment| (segment.incarnation, segment.first_sequence) <= from);
-        Ok(segments.into_iter().nth(holder.unwrap_or_default()))
+        Ok(segments.into_iter().nth(containing.unwrap_or_default()))
     }
 
     fn segment_after(&self, segment: &Segment) -> io::Result<Option<Segment>> {
@@ -135,7 +139,8 @@
         })
     }
 
-    /// The names of a run are the same in all of its segments: any readable header of the run.
+    /// Returns any readable header of a run. All segments of a run have the same classes and
+    /// tenants.
     fn header_of_run(&self, incarnation: u64) -> io::Result<Option<Header>> {
         let segments = segments(&self.directory)?;
         let header = segments
@@ -167,11 +172,11 @@
         Ok(chunk)
     }
 
-    /// Whether an entry precedes the position, or is at it.
+    /// Returns whether an entry is at or before the start position.
     fn is_delivered(&self, segment: &Segment, entry: &Entry) -> bool {
         let sequence = match &entry.what {
             Some(What::Record(record)) => record.sequence,
-            // A mark follows the record that it names.
+            // A mark follows the record whose sequence number it contains.
             Some(What::Mark(mark)) => mark.sequence + 1,
             None => 0,
         };
@@ -184,17 +189,19 @@
     }
 }
 
-/// A segment that is being read.
+/// The segment that is currently read.
 #[derive(Debug)]
 struct OpenSegment {
     segment: Segment,
+    /// Header of the segment, or of another segment of the run if it is damaged.
     header: Option<Header>,
     /// Offset of the next byte to read.
     offset: u64,
 }
 
 impl OpenSegment {
-    /// Reads items from the offset on, until there is one or the end of the file is reached.
+    /// Reads items from the offset on. Reads further until it has found an item or reached the end
+    /// of the file.
     fn read_items(&self, max_items: usize) -> io::Result<ReadItems> {
         let mut file = File::open(&self.segment.path)?;
         file.seek(SeekFrom::Start(self.offset))?;
@@ -210,39 +217,40 @@
                     length: bytes.len() as u64,
                 });
             }
-            // All bytes are damaged: more are read to find the next frame.
+            // No frame in the bytes read so far: reads more to find the next one.
             wanted *= 2;
         }
     }
 }
 
-/// Items of a segment, by offsets from the position where reading started.
+/// Items of a segment. All offsets are relative to the offset at which the read started.
 struct ReadItems {
     content: SegmentContent,
     /// Number of bytes that were read from the file.
     length: u64,
 }
 
-/// The result of one read of an open segment.
+/// Result of one read of the open segment. All offsets are relative to the start of the file.
 struct Chunk {
     entries: Vec<Entry>,
     damage: Vec<Damage>,
     /// Offset up to which the segment has been read.
     end: u64,
-    /// Number of bytes after `end`, where there is no complete frame.
+    /// Number of bytes after `end` that were read but contain no complete frame.
     unread: u64,
 }
 
-/// The result of one step through the log.
+/// Result of one step through the log.
 enum Step {
+    /// There are entries or damage to deliver.
     Batch(Batch),
-    /// Nothing to deliver, but there is more to read.
+    /// There is nothing to deliver, but there may be more to read.
     Advanced,
-    /// All of the log has been read.
+    /// The whole log has been read.
     CaughtUp,
 }
 
-/// Reads the header of a segment; `None` if it is damaged.
+/// Reads the header of a segment. Returns `None` if the header is damaged.
 fn read_header(segment: &Segment) -> io::Result<Option<SegmentHeader>> {
     let mut bytes = Vec::new();
     File::open(&segment.path)?
--- a/crates/usage-ledger/src/log/format.rs
+++ b/crates/usage-ledger/src/log/format.rs
@@ -1,32 +1,32 @@
-//! The bytes of a segment.
+//! The binary format of a segment.
 //!
-//! A segment is [`MAGIC`], then frames. A frame is the CRC-32 of what follows it (4 bytes,
-//! little-endian), the length of its body (4 bytes, little-endian) and the body, a protobuf
-//! message: the first is a [`Header`], the others are [`Entry`]s. A segment is only ever appended
-//! to.
+//! A segment consists of [`MAGIC`] and a sequence of frames. A frame consists of the CRC-32 of the
+//! rest of the frame (4 bytes, little-endian), the length of the body (4 bytes, little-endian) and
+//! the body, which is a protobuf message. The body of the first frame is a [`Header`], the bodies
+//! of all others are [`Entry`]s. Segments are append-only.
 
 use crate::wire::{Entry, Header};
 use prost::Message;
 
-/// The first bytes of each segment: name and version of the format.
+/// First bytes of each segment: name and version of the format.
 pub const MAGIC: &[u8; 8] = b"CTHLUSE\x01";
-/// The version that a header states.
+/// Version of the format in the header of a segment.
 pub const VERSION: u32 = 1;
-/// Length of a checksum and of a body's length, in bytes.
+/// Length of the checksum field and of the length field of a frame.
 const WORD_BYTES: usize = 4;
-/// Length of what precedes a frame's body, in bytes.
+/// Length of a frame without its body.
 pub(super) const FRAME_HEAD_BYTES: usize = 2 * WORD_BYTES;
-/// The longest body of an entry, in bytes.
+/// Maximum length of the body of an entry's frame.
 const MAX_ENTRY_BYTES: usize = 1024;
-/// The longest body of a header, in bytes.
+/// Maximum length of the body of a header's frame.
 pub(super) const MAX_HEADER_BYTES: usize = 4 << 20;
 
-/// Appends a frame.
+/// Appends a frame with the message `body` to `out`.
 pub fn append_frame(out: &mut Vec<u8>, body: &impl Message) {
     let start = out.len();
     let length_at = start + WORD_BYTES;
     out.extend_from_slice(&[0; FRAME_HEAD_BYTES]);
-    // Encoding fails only if the buffer is too small, and a vector grows.
+    // Encoding fails only if the buffer is too small, but a vector grows as needed.
     let _ = body.encode(out);
     let length = (out.len() - start - FRAME_HEAD_BYTES) as u32;
     out[length_at..length_at + WORD_BYTES].copy_from_slice(&length.to_le_bytes());
@@ -34,12 +34,12 @@
     out[start..length_at].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// An entry, or bytes that are no entry.
+/// An entry of a segment, or a range of damaged bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SegmentItem {
-    /// An entry that could be read.
+    /// Entry from a valid frame.
     Entry(Entry),
-    /// Bytes that are no frames, followed by a valid frame.
+    /// Unreadable bytes, which are followed by a valid frame.
     Damage {
         /// Offset of the first damaged byte.
         from: u64,
@@ -48,25 +48,26 @@
     },
 }
 
-/// The result of [`read_items`].
+/// Result of [`read_items`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SegmentContent {
-    /// Entries and damage, in the order of the segment.
+    /// Entries and damaged ranges, in the order of the segment.
     pub items: Vec<SegmentItem>,
-    /// Offset up to which the bytes were read. No complete frame follows it.
+    /// Offset up to which the items reach. If fewer items than requested were read, no valid frame
+    /// follows.
     pub end: usize,
 }
 
-/// The header of a segment.
+/// Header of a segment, with its length.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SegmentHeader {
-    /// The header.
+    /// Parsed header message.
     pub header: Header,
     /// Offset of the first entry.
     pub entries_start: usize,
 }
 
-/// Parses the header of a segment; `None` if it can't be read.
+/// Parses the header of a segment. Returns `None` if the header is missing or damaged.
 pub fn parse_header(bytes: &[u8]) -> Option<SegmentHeader> {
     let rest = bytes.strip_prefix(MAGIC)?;
     let frame = frame(rest, 0, MAX_HEADER_BYTES)?;
@@ -76,12 +77,12 @@
     })
 }
 
-/// Reads at most `max_items` items from offset `at` on. Unreadable bytes are skipped up to the next
-/// valid frame.
-pub fn read_items(bytes: &[u8], at: usize, max_items: usize) -> SegmentContent {
+/// Reads at most `max_items` items from `offset` on. Skips unreadable bytes up to the next valid
+/// frame and reports them as damage.
+pub fn read_items(bytes: &[u8], offset: usize, max_items: usize) -> SegmentContent {
     let mut read = SegmentContent {
         items: Vec::new(),
-        end: at,
+        end: offset,
     };
     while read.end < bytes.len() && read.items.len() < max_items {
         if let Some((entry, end)) = entry(bytes, read.end) {
@@ -91,7 +92,7 @@
         }
         // If a length is damaged, the next frame may begin at any offset.
         let mut candidates = read.end + 1..bytes.len();
-        let Some(next) = candidates.find(|at| entry(bytes, *at).is_some()) else {
+        let Some(next) = candidates.find(|offset| entry(bytes, *offset).is_some()) else {
             break;
         };
         read.items.push(SegmentItem::Damage {
@@ -103,9 +104,9 @@
     read
 }
 
-/// The entry at `at`, and the offset of the next frame.
-fn entry(bytes: &[u8], at: usize) -> Option<(Entry, usize)> {
-    let frame = frame(bytes, at, MAX_ENTRY_BYTES)?;
+/// Parses the entry at `offset`. Returns the entry and the offset of the next frame.
+fn entry(bytes: &[u8], offset: usize) -> Option<(Entry, usize)> {
+    let frame = frame(bytes, offset, MAX_ENTRY_BYTES)?;
     let entry = Entry::decode(frame.body).ok()?;
     entry.what.is_some().then_some((entry, frame.end))
 }
@@ -117,17 +118,18 @@
     end: usize,
 }
 
-/// The frame at `at`; `None` if it is not valid or goes on past the end of `bytes`.
-fn frame(bytes: &[u8], at: usize, max_body: usize) -> Option<Frame<'_>> {
-    let head = bytes.get(at..at + FRAME_HEAD_BYTES)?;
+/// Parses the frame at `offset`. Returns `None` if the frame is invalid or extends beyond the end
+/// of `bytes`.
+fn frame(bytes: &[u8], offset: usize, max_body: usize) -> Option<Frame<'_>> {
+    let head = bytes.get(offset..offset + FRAME_HEAD_BYTES)?;
     let (checksum, length) = head.split_at(WORD_BYTES);
     let checksum = u32::from_le_bytes(checksum.try_into().ok()?);
     let length = u32::from_le_bytes(length.try_into().ok()?) as usize;
     if length == 0 || length > max_body {
         return None;
     }
-    let end = at + FRAME_HEAD_BYTES + length;
-    let covered = bytes.get(at + WORD_BYTES..end)?;
+    let end = offset + FRAME_HEAD_BYTES + length;
+    let covered = bytes.get(offset + WORD_BYTES..end)?;
     let body = &covered[WORD_BYTES..];
     (crc32fast::hash(covered) == checksum).then_some(Frame { body, end })
 }
--- a/crates/usage-ledger/src/log/mod.rs
+++ b/crates/usage-ledger/src/log/mod.rs
@@ -1,11 +1,11 @@
 //! The usage log of one aggregator: a directory of append-only segments.
 //!
-//! This module defines the format of segments, and reads them: [`append_frame`] and [`read_items`]
-//! define the frames, [`segments`] lists the files of a log, and a [`LogFollower`] reads a log that
-//! is still being written. [`writer`](crate::writer) writes a log.
+//! This module defines the format of segments, and reads them. [`append_frame`] writes a frame and
+//! [`read_items`] reads frames, [`segments`] lists the files of a log, and a [`LogFollower`] reads
+//! a log that is still being written. The module [`writer`](crate::writer) writes logs.
 //!
-//! Reading tolerates any damage: unreadable bytes are reported as a range, and all entries around
-//! them are still found.
+//! Readers tolerate any damage: unreadable bytes are reported as a range, and all entries before
+//! and after the range are still found.
 
 mod follower;
 mod format;
--- a/crates/usage-ledger/src/log/position.rs
+++ b/crates/usage-ledger/src/log/position.rs
@@ -1,10 +1,11 @@
-//! Positions in a log.
+//! Positions in a usage log.
 
-/// How far a log has been read: up to this record of this run.
+/// Position in a log: a run and the last record in it that has been read. Positions sort in the
+/// order of the log; the default position precedes all records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
-    /// The run of the aggregator.
+    /// Incarnation of the run.
     pub incarnation: u64,
-    /// The last record of the run that was read.
+    /// Sequence number of the last record of the run that has been read; 0 before the first one.
     pub sequence: u64,
 }
--- a/crates/usage-ledger/src/log/segment.rs
+++ b/crates/usage-ledger/src/log/segment.rs
@@ -1,4 +1,4 @@
-//! The files of a log, and their removal and repair.
+//! The files of a log: listing, repair and removal.
 
 use super::format::{parse_header, read_items, FRAME_HEAD_BYTES, MAGIC};
 use super::position::LogPosition;
@@ -6,19 +6,19 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// One segment's file, ordered by its first record.
+/// File of one segment. Segments sort in the order of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Segment {
-    /// The run of the aggregator that wrote it.
+    /// Incarnation of the run that wrote the segment.
     pub incarnation: u64,
-    /// No record in it has a smaller sequence number.
+    /// Lower bound on the sequence numbers of the records in the segment.
     pub first_sequence: u64,
-    /// The path of the file.
+    /// Path of the file.
     pub path: PathBuf,
 }
 
 impl Segment {
-    /// The segment of these numbers in `directory`, whether or not the file exists.
+    /// Returns the segment with these numbers in `directory`, whether or not the file exists.
     pub fn new(directory: &Path, incarnation: u64, first_sequence: u64) -> Segment {
         let path = directory.join(format!("{incarnation:020}-{first_sequence:020}.log"));
         Segment {
@@ -28,6 +28,7 @@
         }
     }
 
+    /// Parses the name of a file; returns `None` if it is not the name of a segment.
     fn from_path(path: PathBuf) -> Option<Segment> {
         let name = path.file_name()?.to_str()?;
         let (incarnation, first_sequence) = name.strip_suffix(".log")?.split_once('-')?;
@@ -38,13 +39,14 @@
         })
     }
 
-    /// The name of the file.
+    /// Returns the name of the file, without its directory.
     pub fn name(&self) -> String {
         let name = self.path.file_name().unwrap_or_default();
         name.to_string_lossy().into_owned()
     }
 
-    /// Whether no record of this segment comes after `settled`; `next` is the following segment.
+    /// Returns whether no record of this segment comes after the position `settled`; `next` is the
+    /// following segment.
     fn is_settled(&self, next: &Segment, settled: LogPosition) -> bool {
         if next.incarnation != self.incarnation {
             return settled.incarnation > self.incarnation;
@@ -57,7 +59,7 @@
     }
 }
 
-/// The segments of a log, oldest first. Other files in the directory are ignored.
+/// Returns the segments of a log, oldest first. Other files in the directory are ignored.
 ///
 /// # Errors
 /// The directory can't be read.
@@ -70,14 +72,15 @@
     Ok(segments)
 }
 
-/// Cuts a partial write off the end of a segment. Returns the number of bytes cut.
+/// Removes a partial write from the end of a segment. Deletes the file if its header is incomplete.
+/// Returns the number of removed bytes.
 ///
 /// # Errors
-/// The file can't be read or cut.
+/// The file can't be read, truncated or deleted.
 pub fn cut_torn_tail(segment: &Segment) -> io::Result<u64> {
     let bytes = fs::read(&segment.path)?;
     let Some(header) = parse_header(&bytes) else {
-        // Records may follow a damaged header, but not one that was never written completely.
+        // If entries follow, the header was written completely and was damaged later.
         let has_entries = bytes.len() > MAGIC.len() + FRAME_HEAD_BYTES
             && !read_items(&bytes, MAGIC.len(), 1).items.is_empty();
         if has_entries {
@@ -95,11 +98,11 @@
     Ok(torn)
 }
 
-/// Removes the segments without records after `settled`, except the last segment. Returns the
-/// number of removed segments.
+/// Deletes the segments that have no records after the position `settled`, except for the last
+/// segment. Returns the number of deleted segments.
 ///
 /// # Errors
-/// The directory can't be read, or a segment can't be removed.
+/// The directory can't be read, or a segment can't be deleted.
 pub fn remove_settled(directory: &Path, settled: LogPosition) -> io::Result<usize> {
     let segments = segments(directory)?;
     let mut removed = 0;
--- a/crates/usage-ledger/src/period.rs
+++ b/crates/usage-ledger/src/period.rs
@@ -1,48 +1,48 @@
-//! Billing periods: half-open ranges of UTC time, by a calendar.
+//! Billing periods: half-open ranges of UTC time that a calendar defines.
 //!
-//! Pure: no clock is read here.
+//! This module is pure: it reads no clock.
 
 use jiff::tz::TimeZone;
 use jiff::{RoundMode, Timestamp, ToSpan, Unit, Zoned, ZonedRound};
 
-/// One period, in Unix milliseconds.
+/// A billing period: the half-open range `start_ms..end_ms`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Period {
-    /// Its first millisecond.
+    /// First millisecond of the period, in Unix milliseconds.
     pub start_ms: i64,
-    /// The first millisecond after it.
+    /// First millisecond after the period, in Unix milliseconds.
     pub end_ms: i64,
 }
 
 impl Period {
-    /// The name of the period: the UTC time of its start, which is unique.
+    /// Returns the unique name of the period: the UTC time of its start.
     pub fn name(&self) -> String {
         format_timestamp(self.start_ms)
     }
 }
 
-/// A time in Unix milliseconds as UTC text. The texts sort like the times.
+/// Formats a time in Unix milliseconds as UTC text. The texts sort in the order of the times.
 pub fn format_timestamp(ms: i64) -> String {
     Timestamp::from_millisecond(ms).map_or_else(|_| ms.to_string(), |at| format!("{at:.3}"))
 }
 
-/// The length of a period.
+/// Length of the periods of a calendar.
 #[derive(Clone, Debug)]
 pub enum PeriodLength {
-    /// A fixed number of milliseconds; the first period starts with the year 1970.
+    /// Fixed number of milliseconds, counted from the start of 1970.
     Milliseconds(i64),
-    /// A civil day: 23 or 25 hours long where the clocks change.
+    /// Civil day in a time zone; 23 or 25 hours long when the clocks change.
     CivilDay(TimeZone),
-    /// A civil month.
+    /// Civil month in a time zone.
     CivilMonth(TimeZone),
 }
 
-/// Divides time into periods without gap or overlap.
+/// Divides time into periods without gaps or overlaps.
 #[derive(Clone, Debug)]
 pub struct Calendar(pub PeriodLength);
 
 impl Calendar {
-    /// The period that holds a time in Unix milliseconds.
+    /// Returns the period that contains a time in Unix milliseconds.
     pub fn period_at(&self, ms: i64) -> Period {
         match &self.0 {
             PeriodLength::Milliseconds(length) => {
@@ -59,19 +59,19 @@
         }
     }
 
-    /// The period that follows.
+    /// Returns the period that follows `period`.
     pub fn period_after(&self, period: Period) -> Period {
         self.period_at(period.end_ms)
     }
 }
 
-/// The period where a time is outside of what a calendar can compute.
+/// Period for times that are outside the range of the calendar library.
 const UNBOUNDED: Period = Period {
     start_ms: i64::MIN,
     end_ms: i64::MAX,
 };
 
-/// The first instants of a civil span and of the one after it.
+/// First instants of a civil day or month and of the next one.
 struct CivilSpan {
     start: Zoned,
     next: Zoned,
@@ -91,7 +91,7 @@
 }
 
 fn civil_day(at: Zoned) -> Result<CivilSpan, jiff::Error> {
-    // Rounding returns the first instant of the day, also where midnight does not exist.
+    // Rounding returns the first instant of the day, even if the clocks skip midnight.
     let floor = ZonedRound::new().smallest(Unit::Day).mode(RoundMode::Floor);
     let start = at.round(floor)?;
     let next = start.checked_add(1.day())?.start_of_day()?;
--- a/crates/usage-ledger/src/period_settler.rs
+++ b/crates/usage-ledger/src/period_settler.rs
@@ -1,38 +1,41 @@
-//! What a period counts, and what its settlement passes on to that of the next period.
+//! Settles one period: counts its logical requests, and determines which records the settlement of
+//! the next period must treat differently.
 //!
-//! Pure: no I/O and no clock.
+//! This module is pure: it does no I/O and reads no clock.
 
 use crate::join::{JoinBounds, Joiner, LogicalRequest, RecordId, UsageRecord};
 use crate::line_counts::{LineCounts, LineKey};
 use crate::period::Period;
 use std::collections::BTreeSet;
 
-/// The results of settling one period that settling the next one depends on.
+/// Results of settling one period that the settlement of the next period depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CarryOver {
-    /// Records near or after the end of the period that belong to its logical requests, and so to
-    /// none of the next period.
+    /// Records near or after the end of the period that belong to its logical requests. The next
+    /// period must not count them.
     pub carried: BTreeSet<RecordId>,
-    /// Retries of later requests that could have joined a request of this period.
+    /// Retries that joined a request of a later period, but could also have joined one of this
+    /// period.
     pub ambiguous_retries: BTreeSet<RecordId>,
 }
 
-/// The result of settling a period.
+/// Result of settling a period.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettledPeriod {
-    /// Its counts.
+    /// Counts of the period by tenant and class.
     pub lines: LineCounts,
-    /// What the next period depends on.
+    /// Input to the settlement of the next period.
     pub carry_over: CarryOver,
-    /// The first records of logical requests with an ambiguous join.
+    /// First records of the logical requests that contain an ambiguous retry.
     pub ambiguous: Vec<RecordId>,
 }
 
 /// Settles one period.
 ///
-/// Takes the records that arrived in the range of [`JoinBounds::arrivals`], in the order of
-/// [`UsageRecord::id`], and ignores those that the previous period has carried over.
+/// The records that arrived in the range of [`JoinBounds::arrivals`] are pushed in the order of
+/// [`UsageRecord::id`]. Records that the previous period has carried over are ignored.
 pub struct PeriodSettler {
+    /// Records that belong to requests of the previous period.
     carried_in: BTreeSet<RecordId>,
     joiner: Joiner,
     count: PeriodCount,
@@ -41,17 +44,16 @@
 /// Counts the logical requests of one period.
 struct PeriodCount {
     period: Period,
-    /// Records that arrive from this time on may also be read for the next period, in Unix
-    /// milliseconds.
+    /// Time from which on records are also read for the next period, in Unix milliseconds.
     carry_from_ms: i64,
-    /// Retries that arrive up to this time may belong to a request of this period, in Unix
+    /// Last arrival time of a retry that may belong to a request of this period, in Unix
     /// milliseconds.
     retry_until_ms: i64,
     settled: SettledPeriod,
 }
 
 impl PeriodSettler {
-    /// Starts to settle `period`; `before` is what the previous period carries over.
+    /// Starts the settlement of `period`; `before` is the carry-over of the previous period.
     pub fn new(period: Period, bounds: JoinBounds, before: CarryOver) -> PeriodSettler {
         PeriodSettler {
             carried_in: before.carried,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Takes the next record.
+    /// Takes the next record, unless the previous period has carried it over.
     pub fn push(&mut self, record: UsageRecord) {
         if self.carried_in.contains(&record.id()) {
             return;
@@ -77,7 +79,7 @@
         self.joiner.push(record, &mut |request| count.add(&request));
     }
 
-    /// The result, after the last record.
+    /// Returns the result. Called after the last record.
     pub fn finish(mut self) -> SettledPeriod {
         let count = &mut self.count;
         self.joiner.finish(&mut |request| count.add(&request));
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Counts a request of this period.
+    /// Adds a request of this period to the counts.
     fn count(&mut self, request: &LogicalRequest) {
         let first = request.first();
         let key = LineKey {
@@ -108,7 +110,8 @@
         }
     }
 
-    /// Keeps the records of a request of this period from being counted in the next one.
+    /// Carries over the records of a request of this period that are also read for the next period,
+    /// so that the next period does not count them again.
     fn carry_records(&mut self, request: &LogicalRequest) {
         let records = request.records.iter();
         let near_end = records.filter(|record| record.arrived_at_ms >= self.carry_from_ms);
@@ -116,10 +119,11 @@
         carried.extend(near_end.map(UsageRecord::id));
     }
 
-    /// Keeps the ambiguous retries of a later request that could belong to one of this period.
+    /// Carries over the ambiguous retries of a later request that could belong to a request of this
+    /// period.
     fn carry_ambiguous_retries(&mut self, request: &LogicalRequest) {
         let retries = request.ambiguous.iter();
-        let in_reach = retries.filter(|id| id.arrived_at_ms <= self.retry_until_ms);
-        self.settled.carry_over.ambiguous_retries.extend(in_reach);
+        let candidates = retries.filter(|id| id.arrived_at_ms <= self.retry_until_ms);
+        self.settled.carry_over.ambiguous_retries.extend(candidates);
     }
 }
--- a/crates/usage-ledger/src/rate.rs
+++ b/crates/usage-ledger/src/rate.rs
@@ -1,60 +1,58 @@
-//! The price of usage, in integral micro-units.
+//! Prices of usage, in whole micro-units.
 //!
 //! A line counts the usage of one tenant and class in one period. Each complete answer costs the
-//! price of complete answers. Partial answers cost the price of partial answers times the sum of
-//! their shares, rounded once per line, with half a micro-unit rounded up. Rejected, failed and
-//! cancelled requests are counted and free.
+//! price of a complete answer. Partial answers cost the price of a partial answer times the sum of
+//! their shares. This product is rounded once per line, with half a micro-unit rounded up.
+//! Rejected, failed and cancelled requests are counted and free of charge.
 //!
-//! Pure: no I/O and no clock.
+//! This module is pure: it does no I/O and reads no clock.
 
 use crate::join::{LogicalRequest, RecordedOutcome};
 use crate::settings::Price;
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub};
 
-/// The counts of a line.
-///
-/// Counts can be added and subtracted. The serialized names are part of the format of statements.
+/// Counts of a line. The serialized names are part of the format of statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageCounts {
-    /// Logical requests with any outcome.
+    /// Number of logical requests, whatever their outcome.
     #[serde(rename = "uses")]
     pub requests: i64,
-    /// Answered completely.
+    /// Number of logical requests with a complete answer.
     #[serde(rename = "whole")]
     pub complete: i64,
-    /// Answered in part.
+    /// Number of logical requests with a partial answer.
     pub partial: i64,
-    /// The sum of the shares of all partial answers, in millionths.
+    /// Sum of the shares of all partial answers, in millionths.
     #[serde(rename = "share")]
     pub share_millionths: i64,
-    /// Rejected.
+    /// Number of logical requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: i64,
-    /// Failed.
+    /// Number of logical requests that failed.
     pub failed: i64,
-    /// Cancelled by the client.
+    /// Number of logical requests that the client cancelled.
     #[serde(rename = "left")]
     pub cancelled: i64,
-    /// Records: first requests and retries.
+    /// Number of records, which includes first requests and retries.
     #[serde(rename = "tries")]
     pub records: i64,
-    /// Shards that were queried.
+    /// Number of shards queried, summed over all records.
     pub parts: i64,
-    /// Attempts at replicas.
+    /// Number of attempts on replicas in all zones.
     pub attempts: i64,
-    /// Attempts at replicas of another zone.
+    /// Number of attempts on replicas in another zone than the aggregator.
     #[serde(rename = "crossed")]
     pub cross_zone_attempts: i64,
-    /// Logical requests whose records could have been joined in another way.
+    /// Number of logical requests with a retry that could have been joined to another request.
     pub ambiguous: i64,
 }
 
-/// How many numbers [`UsageCounts`] has.
+/// Number of fields of [`UsageCounts`].
 const COUNT_FIELDS: usize = 12;
 
 impl UsageCounts {
-    /// The published names of the numbers, in JSON and as columns of CSV.
+    /// Published names of the fields, in JSON and as columns of CSV.
     pub const COLUMNS: [&'static str; COUNT_FIELDS] = [
         "uses",
         "whole",
@@ -70,8 +68,8 @@
         "ambiguous",
     ];
 
-    /// The numbers, in the order of [`UsageCounts::COLUMNS`].
-    fn slots(&mut self) -> [&mut i64; COUNT_FIELDS] {
+    /// Returns the fields in the order of [`UsageCounts::COLUMNS`].
+    fn fields_mut(&mut self) -> [&mut i64; COUNT_FIELDS] {
         [
             &mut self.requests,
             &mut self.complete,
@@ -88,21 +86,21 @@
         ]
     }
 
-    /// The values, in the order of [`UsageCounts::COLUMNS`].
+    /// Returns the values of the fields in the order of [`UsageCounts::COLUMNS`].
     pub fn values(mut self) -> [i64; COUNT_FIELDS] {
-        self.slots().map(|slot| *slot)
+        self.fields_mut().map(|field| *field)
     }
 
-    /// The counts of these values, in the order of [`UsageCounts::COLUMNS`].
+    /// Creates counts from values in the order of [`UsageCounts::COLUMNS`].
     pub fn from_values(values: [i64; COUNT_FIELDS]) -> UsageCounts {
         let mut counts = UsageCounts::default();
-        for (slot, value) in counts.slots().into_iter().zip(values) {
-            *slot = value;
+        for (field, value) in counts.fields_mut().into_iter().zip(values) {
+            *field = value;
         }
         counts
     }
 
-    /// Counts one logical request.
+    /// Adds one logical request to the counts.
     pub fn add(&mut self, request: &LogicalRequest) {
         self.requests += 1;
         match request.outcome {
@@ -124,12 +122,12 @@
         self.ambiguous += i64::from(!request.ambiguous.is_empty());
     }
 
-    /// Logical requests that were answered.
+    /// Returns the number of logical requests with an answer, complete or partial.
     pub fn answered(&self) -> i64 {
         self.complete + self.partial
     }
 
-    /// Whether nothing was counted.
+    /// Returns whether all counts are zero.
     pub fn is_zero(&self) -> bool {
         *self == UsageCounts::default()
     }
@@ -137,8 +135,8 @@
 
 impl AddAssign for UsageCounts {
     fn add_assign(&mut self, other: UsageCounts) {
-        for (slot, value) in self.slots().into_iter().zip(other.values()) {
-            *slot += value;
+        for (field, value) in self.fields_mut().into_iter().zip(other.values()) {
+            *field += value;
         }
     }
 }
@@ -147,25 +145,28 @@
     type Output = UsageCounts;
 
     fn sub(mut self, other: UsageCounts) -> UsageCounts {
-        for (slot, value) in self.slots().into_iter().zip(other.values()) {
-            *slot -= value;
+        for (field, value) in self.fields_mut().into_iter().zip(other.values()) {
+            *field -= value;
         }
         self
     }
 }
 
-/// The share of a complete answer, in millionths.
-const MILLIONTHS: i128 = 1_000_000;
+/// Number of millionths in a share of 1.
+const MILLIONTHS_PER_UNIT: i128 = 1_000_000;
 
-/// The amount of a line in micro-units.
+/// Returns the amount of a line, in micro-units.
 pub fn line_amount(counts: &UsageCounts, price: Price) -> i64 {
     let complete = i128::from(counts.complete) * i128::from(price.complete);
     let shares = i128::from(counts.share_millionths) * i128::from(price.partial);
-    let partial = shares.saturating_add(MILLIONTHS / 2).div_euclid(MILLIONTHS);
+    let partial = shares
+        .saturating_add(MILLIONTHS_PER_UNIT / 2)
+        .div_euclid(MILLIONTHS_PER_UNIT);
     i64::try_from(complete.saturating_add(partial)).unwrap_or(i64::MAX)
 }
 
-/// The answered requests beyond the allowance of a tenant.
+/// Returns the number of answered requests beyond the allowance of a tenant; 0 without an
+/// allowance.
 pub fn requests_over_allowance(answered: i64, allowance: Option<u64>) -> i64 {
     let Some(allowance) = allowance else {
         return 0;
--- a/crates/usage-ledger/src/reconcile/client_usage_row.rs
+++ b/crates/usage-ledger/src/reconcile/client_usage_row.rs
@@ -1,27 +1,27 @@
-//! The rows of the files in which clients record their requests.
+//! Rows of the CSV files in which clients record their requests.
 
 use serde::{Deserialize, Serialize};
 
-/// One logical request as a client has recorded it. The field names are the columns of the file.
+/// A logical request as a client has recorded it. The field names are the columns of the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientUsageRow {
-    /// When the first request was sent, in Unix milliseconds.
+    /// Time at which the client sent the first request, in Unix milliseconds.
     pub at_ms: i64,
-    /// The tenant's name.
+    /// Name of the tenant that sent the request.
     pub tenant: String,
-    /// The class's name.
+    /// Name of the class of the request.
     pub class: String,
-    /// A published name of an outcome; any name other than `whole` and `partial` stands for a
-    /// request that was not answered.
+    /// Published name of the outcome. Any name other than `whole` and `partial` means that the
+    /// request was not answered.
     pub outcome: String,
-    /// The number of requests that the client sent, including retries.
+    /// Number of requests that the client sent, including retries.
     pub tries: u32,
-    /// The idempotency key or the hash of the query, in hexadecimal.
+    /// Key of the request in the ledger, as 16 hexadecimal digits.
     pub key: String,
 }
 
 impl ClientUsageRow {
-    /// Whether the client received an answer, complete or partial.
+    /// Returns whether the client received an answer, complete or partial.
     pub(super) fn is_answered(&self) -> bool {
         self.outcome == "whole" || self.outcome == "partial"
     }
--- a/crates/usage-ledger/src/reconcile/comparison.rs
+++ b/crates/usage-ledger/src/reconcile/comparison.rs
@@ -1,4 +1,4 @@
-//! The comparison of the two sides, request by request.
+//! Comparison of the ledger with the records of clients, request by request.
 
 use super::client_usage_row::ClientUsageRow;
 use super::report::{
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
-/// Joins all records that arrived in a range of Unix milliseconds, and compares the logical
-/// requests with those that clients sent in it, one by one.
+/// Joins all records that arrived in the range `arrivals` (Unix milliseconds), and compares the
+/// logical requests, one by one, with those that clients sent in the same range.
 ///
 /// # Errors
 /// The store can't be read.
@@ -36,25 +36,26 @@
     Ok(comparison.match_client_rows(&client_rows))
 }
 
-/// The properties of a logical request that both sides have.
+/// Properties of a logical request that are known both to the ledger and to the client.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     tenant: String,
     class: String,
-    /// In hexadecimal.
+    /// Key of the request, as 16 hexadecimal digits.
     key: String,
 }
 
-/// The state of a comparison.
+/// State of a comparison.
 struct Comparison<'a> {
     calendar: &'a Calendar,
     report: ReconciliationReport,
-    /// Requests of the ledger that no request of a client was matched with, oldest first.
+    /// Requests of the ledger that have not been matched with a client's request, oldest first.
     unmatched: BTreeMap<RequestKey, VecDeque<LogicalRequest>>,
 }
 
 impl Comparison<'_> {
-    /// Joins the records of the ledger that arrived in a range of Unix milliseconds.
+    /// Joins the records of the ledger that arrived in the range `arrivals` (Unix milliseconds) and
+    /// adds the logical requests to the comparison.
     fn add_ledger(
         &mut self,
         store: &Store,
@@ -99,7 +100,7 @@
         self.report
     }
 
-    /// Reports the requests of the ledger that no client has recorded.
+    /// Adds a difference for each request of the ledger that no client has recorded.
     fn add_unmatched_requests(&mut self) {
         for (key, requests) in std::mem::take(&mut self.unmatched) {
             for request in requests {
@@ -164,7 +165,7 @@
     }
 }
 
-/// Whether both sides have the same answer, or neither has one.
+/// Returns whether the ledger and the client have the same kind of answer, or both have none.
 fn outcomes_match(ledger: RecordedOutcome, row: &ClientUsageRow) -> bool {
     if ledger.is_answered() {
         ledger.published_name() == row.outcome
--- a/crates/usage-ledger/src/reconcile/mod.rs
+++ b/crates/usage-ledger/src/reconcile/mod.rs
@@ -1,4 +1,4 @@
-//! Reconciles the ledger with the clients' own records of their requests.
+//! Reconciliation of the ledger with the records that clients keep of their requests.
 
 mod client_usage_row;
 mod comparison;
--- a/crates/usage-ledger/src/reconcile/report.rs
+++ b/crates/usage-ledger/src/reconcile/report.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How the two sides differ on one logical request.
+/// Kind of a difference between the ledger and a client on one logical request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DifferenceKind {
-    /// No client has recorded it.
+    /// The ledger has the request, but no client has recorded it.
     OnlyInLedger,
-    /// The ledger does not have it.
+    /// A client has recorded the request, but the ledger does not have it.
     OnlyAtClient,
-    /// Both have it, with different outcomes.
+    /// Both sides have the request, with different outcomes.
     OutcomeDiffers,
 }
 
@@ -24,67 +24,68 @@
     }
 }
 
-/// A logical request on which the two sides differ.
+/// A logical request on which the ledger and a client differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestDifference {
-    /// How the sides differ.
+    /// Kind of the difference.
     pub kind: DifferenceKind,
-    /// The tenant's name.
+    /// Name of the tenant that sent the request.
     pub tenant: String,
-    /// The class's name.
+    /// Name of the class of the request.
     pub class: String,
-    /// Arrival of the first request, or when the client sent it.
+    /// Time at which the client sent the first request or, for [`DifferenceKind::OnlyInLedger`], at
+    /// which it arrived; as UTC text.
     pub at: String,
-    /// The key, in hexadecimal.
+    /// Key of the request, as 16 hexadecimal digits.
     pub key: String,
-    /// The ledger's outcome; empty if it has none.
+    /// Published name of the outcome in the ledger; empty if the ledger does not have the request.
     pub ledger_outcome: String,
-    /// The client's outcome; empty if it has none.
+    /// Published name of the outcome at the client; empty if no client has recorded the request.
     pub client_outcome: String,
 }
 
-/// Identifies a total: the logical requests of one tenant and class in one period.
+/// Key of a total: one tenant and class in one period.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TotalKey {
-    /// The period's name.
+    /// Name of the period in which the requests arrived.
     pub period: String,
-    /// The tenant's name.
+    /// Name of the tenant that sent the requests.
     pub tenant: String,
-    /// The class's name.
+    /// Name of the class of the requests.
     pub class: String,
 }
 
-/// The number of logical requests of one tenant and class in one period, on both sides.
+/// Numbers of logical requests of one tenant and class in one period, in the ledger and at clients.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// Requests in the ledger.
+    /// Number of requests in the ledger.
     pub ledger_requests: u64,
-    /// Requests in the files of the clients.
+    /// Number of requests in the files of clients.
     pub client_requests: u64,
-    /// Answered requests in the ledger.
+    /// Number of answered requests in the ledger.
     pub ledger_answered: u64,
-    /// Answered requests in the files of the clients.
+    /// Number of answered requests in the files of clients.
     pub client_answered: u64,
 }
 
 impl RequestTotals {
-    /// Whether both sides have the same number of requests and of answered requests.
+    /// Returns whether both sides have the same numbers of requests and of answered requests.
     pub fn is_equal(&self) -> bool {
         self.ledger_requests == self.client_requests && self.ledger_answered == self.client_answered
     }
 }
 
-/// The result of a reconciliation.
+/// Result of a reconciliation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReconciliationReport {
-    /// By period, tenant and class.
+    /// Totals by period, tenant and class.
     pub totals: BTreeMap<TotalKey, RequestTotals>,
-    /// All differences between single requests.
+    /// All differences on single requests.
     pub differences: Vec<RequestDifference>,
 }
 
 impl ReconciliationReport {
-    /// The number of totals that differ.
+    /// Returns the number of totals on which the two sides differ.
     pub fn unequal_totals(&self) -> usize {
         self.totals.values().filter(|pair| !pair.is_equal()).count()
     }
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -11,87 +11,92 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The shortest valid period, in milliseconds.
+/// Minimum length of a billing period.
 const MIN_PERIOD_MS: i64 = 1000;
 
-// The values if the schema lacks a key; the same as the defaults of the schema.
+// Fallbacks for a schema without a default. The schema of this crate has a default for each key.
 const DEFAULT_COLLECTION_TIME: Duration = Duration::from_millis(200);
 const DEFAULT_EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 const DEFAULT_EXPORT_RETRY: Duration = Duration::from_millis(500);
 
-/// An aggregator whose log the settlement follows.
+/// An aggregator whose usage log the settlement collects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// The address at which its log is collected.
+    /// Address at which the aggregator offers its log for collection.
     pub address: SocketAddr,
-    /// The time from which it takes part, in Unix milliseconds.
+    /// Time at which the aggregator joined, in Unix milliseconds; [`i64::MIN`] if it always took
+    /// part.
     pub from_ms: i64,
-    /// The time until which it takes part, in Unix milliseconds.
+    /// Time at which the aggregator left, in Unix milliseconds; [`i64::MAX`] if it still takes
+    /// part.
     pub until_ms: i64,
 }
 
-/// Prices of one class, in micro-units. The store keeps them as JSON under the published names.
+/// Prices of one class, in micro-units. They are stored as JSON under their published names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Price {
-    /// The price of a complete answer.
+    /// Price of a complete answer, in micro-units.
     #[serde(rename = "whole")]
     pub complete: u64,
-    /// The price of a partial answer, which is multiplied by its share.
+    /// Price of a partial answer with share 1, in micro-units. It is multiplied by the share of the
+    /// answer.
     pub partial: u64,
 }
 
-/// The destinations of documents.
+/// Destinations of documents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExportTarget {
-    /// The folder for documents.
+    /// Folder to which documents are written; `None` to write none.
     pub folder: Option<PathBuf>,
-    /// The URL to which documents are posted.
+    /// URL to which documents are posted; `None` to post none.
     pub url: Option<String>,
-    /// How long the receiver may take for one document.
+    /// Timeout for posting one document.
     pub timeout: Duration,
-    /// The pause before the first retry of a document.
+    /// Delay before the first retry of a document.
     pub retry_delay: Duration,
 }
 
 impl ExportTarget {
-    /// Whether there is any destination.
+    /// Returns whether there is a folder or a URL.
     pub fn has_destination(&self) -> bool {
         self.folder.is_some() || self.url.is_some()
     }
 }
 
-/// All settings of the settlement.
+/// Settings of the settlement.
 #[derive(Clone, Debug)]
 pub struct LedgerSettings {
-    /// The SQLite file.
+    /// Path of the SQLite file; `None` if the settings contain none.
     pub store_path: Option<PathBuf>,
-    /// The pause before the first retry after the collection from a member has failed.
+    /// Delay before the first retry after the collection from a member has failed.
     pub retry_delay: Duration,
-    /// The connection to a member is renewed if no message arrives for this time.
+    /// Time without a message from a member after which the settlement reconnects.
     pub idle_timeout: Duration,
-    /// The billing periods.
+    /// Calendar that defines the billing periods.
     pub calendar: Calendar,
-    /// The longest time from a first request to the arrival of a retry, in milliseconds.
+    /// Maximum time between the arrivals of a first request and of a retry, in milliseconds.
     pub horizon_ms: i64,
-    /// The largest difference between the clocks of two aggregators, in milliseconds.
+    /// Maximum difference between the clocks of two aggregators, in milliseconds.
     pub skew_ms: i64,
-    /// The grace period for missing members after a period could have closed, in milliseconds.
+    /// Grace period: maximum time that a period waits for missing records after it could have
+    /// closed, in milliseconds.
     pub grace_ms: i64,
-    /// The aggregators, by name.
+    /// Members by aggregator name.
     pub members: BTreeMap<String, Member>,
-    /// Prices by class.
+    /// Prices by class name. Classes without a price are free of charge.
     pub prices: BTreeMap<String, Price>,
-    /// The number of answered requests per period by tenant; requests beyond it are listed apart.
+    /// Allowances by tenant name, in answered requests per period. Statements list the
+    /// number of requests beyond the allowance separately.
     pub allowances: BTreeMap<String, u64>,
-    /// The destinations of documents.
+    /// Destinations of documents.
     pub export: ExportTarget,
 }
 
 impl LedgerSettings {
-    /// Reads the settings.
+    /// Reads and validates the settings.
     ///
     /// # Errors
-    /// Values are invalid, or contradict each other.
+    /// A value is missing or invalid, or values contradict each other.
     pub fn read(settings: &Settings, schema: &Schema) -> Result<LedgerSettings, Problems> {
         let reader = Reader { settings, schema };
         let settlement = settings.section(schema, SETTLEMENT.name);
@@ -111,7 +116,7 @@
         })
     }
 
-    /// The bounds within which retries are joined to first requests.
+    /// Returns the time limits within which retries are joined to first requests.
     pub fn join_bounds(&self) -> JoinBounds {
         JoinBounds {
             horizon_ms: self.horizon_ms,
@@ -120,13 +125,14 @@
     }
 }
 
+/// Reads the sections of the ledger from a settings file.
 struct Reader<'a> {
     settings: &'a Settings,
     schema: &'a Schema,
 }
 
 impl Reader<'_> {
-    /// A time of `[periods]`, in milliseconds.
+    /// Returns a duration of the section `[periods]`, in milliseconds; 0 if it is not set.
     fn period_ms(&self, key: &str) -> i64 {
         let periods = self.settings.section(self.schema, PERIODS.name);
         periods.time(key).unwrap_or_default().as_millis() as i64
@@ -136,14 +142,16 @@
         let periods = self.settings.section(self.schema, PERIODS.name);
         let zone = periods.text("zone").unwrap_or("UTC");
         let zone = TimeZone::get(zone).map_err(|_| {
-            let reason = format!("there is no time zone '{zone}'; use a name as in Asia/Colombo");
+            let reason = format!(
+                "there is no time zone '{zone}'; expected an IANA name, for example Asia/Colombo"
+            );
             periods.problem("zone", reason)
         })?;
         match periods.text("every").unwrap_or("monthly") {
             "daily" => Ok(Calendar(PeriodLength::CivilDay(zone))),
             "monthly" => Ok(Calendar(PeriodLength::CivilMonth(zone))),
             _ => match self.period_ms("every") {
-                ..MIN_PERIOD_MS => Err(periods.problem("every", "has to be 1s at least")),
+                ..MIN_PERIOD_MS => Err(periods.problem("every", "must be at least 1s")),
                 length => Ok(Calendar(PeriodLength::Milliseconds(length))),
             },
         }
@@ -165,13 +173,15 @@
             None => Ok(unset),
             Some(text) => match text.parse::<Timestamp>() {
                 Ok(timestamp) => Ok(timestamp.as_millisecond()),
-                Err(_) => Err(values.problem(key, "has to be a time as in 2026-12-01T00:00:00Z")),
+                Err(_) => {
+                    Err(values.problem(key, "must be a time, for example 2026-12-01T00:00:00Z"))
+                }
             },
         };
         let from_ms = timestamp("from", i64::MIN)?;
         let until_ms = timestamp("until", i64::MAX)?;
         if from_ms >= until_ms {
-            return Err(values.problem("until", "does not come after 'from'"));
+            return Err(values.problem("until", "must be later than 'from'"));
         }
         Ok(Member {
             address,
@@ -209,7 +219,7 @@
         let values = self.settings.section(self.schema, EXPORT.name);
         let url = values.text("url").map(str::to_string);
         if url.as_ref().is_some_and(|url| !url.starts_with("http://")) {
-            let reason = "has to begin with http://";
+            let reason = "must begin with http://";
             return Err(values.problem("url", reason));
         }
         Ok(ExportTarget {
--- a/crates/usage-ledger/src/settings/mod.rs
+++ b/crates/usage-ledger/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The ledger's settings: its sections of the settings file, and their typed values.
+//! Settings of the ledger: the sections of the settings file, and their typed values.
 
 mod ledger;
 mod schema;
--- a/crates/usage-ledger/src/settings/schema.rs
+++ b/crates/usage-ledger/src/settings/schema.rs
@@ -1,9 +1,9 @@
-//! The ledger's sections of the settings file.
+//! Schema of the ledger's sections of the settings file.
 
 use ini_config::{Key, Kind, Section};
 
-/// The largest price, in micro-units, and the largest allowance, in requests.
-const MAX_COUNT: u64 = 1_000_000_000_000;
+/// Maximum of a price, in micro-units, and of an allowance, in requests.
+const MAX_PRICE_OR_ALLOWANCE: u64 = 1_000_000_000_000;
 
 /// `[usage]`: the usage log of an aggregator.
 pub const USAGE: Section = Section::new(
@@ -13,48 +13,48 @@
             "directory",
             Kind::Text,
             None,
-            "Folder of the mixer's usage log; no log is kept without it.",
+            "Folder of the mixer's usage log; without it, no log is written.",
         ),
         Key::new(
             "segment",
             Kind::Bytes,
             Some("8MiB"),
-            "Size at which a segment of the log is closed and a new one begun.",
+            "Size at which a segment of the log is closed and a new one is started.",
         ),
         Key::new(
             "keep",
             Kind::Bytes,
             Some("1GiB"),
-            "Most that the log may take; past it records are dropped and counted.",
+            "Maximum size of the log; records beyond it are dropped and counted.",
         ),
         Key::new(
             "queue",
             Kind::Count(16, 1_000_000),
             Some("8192"),
-            "Records that may wait for the writer.",
+            "Maximum number of records that wait to be written.",
         ),
         Key::new(
             "stall",
             Kind::Time,
             Some("5ms"),
-            "How long an answer waits for its record; then it goes without.",
+            "Maximum time that an answer waits for its record to be written; then it is sent without.",
         ),
         Key::new(
             "mark",
             Kind::Time,
             Some("500ms"),
-            "How often the log says up to when it is complete.",
+            "Interval at which the log states up to which time it is complete.",
         ),
         Key::new(
             "listen",
             Kind::Address,
             None,
-            "Where the settlement collects the log; a listener of its own.",
+            "Address of a separate listener at which the settlement collects the log.",
         ),
     ],
 );
 
-/// `[settlement]`: the store, and collection from members.
+/// `[settlement]`: the store, and the collection from members.
 pub const SETTLEMENT: Section = Section::new(
     "settlement",
     &[
@@ -62,19 +62,20 @@
             "store",
             Kind::Text,
             None,
-            "The SQLite file of the settlement.",
+            "SQLite file in which the settlement stores records and statements.",
         ),
         Key::reloadable(
             "again",
             Kind::Time,
             Some("200ms"),
-            "Wait before a member that failed is asked again; it doubles up to 32 times.",
+            "Delay before the first retry of a failed collection; \
+             it doubles with each further failure, up to 32 times its value.",
         ),
         Key::reloadable(
             "silent",
             Kind::Time,
             Some("5s"),
-            "A member that says nothing for so long is asked anew.",
+            "Time without a message from a member after which the settlement reconnects.",
         ),
     ],
 );
@@ -99,20 +100,20 @@
             "horizon",
             Kind::Time,
             Some("30s"),
-            "The longest after a first try that a retry may arrive: \
-             at least the longest give-up time of a class.",
+            "Maximum time from the arrival of a first request to that of a retry; \
+             at least the longest client timeout of any class.",
         ),
         Key::reloadable(
             "skew",
             Kind::Time,
             Some("2s"),
-            "The most that two mixers' clocks differ.",
+            "Maximum difference between the clocks of two mixers.",
         ),
         Key::reloadable(
             "grace",
             Kind::Time,
             Some("1h"),
-            "How long a period waits for silent members after it could have closed.",
+            "Maximum time that a period waits for missing records after it could have closed.",
         ),
     ],
 );
@@ -125,54 +126,56 @@
             "address",
             Kind::Address,
             None,
-            "Where this mixer's log is collected: its [usage] listen.",
+            "Address at which the mixer offers its log: its [usage] listen.",
         ),
         Key::reloadable(
             "from",
             Kind::Text,
             None,
-            "When it joined, as in 2026-12-01T00:00:00Z; always if unset.",
+            "Time at which this mixer joined, for example 2026-12-01T00:00:00Z; \
+             if unset, it has always taken part.",
         ),
         Key::reloadable(
             "until",
             Kind::Text,
             None,
-            "When it left; it has not if unset.",
+            "Time at which this mixer left; if unset, it still takes part.",
         ),
     ],
 );
 
-/// `[price CLASS]`: what answers of a class cost.
+/// `[price CLASS]`: prices of the answers of one class.
 pub const PRICE: Section = Section::named(
     "price",
     &[
         Key::reloadable(
             "whole",
-            Kind::Count(0, MAX_COUNT),
+            Kind::Count(0, MAX_PRICE_OR_ALLOWANCE),
             None,
-            "Price of a whole answer of this class, in micro-units.",
+            "Price of a complete answer of this class, in micro-units.",
         ),
         Key::reloadable(
             "partial",
-            Kind::Count(0, MAX_COUNT),
+            Kind::Count(0, MAX_PRICE_OR_ALLOWANCE),
             None,
-            "Price of a partial answer before its share is taken; that of a whole one if unset.",
+            "Price of a partial answer, in micro-units, multiplied by the share of the answer; \
+             if unset, the price of a complete answer.",
         ),
     ],
 );
 
-/// `[tenant NAME]`: what a tenant may use.
+/// `[tenant NAME]`: allowance of one tenant.
 pub const TENANT: Section = Section::named(
     "tenant",
     &[Key::reloadable(
         "allowance",
-        Kind::Count(0, MAX_COUNT),
+        Kind::Count(0, MAX_PRICE_OR_ALLOWANCE),
         None,
-        "Answered uses in a period past which further ones are listed apart.",
+        "Answered requests per period; statements list the number beyond it separately.",
     )],
 );
 
-/// `[export]`: where documents go.
+/// `[export]`: destinations of documents.
 pub const EXPORT: Section = Section::new(
     "export",
     &[
@@ -180,25 +183,26 @@
             "folder",
             Kind::Text,
             None,
-            "Folder that documents are put into, each by an atomic rename.",
+            "Folder to which documents are written, each by an atomic rename.",
         ),
         Key::reloadable(
             "url",
             Kind::Text,
             None,
-            "Where documents are posted, as in http://127.0.0.1:9000/documents.",
+            "URL to which documents are posted, for example http://127.0.0.1:9000/documents.",
         ),
         Key::reloadable(
             "timeout",
             Kind::Time,
             Some("5s"),
-            "How long the receiver may take for one document.",
+            "Timeout for posting one document.",
         ),
         Key::reloadable(
             "again",
             Kind::Time,
             Some("500ms"),
-            "Wait before a failed document is sent again; it doubles up to 64 times.",
+            "Delay before the first retry of a document; \
+             it doubles with each further failure, up to 64 times its value.",
         ),
     ],
 );
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -1,4 +1,4 @@
-//! Writes batches into the store, and closes periods.
+//! Stores collected batches and closes periods.
 
 use crate::closing_decision::{decide_closing, ClosingDecision, MemberProgress};
 use crate::log::LogPosition;
@@ -9,18 +9,19 @@
 use crate::wire::Batch;
 use std::collections::HashMap;
 
-/// A period that waits for members.
+/// A period that cannot close yet because records are missing.
 #[derive(PartialEq)]
 struct WaitingPeriod {
     period: Period,
+    /// Names of the members whose records are missing.
     missing: Vec<String>,
 }
 
-/// The store, with the settings in force.
+/// Stores batches and closes periods according to the settings in force.
 pub(super) struct PeriodCloser {
     store: Store,
     pub(super) settings: LedgerSettings,
-    /// The waiting period that was logged last; it is not logged again.
+    /// Waiting period that was logged last, so that it is not logged again.
     waiting: Option<WaitingPeriod>,
 }
 
@@ -33,14 +34,13 @@
         }
     }
 
-    /// Applies other settings. The calendar and the store can't change at run time.
+    /// Applies new settings, except for the calendar and the store, which can't change at run time.
     pub(super) fn reload(&mut self, next: LedgerSettings) {
         let calendar = self.settings.calendar.clone();
         self.settings = LedgerSettings { calendar, ..next };
     }
 
-    /// Writes a batch into the store. Returns the position up to which the store has the log of the
-    /// member.
+    /// Stores a batch. Returns the position up to which the log of the member is stored.
     pub(super) fn ingest(
         &mut self,
         member: &str,
@@ -51,19 +51,25 @@
         let ingested = self.store.ingest(member, batch, calendar, bounds)?;
         for damage in &batch.damage {
             let (segment, from, to) = (&damage.segment, damage.from, damage.to);
-            tracing::error!(member, segment, from, to, "damaged bytes in a usage log");
+            tracing::error!(
+                member,
+                segment,
+                from,
+                to,
+                "usage log contains unreadable bytes"
+            );
         }
         if ingested.late > 0 {
             tracing::warn!(
                 member,
                 late = ingested.late,
-                "late records: they will adjust the next statement"
+                "stored late records; the next statement will adjust closed periods"
             );
         }
         self.store.position(member)
     }
 
-    /// Closes the next period if it may close at `now_ms`, in Unix milliseconds.
+    /// Closes the next period if it may close at `now_ms` (Unix milliseconds).
     pub(super) fn close_next(&mut self, now_ms: i64) -> Result<(), StoreError> {
         let Some(period) = self.store.next_period(&self.settings.calendar)? else {
             return Ok(());
@@ -95,17 +101,17 @@
         Ok(())
     }
 
-    /// Up to which time the records of the members that took part in a period are known.
+    /// Returns the progress of collection for each member that was configured during the period.
     fn progress(&self, period: Period) -> Result<Vec<MemberProgress>, StoreError> {
         let statuses = self.store.member_statuses()?.into_iter();
         let complete_until_ms: HashMap<String, i64> = statuses
             .map(|status| (status.member, status.complete_until_ms))
             .collect();
-        let took_part =
+        let overlaps_period =
             |member: &Member| member.from_ms < period.end_ms && member.until_ms > period.start_ms;
         let members = self.settings.members.iter();
         Ok(members
-            .filter(|(_, member)| took_part(member))
+            .filter(|(_, member)| overlaps_period(member))
             .map(|(name, _)| MemberProgress {
                 member: name.clone(),
                 complete_until_ms: complete_until_ms.get(name).copied(),
@@ -120,7 +126,7 @@
         tracing::info!(
             period = waiting.period.name(),
             missing = waiting.missing.join(" "),
-            "a period waits for members"
+            "period cannot close yet: waiting for the records of members"
         );
         self.waiting = Some(waiting);
     }
--- a/crates/usage-ledger/src/settlement/collector.rs
+++ b/crates/usage-ledger/src/settlement/collector.rs
@@ -1,4 +1,4 @@
-//! Follows the log of one member.
+//! Collects the usage log of one member.
 
 use super::lock::lock;
 use crate::log::LogPosition;
@@ -15,27 +15,27 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Status, Streaming};
 
-/// The shortest interval between two acknowledgements to a member.
+/// Minimum interval between two acknowledgements to a member.
 const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_secs(1);
-/// The maximum length of a message, in bytes.
+/// Maximum length of a message from a member.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// The maximum number of doublings of the retry delay.
+/// Maximum number of times that the retry delay is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// A batch from a member.
+/// A batch from a member, to be stored.
 pub(super) struct CollectedBatch {
     pub(super) member: String,
     pub(super) batch: Batch,
-    /// Receives the position up to which the log of the member is in the store.
+    /// Receives the position up to which the log of the member is stored, once the batch is stored.
     pub(super) stored: oneshot::Sender<LogPosition>,
 }
 
-/// The times of collection, from the settings.
+/// Delays and timeouts of collection.
 #[derive(Clone, Copy)]
 pub(super) struct CollectionTimes {
-    /// The pause before the first retry after a failure.
+    /// Delay before the first retry after a failure.
     retry_delay: Duration,
-    /// The connection is renewed if no message arrives for this time.
+    /// Time without a message after which the collector reconnects.
     idle_timeout: Duration,
 }
 
@@ -48,30 +48,30 @@
     }
 }
 
-/// Why the log of a member is no longer followed.
+/// An error that ends the collection from a member.
 #[derive(Debug, thiserror::Error)]
 enum CollectError {
-    #[error("{0}")]
+    #[error("cannot connect: {0}")]
     Connect(#[from] tonic::transport::Error),
-    #[error("{0}")]
+    #[error("gRPC call failed: {0}")]
     Rpc(#[from] Status),
-    #[error("{0}")]
+    #[error("cannot read the stored position: {0}")]
     LogPosition(#[from] StoreError),
-    #[error("{0}")]
+    #[error("task that reads the stored position failed: {0}")]
     Task(#[from] tokio::task::JoinError),
-    #[error("silent for too long")]
+    #[error("no message within the idle timeout")]
     IdleTimeout,
-    #[error("the stream ended")]
+    #[error("the member ended the stream")]
     EndOfStream,
-    #[error("the mixer there is {found}, not {expected}")]
+    #[error("wrong mixer at this address: expected {expected}, found {found}")]
     WrongMember { found: String, expected: String },
-    #[error("the settlement ends")]
+    #[error("the settlement is shutting down")]
     ShuttingDown,
-    #[error("the store did not take it")]
+    #[error("the batch was not stored")]
     NotStored,
 }
 
-/// Follows one member.
+/// Collects the usage log of one member.
 pub(super) struct Collector {
     pub(super) member: String,
     pub(super) address: SocketAddr,
@@ -81,7 +81,7 @@
 }
 
 impl Collector {
-    /// Follows the member until the task is aborted, with exponential backoff after failures.
+    /// Collects until the task is aborted. Reconnects after failures, with exponential backoff.
     pub(super) async fn run(self) {
         let mut failures: u32 = 0;
         loop {
@@ -98,7 +98,7 @@
                     member = self.member,
                     address = %self.address,
                     error = error.to_string(),
-                    "collection ended; retrying"
+                    "collection from a member failed; retrying"
                 );
             }
             let doublings = failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Follows the member's log for as long as that works.
+    /// Connects to the member and collects its log until an error occurs.
     async fn follow(&self) -> Result<std::convert::Infallible, CollectError> {
         let idle_timeout = lock(&self.times).idle_timeout;
         let endpoint = Endpoint::from_shared(format!("http://{}", self.address))?;
@@ -131,7 +131,8 @@
         }
     }
 
-    /// The position in the store, which is valid also after a crash of this process.
+    /// Returns the position up to which the log is stored. Collection resumes there, also after a
+    /// crash of the settlement.
     async fn stored_position(&self) -> Result<LogPosition, CollectError> {
         let path = self.store_path.clone();
         let member = self.member.clone();
@@ -139,7 +140,10 @@
         Ok(tokio::task::spawn_blocking(position).await??)
     }
 
-    /// The next message; `None` for a heartbeat.
+    /// Receives the next batch; returns `None` for a heartbeat.
+    ///
+    /// # Errors
+    /// The idle timeout elapsed, the stream ended or failed, or the log is that of another member.
     async fn next_batch(
         &self,
         stream: &mut Streaming<Batch>,
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Waits until a batch is in the store. Returns the new position.
+    /// Passes a batch to the main loop and waits until it is stored. Returns the new position.
     async fn store(&self, batch: Batch) -> Result<LogPosition, CollectError> {
         let (stored, position) = oneshot::channel();
         let collected = CollectedBatch {
@@ -174,7 +178,7 @@
     }
 }
 
-/// Tells a member up to which position it may remove its log.
+/// Tells a member up to which position its log is stored and may be removed.
 async fn acknowledge(
     client: &mut UsageLogClient<Channel>,
     position: LogPosition,
--- a/crates/usage-ledger/src/settlement/collectors.rs
+++ b/crates/usage-ledger/src/settlement/collectors.rs
@@ -1,4 +1,4 @@
-//! The tasks that follow members, one per member.
+//! The set of collector tasks, one per member.
 
 use super::collector::{CollectedBatch, CollectionTimes, Collector};
 use super::lock::lock;
@@ -10,13 +10,13 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// A member that is followed, and the task that does so.
+/// A member whose log is collected, with its collector task.
 struct FollowedMember {
     address: SocketAddr,
     task: AbortHandle,
 }
 
-/// The tasks that follow members.
+/// The collector tasks of all members.
 pub(super) struct Collectors {
     store_path: PathBuf,
     times: Arc<Mutex<CollectionTimes>>,
@@ -42,15 +42,15 @@
         *lock(&self.times) = times;
     }
 
-    /// Starts and aborts tasks so that exactly these members are followed.
+    /// Starts and aborts tasks, so that exactly the logs of `members` are collected.
     pub(super) fn follow(&mut self, members: &BTreeMap<String, Member>) {
         self.followed.retain(|name, followed| {
             let member = members.get(name);
-            let stays = member.is_some_and(|member| member.address == followed.address);
-            if !stays {
+            let is_unchanged = member.is_some_and(|member| member.address == followed.address);
+            if !is_unchanged {
                 followed.task.abort();
             }
-            stays
+            is_unchanged
         });
         for (name, member) in members {
             if self.followed.contains_key(name) {
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -1,4 +1,4 @@
-//! The thread that sends the documents in the outbox, each until it is acknowledged.
+//! The thread that sends the documents in the outbox and retries until they are acknowledged.
 
 use super::clock::unix_time_ms;
 use super::lock::lock;
@@ -13,10 +13,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Interval at which the exporter looks for documents to send.
+/// Interval at which the exporter polls the outbox.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The state that the thread shares with its handle.
+/// State that the exporter thread shares with its handle.
 struct ExporterState {
     target: Mutex<ExportTarget>,
     stopping: AtomicBool,
@@ -28,7 +28,7 @@
     }
 }
 
-/// The handle of the running thread.
+/// Handle of the running exporter thread.
 pub(super) struct Exporter {
     state: Arc<ExporterState>,
     thread: JoinHandle<()>,
@@ -44,7 +44,7 @@
             let state = state.clone();
             std::thread::spawn(move || {
                 if let Err(error) = run(&store_path, &state) {
-                    tracing::error!(%error, "export ended");
+                    tracing::error!(%error, "export stopped: cannot access the store");
                 }
             })
         };
@@ -55,7 +55,7 @@
         *lock(&self.state.target) = target;
     }
 
-    /// Ends the thread after the document that it is sending.
+    /// Stops the thread and waits until it has ended. An attempt in progress is completed first.
     pub(super) async fn stop(self) {
         self.state.stopping.store(true, Ordering::Relaxed);
         let _ = tokio::task::spawn_blocking(move || self.thread.join()).await;
@@ -64,7 +64,7 @@
 
 fn run(store_path: &Path, state: &ExporterState) -> Result<(), StoreError> {
     let store = Store::open(store_path)?;
-    // The times of the next attempts for documents that have failed, by document id.
+    // Time of the next attempt by document id, for documents whose last attempt failed.
     let mut retry_at: HashMap<String, Instant> = HashMap::new();
     while !state.is_stopping() {
         let target = lock(&state.target).clone();
@@ -99,7 +99,7 @@
         document = document.id,
         attempts,
         error = error.to_string(),
-        "document not acknowledged"
+        "document was not acknowledged; retrying"
     );
     let pause = export::retry_backoff(target.retry_delay, attempts);
     retry_at.insert(document.id.clone(), Instant::now() + pause);
--- a/crates/usage-ledger/src/settlement/mod.rs
+++ b/crates/usage-ledger/src/settlement/mod.rs
@@ -1,12 +1,12 @@
 //! The settlement service.
 //!
-//! One task per member follows the log of that member (`collectors`, `collector`) and passes
-//! batches to the one loop that writes the store and closes periods (`service`, `closer`). A thread
-//! sends documents (`exporter`). The rules of settling are elsewhere:
+//! One task per member collects the log of that member (`collectors`, `collector`) and passes
+//! batches to the single loop that writes to the store and closes periods (`service`, `closer`). A
+//! thread sends documents (`exporter`). The rules of settlement are defined in
 //! [`closing_decision`](crate::closing_decision) and [`period_settler`](crate::period_settler).
 //!
-//! Collection resumes at the position in the store. After a crash of either side batches may be
-//! delivered again, and the store ignores records that it has.
+//! Collection resumes at the stored position. After a crash of the aggregator or of the settlement,
+//! batches may be delivered again; the store ignores records that it already has.
 
 mod clock;
 mod closer;
--- a/crates/usage-ledger/src/settlement/service.rs
+++ b/crates/usage-ledger/src/settlement/service.rs
@@ -1,4 +1,4 @@
-//! The loop that writes the store and closes periods.
+//! The main loop of the settlement, which stores batches and closes periods.
 
 use super::clock::unix_time_ms;
 use super::closer::PeriodCloser;
@@ -11,23 +11,24 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Batches that may wait for the store, from all members together.
+/// Maximum number of batches that wait to be stored, over all members.
 const MAX_QUEUED_BATCHES: usize = 8;
-/// Interval at which the settlement looks for periods to close.
+/// Interval at which the settlement checks whether a period may close.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A signal of an operator to the running settlement.
+/// Command to the running settlement.
 pub enum SettlementSignal {
-    /// Apply these settings.
+    /// Apply new settings.
     Reload(Box<LedgerSettings>),
     /// Shut down gracefully.
     Shutdown,
 }
 
-/// Runs the settlement until it receives [`SettlementSignal::Shutdown`] or all senders are gone.
+/// Runs the settlement until it receives [`SettlementSignal::Shutdown`] or all senders of `signals`
+/// are dropped.
 ///
 /// # Errors
-/// The store can't be used.
+/// The store can't be opened, read or written.
 pub async fn serve(
     path: PathBuf,
     settings: LedgerSettings,
--- a/crates/usage-ledger/src/statement.rs
+++ b/crates/usage-ledger/src/statement.rs
@@ -1,34 +1,34 @@
 //! Statements: the results of closed periods.
 //!
-//! Statements are stored and exported as JSON; the names and the order of the fields are part of
-//! that format.
+//! Statements are stored and printed as JSON. The names and the order of the fields are part of
+//! this format, since the hash of a statement covers them.
 
 use crate::rate::{requests_over_allowance, UsageCounts};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The rounding rule, as text in statements.
+/// Rounding rule as it is named in statements.
 pub(crate) const ROUNDING: &str = "once a line, half a micro-unit up";
 
-/// One line of a statement.
+/// A line of a statement: the usage of one tenant and class in one period.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatementLine {
-    /// The tenant's name.
+    /// Name of the tenant that is billed.
     pub tenant: String,
-    /// The class's name.
+    /// Name of the class of the counted requests.
     pub class: String,
-    /// The name of the period that it counts: that of the statement, or an earlier one that late
-    /// records have changed.
+    /// Name of the period of the counted requests: the period of the statement, or an earlier
+    /// period that late records have changed.
     pub period: String,
-    /// Whether it adjusts an earlier period.
+    /// Whether the line adjusts an earlier period.
     #[serde(rename = "adjusts")]
     pub is_adjustment: bool,
-    /// The counts of the line.
+    /// Counts of the period or, in an adjustment, changes to the counts in earlier statements.
     #[serde(flatten)]
     pub counts: UsageCounts,
-    /// Micro-units.
+    /// Amount to be billed, in micro-units.
     pub amount: i64,
-    /// Whether the class has no price; it is counted and free.
+    /// Whether the class has no price. Its requests are counted and free of charge.
     #[serde(
         rename = "unpriced",
         default,
@@ -40,92 +40,94 @@
 /// A correction that an operator has entered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CorrectionLine {
-    /// The id, unique among all corrections.
+    /// Id that is unique among all corrections.
     pub id: String,
-    /// The tenant's name.
+    /// Name of the tenant whose bill is corrected.
     pub tenant: String,
-    /// Micro-units; negative in favour of the tenant.
+    /// Amount of the correction, in micro-units; negative in favour of the tenant.
     pub amount: i64,
-    /// The reason for it.
+    /// Reason that the operator has given.
     pub reason: String,
-    /// The operator who made it.
+    /// Name of the operator who entered the correction.
     pub author: String,
 }
 
-/// The totals of one tenant in a statement.
+/// Totals of one tenant in a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantTotal {
-    /// The tenant's name.
+    /// Name of the tenant that is billed.
     pub tenant: String,
-    /// Answered requests of the period itself.
+    /// Number of answered requests in the period of the statement, without adjustments.
     pub answered: i64,
-    /// The tenant's allowance; `None` if it has none.
+    /// Allowance of the tenant, in answered requests per period; `None` if the tenant has none.
     pub allowance: Option<u64>,
-    /// Answered requests beyond the allowance.
+    /// Number of answered requests beyond the allowance.
     #[serde(rename = "over")]
     pub over_allowance: i64,
-    /// Micro-units, including adjustments and corrections.
+    /// Amount to be billed, in micro-units, including adjustments and corrections.
     pub amount: i64,
 }
 
-/// How complete the records of a member were when a period closed.
+/// Completeness of the records of a member at the time when a period closed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberState {
-    /// The aggregator's name.
+    /// Name of the aggregator.
     pub member: String,
-    /// Its records were complete up to this time; `None` if nothing was ever collected.
+    /// Time up to which the records were complete, as UTC text; `None` if nothing was ever
+    /// collected.
     #[serde(rename = "complete")]
     pub complete_until: Option<String>,
-    /// Whether the period was closed without some of its records.
+    /// Whether the period closed before all records of the member were collected.
     #[serde(rename = "missing")]
     pub is_missing: bool,
-    /// Records that were never written.
+    /// Number of missing records: sequence numbers for which no record was collected.
     #[serde(rename = "lost")]
     pub lost_records: i64,
-    /// Runs that ended without a closing mark.
+    /// Number of runs that ended without a closing mark, for example in a crash.
     #[serde(rename = "died")]
     pub unclosed_runs: i64,
-    /// Ranges of its log that can't be read.
+    /// Number of unreadable byte ranges in the log.
     #[serde(rename = "damaged")]
     pub damaged_ranges: i64,
 }
 
-/// The result of a closed period. It never changes.
+/// Result of a closed period. A statement never changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Statement {
-    /// The period's name: its start.
+    /// Name of the period: its start as UTC text.
     pub period: String,
-    /// The period's end.
+    /// End of the period, as UTC text.
     #[serde(rename = "end")]
     pub period_end: String,
-    /// When it was closed.
+    /// Time at which the period was closed, as UTC text.
     #[serde(rename = "closed")]
     pub closed_at: String,
-    /// The aggregators that took part.
+    /// Aggregators that were configured as members during the period.
     pub members: Vec<MemberState>,
-    /// Adjustments of earlier periods, then the period's own lines.
+    /// Adjustments of earlier periods, followed by the lines of the period itself.
     pub lines: Vec<StatementLine>,
-    /// Corrections that were made before the period closed.
+    /// Corrections that were entered before the period closed.
     pub corrections: Vec<CorrectionLine>,
-    /// Totals by tenant.
+    /// Totals of each tenant that has lines or corrections.
     pub tenants: Vec<TenantTotal>,
-    /// Micro-units: all lines and corrections.
+    /// Sum of all lines and corrections, in micro-units.
     pub total: i64,
-    /// How amounts were rounded.
+    /// Rule by which amounts were rounded.
     pub rounding: String,
-    /// SHA-256 of the statement before, in hexadecimal; empty for the first.
+    /// SHA-256 of the previous statement in hexadecimal; empty for the first statement.
     #[serde(rename = "previous")]
     pub previous_hash: String,
 }
 
-/// The sums of one tenant.
+/// Running sums of one tenant.
 #[derive(Default)]
 struct TenantSum {
     answered: i64,
+    /// Micro-units.
     amount: i64,
 }
 
-/// The totals of all tenants that have lines or corrections.
+/// Returns the totals of all tenants that have lines or corrections.
 pub(crate) fn tenant_totals(
     lines: &[StatementLine],
     corrections: &[CorrectionLine],
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -1,6 +1,7 @@
-//! Settles periods from stored records, and stores what one period carries over to the next.
+//! Settles periods from stored records, and stores the carry-over of each period: the record ids
+//! that the settlement of the next period depends on.
 //!
-//! Transaction boundary: none of its own; it runs in the caller's transaction.
+//! Transaction boundary: none; all functions run in the transaction of the caller.
 
 use super::error::Result;
 use super::records;
@@ -10,11 +11,14 @@
 use rusqlite::{params, Connection};
 use std::collections::BTreeSet;
 
-/// The tables of record ids by period. All have the same columns.
+/// Tables of record ids by period. All of them have the same columns.
 #[derive(Clone, Copy)]
 enum IdTable {
+    /// [`CarryOver::carried`].
     Carried,
+    /// [`CarryOver::ambiguous_retries`].
     AmbiguousRetries,
+    /// [`SettledPeriod::ambiguous`].
     Ambiguous,
 }
 
@@ -28,14 +32,14 @@
     }
 }
 
-/// Settles a period from its records, without storing anything.
+/// Settles a period from its records. Stores nothing.
 pub(super) fn settle(db: &Connection, period: Period, bounds: JoinBounds) -> Result<SettledPeriod> {
     let mut settler = PeriodSettler::new(period, bounds, load_before(db, period.start_ms)?);
     records::for_each(db, bounds.arrivals(period), |record| settler.push(record))?;
     Ok(settler.finish())
 }
 
-/// Stores what a settled period carries over. Returns true if it has changed.
+/// Stores the carry-over of a settled period. Returns whether it differs from the stored one.
 pub(super) fn save(db: &Connection, period: Period, settled: &SettledPeriod) -> Result<bool> {
     let start = period.start_ms;
     let carry_over = &settled.carry_over;
@@ -47,7 +51,8 @@
     Ok(changed)
 }
 
-/// What the last period that starts before a time carries over.
+/// Returns the carry-over of the last period that starts before `before_ms`; empty if there is
+/// none.
 fn load_before(db: &Connection, before_ms: i64) -> Result<CarryOver> {
     let last = "SELECT max(start) FROM period WHERE start < ?";
     let last: Option<i64> = db.query_row(last, [before_ms], |row| row.get(0))?;
@@ -61,7 +66,7 @@
     })
 }
 
-/// The ids in a table for the period that starts at this time.
+/// Returns the ids in `table` for the period that starts at `period_start_ms`.
 fn load_ids(db: &Connection, table: IdTable, period_start_ms: i64) -> Result<BTreeSet<RecordId>> {
     let table = table.name();
     let select = format!("SELECT at, member, incarnation, sequence FROM {table} WHERE period = ?");
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -1,7 +1,7 @@
-//! Closing periods.
+//! Closes periods.
 //!
-//! Transaction boundary: one transaction per period, for its statement and lines, the adjustments
-//! of earlier periods, its corrections, and the documents for the outbox.
+//! Transaction boundary: one transaction per period. It covers the statement and its lines, the
+//! adjustments of earlier periods, the corrections, and the documents for the outbox.
 
 use super::database::Store;
 use super::error::{Result, StoreError};
@@ -19,28 +19,28 @@
 use rusqlite::{params, Connection, OptionalExtension};
 use std::collections::{BTreeMap, HashMap};
 
-/// The settings and circumstances with which a period is closed.
+/// Settings in force and state of collection when a period is closed.
 #[derive(Clone, Debug)]
 pub struct ClosingTerms<'a> {
-    /// The bounds within which retries are joined.
+    /// Time limits for joining retries.
     pub bounds: JoinBounds,
-    /// Prices by class.
+    /// Prices by class name.
     pub prices: &'a BTreeMap<String, Price>,
-    /// Allowances by tenant.
+    /// Allowances by tenant name, in answered requests per period.
     pub allowances: &'a BTreeMap<String, u64>,
-    /// The members that took part.
+    /// Names of the members that were configured during the period.
     pub members: Vec<String>,
-    /// The members among them whose records are missing.
+    /// Names of the members whose records are missing.
     pub missing: &'a [String],
-    /// The time of closing, in Unix milliseconds.
+    /// Time of closing, in Unix milliseconds.
     pub now_ms: i64,
 }
 
 impl Store {
-    /// Closes a period.
+    /// Closes a period and returns its statement.
     ///
     /// # Errors
-    /// It is closed already, or the store can't be written.
+    /// The period is already closed, or the store can't be written.
     pub fn close_period(&mut self, period: Period, terms: &ClosingTerms<'_>) -> Result<Statement> {
         let statuses = self.member_statuses()?;
         let names = self.names_by_id()?;
@@ -57,7 +57,7 @@
     }
 }
 
-/// A period that is being closed, within its transaction.
+/// The closing of one period, within its transaction.
 struct Closing<'a> {
     db: &'a Connection,
     period: Period,
@@ -65,10 +65,10 @@
     names: &'a HashMap<u32, String>,
 }
 
-/// A period that was settled as part of closing.
+/// Result of settling the period to close, or an earlier period that late records have changed.
 struct SettlementResult {
     lines: LineCounts,
-    /// Whether the period carries over other records than before.
+    /// Whether the carry-over of the period differs from the stored one.
     carry_over_changed: bool,
 }
 
@@ -105,14 +105,14 @@
         Ok(())
     }
 
-    /// The adjustments of earlier periods that late records have changed.
+    /// Returns the adjustments of earlier periods that late records have changed.
     fn adjustment_lines(&self) -> Result<Vec<LineRow>> {
         let mut lines = Vec::new();
         while let Some(earlier) = dirty::first_before(self.db, self.period.start_ms)? {
             let result = self.settle(earlier.period)?;
             if result.carry_over_changed {
-                // The next period may have counted records that this one counts now, or the other
-                // way round. The period that is being closed is settled last in any case.
+                // The next period may have counted records that this one counts now, or vice versa.
+                // The period to close needs no mark, since it is settled last in any case.
                 dirty::mark_following(self.db, earlier.period, self.period.start_ms)?;
             }
             lines.extend(self.adjust(&earlier, &result.lines)?);
@@ -120,26 +120,26 @@
         Ok(lines)
     }
 
-    fn adjust(&self, earlier: &dirty::DirtyPeriod, now: &LineCounts) -> Result<Vec<LineRow>> {
+    fn adjust(&self, earlier: &dirty::DirtyPeriod, current: &LineCounts) -> Result<Vec<LineRow>> {
         let stated = lines::load_stated_usage(self.db, earlier.period)?;
         let adjust = |(key, counts)| {
             let price = self.price(&earlier.prices, key);
-            let due = now.get(&key);
-            let due = due.map_or(0, |counts| line_amount(counts, price.unwrap_or_default()));
+            let amount = current.get(&key);
+            let amount = amount.map_or(0, |counts| line_amount(counts, price.unwrap_or_default()));
             LineRow {
                 period: earlier.period,
                 is_adjustment: true,
                 key,
                 counts,
-                amount: due - stated.amounts.get(&key).copied().unwrap_or_default(),
+                amount: amount - stated.amounts.get(&key).copied().unwrap_or_default(),
                 is_unpriced: price.is_none(),
             }
         };
-        let differences = adjustments(now, &stated.lines);
+        let differences = adjustments(current, &stated.lines);
         Ok(differences.into_iter().map(adjust).collect())
     }
 
-    /// The lines of the period itself.
+    /// Returns the lines of the period itself.
     fn own_lines(&self) -> Result<Vec<LineRow>> {
         let lines = self.settle(self.period)?.lines;
         let line = |(key, counts)| {
@@ -156,7 +156,7 @@
         Ok(lines.into_iter().map(line).collect())
     }
 
-    /// Settles a period from its records, and stores what it carries over.
+    /// Settles a period from its records and stores its carry-over.
     fn settle(&self, period: Period) -> Result<SettlementResult> {
         let settled = carry_over::settle(self.db, period, self.terms.bounds)?;
         let carry_over_changed = carry_over::save(self.db, period, &settled)?;
@@ -173,7 +173,7 @@
     }
 
     fn statement(&self, lines: &[LineRow], statuses: &[MemberStatus]) -> Result<Statement> {
-        let corrections = correction::take_waiting(self.db, self.period)?;
+        let corrections = correction::assign_pending(self.db, self.period)?;
         let lines: Vec<_> = lines
             .iter()
             .map(|line| line.with_names(self.names))
--- a/crates/usage-ledger/src/store/correction.rs
+++ b/crates/usage-ledger/src/store/correction.rs
@@ -1,7 +1,7 @@
-//! Corrections by an operator.
+//! Corrections that operators enter.
 //!
-//! Transaction boundary: one transaction per correction, for the correction and, if its period is
-//! closed, the credit or debit in the outbox.
+//! Transaction boundary: one transaction per correction. It covers the correction and, if the
+//! period is closed, the credit or debit in the outbox.
 
 use super::database::Store;
 use super::error::{Result, StoreError};
@@ -12,11 +12,12 @@
 use rusqlite::{params, Connection, OptionalExtension, Row};
 
 impl Store {
-    /// Enters a correction. If its period is open, the correction becomes part of the statement;
-    /// otherwise it becomes a credit or debit document, which is returned.
+    /// Enters a correction at `now_ms` (Unix milliseconds). If the period is still open, the
+    /// correction becomes part of its statement, and `None` is returned. If the period is closed, a
+    /// credit or debit document is put into the outbox and returned.
     ///
     /// # Errors
-    /// There is a correction with this id, or the store can't be written.
+    /// A correction with this id exists already, or the store can't be written.
     pub fn enter_correction(
         &mut self,
         correction: &CorrectionLine,
@@ -51,8 +52,9 @@
     }
 }
 
-/// Assigns the corrections that wait for the statement of `period` to it, and returns them.
-pub(super) fn take_waiting(db: &Connection, period: Period) -> Result<Vec<CorrectionLine>> {
+/// Assigns all corrections of `period` that belong to no statement yet to the statement of
+/// `period`, and returns them.
+pub(super) fn assign_pending(db: &Connection, period: Period) -> Result<Vec<CorrectionLine>> {
     let mut select = db.prepare(
         "SELECT id, tenant, amount, reason, author FROM correction
          WHERE statement IS NULL AND period = ? ORDER BY made, id",
--- a/crates/usage-ledger/src/store/database.rs
+++ b/crates/usage-ledger/src/store/database.rs
@@ -1,4 +1,4 @@
-//! The open database, and the ids of names in it.
+//! The database connection, and the ids that replace names in records.
 
 use super::error::Result;
 use super::schema;
@@ -7,12 +7,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long an operation waits for another process to finish its transaction.
+/// Maximum time that an operation waits for another process to finish its transaction.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(60);
-/// SQLite's page cache: a negative number is a size in KiB.
+/// Size of SQLite's page cache. A negative number is a size in KiB.
 const CACHE_SIZE: i64 = -8192;
 
-/// The kinds of names that have ids.
+/// Kind of a name that has an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum NameKind {
     Member,
@@ -21,7 +21,7 @@
 }
 
 impl NameKind {
-    /// The value of the column `kind`.
+    /// Returns the value of the column `kind`.
     fn as_str(self) -> &'static str {
         match self {
             NameKind::Member => "member",
@@ -31,18 +31,19 @@
     }
 }
 
-/// An open store.
+/// An open store: a connection to the SQLite database.
 pub struct Store {
     pub(super) db: Connection,
-    /// The ids of names that were looked up before.
+    /// Cache of the ids of names.
     name_ids: HashMap<(NameKind, String), u32>,
 }
 
 impl Store {
-    /// Opens the store, and migrates it to the current version of the schema.
+    /// Opens the store and migrates it to the current schema version. Creates the file if it does
+    /// not exist.
     ///
     /// # Errors
-    /// The file can't be opened, or a later version of the program has written it.
+    /// The file can't be opened, or a newer release has written it.
     pub fn open(path: &Path) -> Result<Store> {
         let mut db = Connection::open(path)?;
         db.busy_timeout(BUSY_TIMEOUT)?;
@@ -56,13 +57,13 @@
         })
     }
 
-    /// Begins a transaction that has the write lock from the start.
+    /// Begins an immediate transaction, which takes the write lock from the start.
     pub(super) fn begin(&mut self) -> Result<Transaction<'_>> {
         let behavior = TransactionBehavior::Immediate;
         Ok(self.db.transaction_with_behavior(behavior)?)
     }
 
-    /// The id of a name. A new name is added.
+    /// Returns the id of a name. Inserts the name if it is new.
     pub(super) fn name_id(&mut self, kind: NameKind, name: &str) -> Result<u32> {
         let cache_key = (kind, name.to_string());
         if let Some(id) = self.name_ids.get(&cache_key) {
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -1,7 +1,7 @@
-//! Dirty periods: closed periods that late records have changed. They are settled again when the
-//! next period closes.
+//! Dirty periods: closed periods whose counts may have changed because of late records. They are
+//! settled again when the next period closes.
 //!
-//! Transaction boundary: none of its own; it runs in the caller's transaction.
+//! Transaction boundary: none; all functions run in the transaction of the caller.
 
 use super::error::Result;
 use crate::join::JoinBounds;
@@ -10,17 +10,18 @@
 use rusqlite::{Connection, OptionalExtension, Row};
 use std::collections::BTreeMap;
 
-/// A closed period that has to be settled again.
+/// A closed period that must be settled again.
 pub(super) struct DirtyPeriod {
     pub(super) period: Period,
-    /// The prices in force when it was closed.
+    /// Prices in force when the period was closed, by class name.
     pub(super) prices: BTreeMap<String, Price>,
 }
 
-/// Marks the closed periods dirty that a late record belongs to.
+/// Marks the closed periods dirty whose settlement reads the late record that arrived at
+/// `arrived_at_ms`.
 ///
-/// Inserts a period if there is none at `arrived_at_ms` and the record arrived before
-/// `closed_until_ms`, the end of the last closed period. Times are in Unix milliseconds.
+/// If no period contains `arrived_at_ms` and the record arrived before `closed_until_ms`, the end
+/// of the last closed period, inserts a dirty period. Times are in Unix milliseconds.
 pub(super) fn mark_late_arrival(
     db: &Connection,
     arrived_at_ms: i64,
@@ -32,10 +33,10 @@
     db.prepare_cached(mark)?
         .execute([arrived_at_ms, bounds.skew_ms, bounds.lookahead_ms()])?;
     let count = "SELECT count(*) FROM period WHERE start <= ? AND end > ?";
-    let holding: i64 = db
+    let containing_periods: i64 = db
         .prepare_cached(count)?
         .query_row([arrived_at_ms, arrived_at_ms], |row| row.get(0))?;
-    if arrived_at_ms < closed_until_ms && holding == 0 {
+    if arrived_at_ms < closed_until_ms && containing_periods == 0 {
         insert_missing_period(db, arrived_at_ms, calendar)?;
     }
     Ok(())
@@ -43,7 +44,8 @@
 
 fn insert_missing_period(db: &Connection, arrived_at_ms: i64, calendar: &Calendar) -> Result<()> {
     let period = calendar.period_at(arrived_at_ms);
-    // The calendar may have changed since: the period must not overlap its neighbours.
+    // The calendar may have changed since the other periods were closed: the new period must not
+    // overlap them.
     let after = "SELECT min(start) FROM period WHERE start > ?";
     let after: Option<i64> = db.query_row(after, [arrived_at_ms], |row| row.get(0))?;
     let before = "SELECT max(end) FROM period WHERE end <= ?";
@@ -54,8 +56,8 @@
     Ok(())
 }
 
-/// The first dirty period before a time. Only one is returned, since settling it may make the next
-/// one dirty.
+/// Returns the first dirty period that starts before `before_ms`. Only one is returned, because
+/// settling it may make the following period dirty.
 pub(super) fn first_before(db: &Connection, before_ms: i64) -> Result<Option<DirtyPeriod>> {
     let select =
         "SELECT start, end, prices FROM period WHERE dirty AND start < ? ORDER BY start LIMIT 1";
@@ -73,15 +75,15 @@
     Ok(Some(DirtyPeriod { period, prices }))
 }
 
-/// Marks a period as settled.
+/// Marks a period as no longer dirty.
 pub(super) fn clear(db: &Connection, period: Period) -> Result<()> {
     let clear = "UPDATE period SET dirty = 0 WHERE start = ?";
     db.execute(clear, [period.start_ms])?;
     Ok(())
 }
 
-/// Marks the period after `period` dirty if it begins before a time, because what `period` carries
-/// over has changed.
+/// Marks the period that follows `period` dirty if it starts before `before_ms`. Called when the
+/// carry-over of `period` has changed.
 pub(super) fn mark_following(db: &Connection, period: Period, before_ms: i64) -> Result<()> {
     db.execute(
         "UPDATE period SET dirty = 1 WHERE start = (SELECT min(start) FROM period WHERE start > ?)
--- a/crates/usage-ledger/src/store/error.rs
+++ b/crates/usage-ledger/src/store/error.rs
@@ -3,33 +3,33 @@
 /// An error of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// SQLite failed.
-    #[error("the store: {0}")]
+    /// An operation of SQLite failed.
+    #[error("store: {0}")]
     Sqlite(#[from] rusqlite::Error),
-    /// A later version of the program has changed the schema.
-    #[error("the store is of version {found}, made by a later program: this one knows {known}")]
+    /// A newer release has written the store, with a schema that this release does not support.
+    #[error("store has schema version {found}, written by a newer release; this release supports up to {known}")]
     NewerSchema {
-        /// The file's version.
+        /// Schema version of the file.
         found: usize,
-        /// The latest version that this program knows.
+        /// Latest schema version that this release supports.
         known: usize,
     },
     /// The period to close already has a statement.
-    #[error("the period {period} is closed")]
+    #[error("period {period} is already closed")]
     PeriodClosed {
-        /// The period's name.
+        /// Name of the period.
         period: String,
     },
-    /// A correction with this id exists.
-    #[error("there is a correction {id} already")]
+    /// A correction with the same id exists already.
+    #[error("correction {id} already exists")]
     DuplicateCorrection {
-        /// The correction's id.
+        /// Id of the correction.
         id: String,
     },
-    /// A statement or document can't be written as JSON, or read from it.
-    #[error("a document can't be written: {0}")]
+    /// JSON in the store can't be parsed, or a value can't be encoded as JSON.
+    #[error("cannot encode or parse JSON of the store: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// The result of an operation on the store.
+/// Result of an operation on the store.
 pub(super) type Result<T> = std::result::Result<T, StoreError>;
--- a/crates/usage-ledger/src/store/ingest/batch.rs
+++ b/crates/usage-ledger/src/store/ingest/batch.rs
@@ -1,4 +1,4 @@
-//! Writes one batch into the store.
+//! Stores one batch.
 
 use super::header_ids::HeaderIds;
 use super::run_progress::RunProgress;
@@ -10,19 +10,20 @@
 use crate::wire::{entry::What, Batch, Damage, Entry, Record};
 use rusqlite::{params, CachedStatement, Connection};
 
-/// The counts of records in a batch.
+/// Numbers of records in an ingested batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IngestSummary {
-    /// Records that are new to the store.
+    /// Number of records that are new to the store.
     pub new: u64,
-    /// Records that the store already had.
+    /// Number of records that the store already had.
     pub known: u64,
-    /// New records that belong to closed periods.
+    /// Number of new records that may change closed periods.
     pub late: u64,
 }
 
 impl Store {
-    /// Writes a batch of the log of a member into the store.
+    /// Stores a batch of the log of a member. Marks the closed periods dirty that the batch may
+    /// change. A batch without a header is ignored.
     ///
     /// # Errors
     /// The store can't be written.
@@ -48,19 +49,19 @@
             closed_until_ms: closed_until_ms(&transaction)?,
             progress: RunProgress::load(&transaction, run)?,
             ids,
-            ingested: IngestSummary::default(),
+            summary: IngestSummary::default(),
         };
         ingestion.insert_entries(&batch.entries)?;
-        let ingested = ingestion.ingested;
+        let summary = ingestion.summary;
         ingestion.progress.save(&transaction, run)?;
         let tails_after = uncertainty::uncertain_tails(&transaction, Some(run.member_id))?;
         uncertainty::mark_changed_tails(&transaction, &tails_before, &tails_after, bounds)?;
         transaction.commit()?;
-        Ok(ingested)
+        Ok(summary)
     }
 }
 
-/// A batch that is being written, within its transaction.
+/// The ingestion of one batch, within its transaction.
 struct Ingestion<'a> {
     db: &'a Connection,
     calendar: &'a Calendar,
@@ -68,7 +69,7 @@
     closed_until_ms: i64,
     ids: HeaderIds,
     progress: RunProgress,
-    ingested: IngestSummary,
+    summary: IngestSummary,
 }
 
 impl Ingestion<'_> {
@@ -88,17 +89,17 @@
 
     fn insert_record(&mut self, insert: &mut CachedStatement<'_>, record: &Record) -> Result<()> {
         if !self.insert_if_new(insert, record)? {
-            self.ingested.known += 1;
+            self.summary.known += 1;
             return Ok(());
         }
-        self.ingested.new += 1;
+        self.summary.new += 1;
         self.progress.on_record(record.sequence as i64);
         let arrived_at_ms = record.arrived_ms as i64;
         // Settling a period also reads the retries that arrive after its end.
         let lookahead_ms = self.bounds.lookahead_ms();
         let settled_until_ms = self.closed_until_ms.saturating_add(lookahead_ms);
         if arrived_at_ms < settled_until_ms {
-            self.ingested.late += 1;
+            self.summary.late += 1;
             dirty::mark_late_arrival(
                 self.db,
                 arrived_at_ms,
@@ -110,7 +111,7 @@
         Ok(())
     }
 
-    /// Returns false if the store already had the record.
+    /// Inserts a record. Returns false if the store already had it.
     fn insert_if_new(&self, insert: &mut CachedStatement<'_>, record: &Record) -> Result<bool> {
         let run = self.ids.run;
         let class = self.ids.class(record);
@@ -135,21 +136,16 @@
 }
 
 fn insert_damage(db: &Connection, member_id: u32, damage: &[Damage]) -> Result<()> {
-    for stretch in damage {
+    for range in damage {
         db.execute(
             "INSERT OR IGNORE INTO damage VALUES (?, ?, ?, ?)",
-            params![
-                member_id,
-                stretch.segment,
-                stretch.from as i64,
-                stretch.to as i64
-            ],
+            params![member_id, range.segment, range.from as i64, range.to as i64],
         )?;
     }
     Ok(())
 }
 
-/// The end of the last closed period, in Unix milliseconds.
+/// Returns the end of the last closed period, in Unix milliseconds; `i64::MIN` if none was closed.
 fn closed_until_ms(db: &Connection) -> Result<i64> {
     let select = "SELECT coalesce(max(end), ?) FROM period";
     Ok(db.query_row(select, [i64::MIN], |row| row.get(0))?)
--- a/crates/usage-ledger/src/store/ingest/header_ids.rs
+++ b/crates/usage-ledger/src/store/ingest/header_ids.rs
@@ -1,23 +1,23 @@
-//! The ids of the names in the header of a segment.
+//! Maps the names in the header of a segment to ids in the store.
 
 use crate::store::database::{NameKind, Store};
 use crate::store::error::Result;
 use crate::store::uncertainty::RunKey;
 use crate::wire::{Header, Record};
 
-/// The tenant of all requests at an aggregator without tenants.
+/// Name of the tenant for all requests to an aggregator that has no tenants configured.
 const DEFAULT_TENANT: &str = "all";
-/// The class of records whose class is not in the header.
+/// Name of the class for records whose class is not in the header.
 const UNKNOWN_CLASS: &str = "unknown";
 
-/// A class in the store.
+/// A class with its id in the store.
 #[derive(Clone, Copy)]
 pub(super) struct StoredClass {
     pub(super) id: u32,
     pub(super) client_timeout_ms: i64,
 }
 
-/// The ids that the names of a header have in the store.
+/// Ids in the store for the names in a header.
 pub(super) struct HeaderIds {
     pub(super) run: RunKey,
     tenant_ids: Vec<u32>,
@@ -27,7 +27,7 @@
 }
 
 impl HeaderIds {
-    /// Looks up the names of a header. Adds new names to the store.
+    /// Looks up the names of a header. Inserts new names into the store.
     pub(super) fn of(store: &mut Store, member: &str, header: &Header) -> Result<HeaderIds> {
         let member_id = store.name_id(NameKind::Member, member)?;
         let mut tenant_ids = Vec::new();
@@ -58,13 +58,13 @@
         })
     }
 
-    /// The id of the tenant of a record.
+    /// Returns the id of the tenant of a record.
     pub(super) fn tenant_id(&self, record: &Record) -> u32 {
         let tenant = self.tenant_ids.get(record.tenant as usize);
         tenant.copied().unwrap_or(self.default_tenant_id)
     }
 
-    /// The class of a record.
+    /// Returns the class of a record.
     pub(super) fn class(&self, record: &Record) -> StoredClass {
         let class = self.classes.get(record.class as usize);
         class.copied().unwrap_or(self.unknown_class)
--- a/crates/usage-ledger/src/store/ingest/mod.rs
+++ b/crates/usage-ledger/src/store/ingest/mod.rs
@@ -1,9 +1,9 @@
-//! Ingestion: writes batches from the logs of members into the store.
+//! Ingestion: stores batches from the logs of members.
 //!
-//! Transaction boundary: one transaction per batch, for its records and damage, the new position of
-//! the member, and the closed periods that become dirty. A batch that is delivered again changes
-//! nothing. The ids of new names are committed before the batch; an id without records is
-//! harmless.
+//! Transaction boundary: one transaction per batch. It covers the records and damage of the batch,
+//! the new position of the member, and the closed periods that become dirty. A batch that is
+//! delivered again changes nothing. The ids of new names are committed before the batch; an id
+//! without records is harmless.
 
 mod batch;
 mod header_ids;
--- a/crates/usage-ledger/src/store/ingest/run_progress.rs
+++ b/crates/usage-ledger/src/store/ingest/run_progress.rs
@@ -1,21 +1,21 @@
-//! How far one run of a member has been collected: a row of the table `position`.
+//! Progress of the collection of one run of a member: a row of the table `position`.
 
 use crate::store::error::Result;
 use crate::store::uncertainty::RunKey;
 use crate::wire::Mark;
 use rusqlite::{params, Connection, OptionalExtension};
 
-/// How far one run of a member has been collected.
+/// Progress of the collection of one run of a member.
 pub(super) struct RunProgress {
-    /// The highest sequence number of a record or mark.
+    /// Highest sequence number of a record or mark.
     last_sequence: i64,
-    /// All records that arrived before this time are in the store, in Unix milliseconds.
+    /// Time before which all records of the run are in the store, in Unix milliseconds.
     complete_until_ms: i64,
-    /// The highest sequence number of a mark.
+    /// Highest sequence number of a mark.
     marked_sequence: i64,
-    /// Whether there is a closing mark.
+    /// Whether the closing mark has been collected.
     has_ended: bool,
-    /// The number of records that were never written.
+    /// Number of sequence numbers up to `last_sequence` for which no record has been collected.
     lost_records: i64,
 }
 
@@ -61,8 +61,8 @@
         Ok(())
     }
 
-    /// Counts a new record. The records between the last one and this one count as lost until they
-    /// arrive.
+    /// Updates the progress for a new record. Records whose sequence numbers were skipped count as
+    /// lost until they are collected.
     pub(super) fn on_record(&mut self, sequence: i64) {
         let expected = self.last_sequence + 1;
         self.lost_records += if sequence >= expected {
@@ -73,6 +73,8 @@
         self.last_sequence = self.last_sequence.max(sequence);
     }
 
+    /// Updates the progress for a mark. Records before the mark that were not collected count as
+    /// lost.
     pub(super) fn on_mark(&mut self, mark: &Mark) {
         let sequence = mark.sequence as i64;
         self.lost_records += (sequence - self.last_sequence).max(0);
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -1,6 +1,6 @@
-//! The lines of statements.
+//! The lines of statements, stored in the table `line`.
 //!
-//! Transaction boundary: none of its own; it runs in the caller's transaction.
+//! Transaction boundary: none; all functions run in the transaction of the caller.
 
 use super::error::Result;
 use crate::line_counts::{LineCounts, LineKey};
@@ -12,19 +12,20 @@
 
 /// A line of a statement, with ids in place of names.
 pub(super) struct LineRow {
-    /// The period it counts.
+    /// Period of the counted requests.
     pub(super) period: Period,
-    /// Whether it adjusts a period that was closed before.
+    /// Whether the line adjusts a period that was closed before.
     pub(super) is_adjustment: bool,
     pub(super) key: LineKey,
     pub(super) counts: UsageCounts,
-    /// Micro-units.
+    /// Amount to be billed, in micro-units.
     pub(super) amount: i64,
     /// Whether the class has no price.
     pub(super) is_unpriced: bool,
 }
 
 impl LineRow {
+    /// Returns the line with the names for its ids.
     pub(super) fn with_names(&self, names: &HashMap<u32, String>) -> StatementLine {
         let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
         StatementLine {
@@ -55,15 +56,15 @@
     }
 }
 
-/// The usage of a period in all statements so far.
+/// Usage of a period, summed over all statements so far.
 #[derive(Default)]
 pub(super) struct StatedUsage {
     pub(super) lines: LineCounts,
-    /// Micro-units.
+    /// Billed amounts, in micro-units.
     pub(super) amounts: BTreeMap<LineKey, i64>,
 }
 
-/// The usage of `period` in all statements so far.
+/// Returns the usage of `period`, summed over all statements so far.
 pub(super) fn load_stated_usage(db: &Connection, period: Period) -> Result<StatedUsage> {
     let mut select = db.prepare(
         "SELECT tenant, class, sum(uses), sum(whole), sum(partial), sum(share), sum(refused), sum(failed), sum(gone),
@@ -83,7 +84,7 @@
     Ok(stated)
 }
 
-/// The counts of a row, which follow the two columns of the key.
+/// Reads the counts of a row, which follow the two columns of the key.
 fn read_counts(row: &Row<'_>) -> rusqlite::Result<UsageCounts> {
     let mut values = [0; UsageCounts::COLUMNS.len()];
     for (index, value) in values.iter_mut().enumerate() {
--- a/crates/usage-ledger/src/store/mod.rs
+++ b/crates/usage-ledger/src/store/mod.rs
@@ -1,19 +1,20 @@
 //! The settlement's store: one SQLite file.
 //!
-//! One process writes at a time; others may read. Each operation that changes more than one row is
-//! one transaction, so that after a crash the store is as it was before or after the operation.
+//! One process writes at a time; others may read. Each operation that changes more than one row
+//! runs in one transaction, so after a crash the store contains all changes of an operation or
+//! none.
 //!
-//! The names of tables and columns are those of schema version 1. They are mapped to the names of
-//! the code where rows are read and written.
+//! Tables and columns keep the names of schema version 1. The code that reads and writes rows maps
+//! them to the names of the Rust types.
 //!
-//! | module | what it does | transaction |
+//! | module | responsibility | transaction |
 //! | --- | --- | --- |
-//! | `schema` | versions and migrations | one for all missing versions |
-//! | `ingest` | writes batches of records | one per batch |
+//! | `schema` | defines and migrates the schema | one for all missing versions |
+//! | `ingest` | stores batches of records | one per batch |
 //! | `closing` | closes a period and adjusts earlier ones | one per period |
 //! | `correction` | enters corrections | one per correction |
-//! | `outbox` | documents and their delivery | one per delivery |
-//! | `queries` | positions, members, periods, statements | none |
+//! | `outbox` | stores documents and the state of their delivery | one per delivery |
+//! | `queries` | reads positions, members, periods and statements | none |
 //! | `verification` | checks statements and documents against the records | none |
 
 mod carry_over;
--- a/crates/usage-ledger/src/store/outbox.rs
+++ b/crates/usage-ledger/src/store/outbox.rs
@@ -1,7 +1,8 @@
-//! The documents to send, and the results of sending them.
+//! The outbox: documents to send, and the state of their delivery.
 //!
-//! Transaction boundary: a document is inserted in the transaction that made it. The result of a
-//! delivery is stored in a transaction of its own, after the receiver has answered.
+//! Transaction boundary: a document is inserted in the transaction of the operation that creates
+//! it. The result of a delivery is stored in a separate transaction, after the receiver has
+//! responded.
 
 use super::database::Store;
 use super::error::Result;
@@ -11,11 +12,11 @@
 use crate::settings::ExportTarget;
 use rusqlite::{params, Connection, Row};
 
-/// The columns of `outbox` that [`read_document`] reads, in its order.
+/// Columns of `outbox`, in the order in which [`read_document`] reads them.
 const COLUMNS: &str = "id, body, folder IS NOT NULL, posted IS NOT NULL, attempts, error";
 
 impl Store {
-    /// All documents, oldest first.
+    /// Returns all documents, oldest first.
     ///
     /// # Errors
     /// The store can't be read.
@@ -26,8 +27,8 @@
         Ok(documents.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// The documents that have not reached all destinations of `target`, oldest first. There are
-    /// none if it names no destination.
+    /// Returns the documents that have not reached all destinations of `target`, oldest first.
+    /// Returns no documents if `target` has no destination.
     ///
     /// # Errors
     /// The store can't be read.
@@ -44,7 +45,7 @@
         Ok(documents.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// Stores the result of an attempt to send a document at `now_ms`, in Unix milliseconds.
+    /// Stores the result of an attempt to send a document at `now_ms` (Unix milliseconds).
     ///
     /// # Errors
     /// The store can't be written.
@@ -71,7 +72,7 @@
     }
 }
 
-/// Puts a document into the outbox.
+/// Inserts a document into the outbox.
 pub(super) fn insert(db: &Connection, document: &Document, now_ms: i64) -> Result<()> {
     let body = serde_json::to_string(document)?;
     db.execute(
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -1,6 +1,6 @@
 //! Queries for members, periods and statements.
 //!
-//! Transaction boundary: none; each method reads one consistent snapshot.
+//! Transaction boundary: none; each query reads one consistent snapshot.
 
 use super::database::Store;
 use super::error::Result;
@@ -10,49 +10,52 @@
 use rusqlite::{params, OptionalExtension, Row};
 use std::collections::{BTreeMap, HashMap};
 
-/// How far the log of a member has been collected.
+/// State of the collection from one member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
-    /// The aggregator's name.
+    /// Name of the aggregator.
     pub member: String,
-    /// The position of the last record of its last run.
+    /// Position of the last collected record or mark in the latest run.
     pub position: LogPosition,
-    /// Its records are complete before this time, in Unix milliseconds.
+    /// Time before which all records of the latest run are in the store, in Unix milliseconds.
     pub complete_until_ms: i64,
-    /// Whether its last run ended with a closing mark.
+    /// Whether the latest run has ended with a closing mark.
     pub ended: bool,
-    /// The number of records of all its runs.
+    /// Number of collected records, over all runs.
     pub records: i64,
-    /// The number of records that were never written.
+    /// Number of missing records, over all runs: sequence numbers for which no record was
+    /// collected.
     pub lost_records: i64,
-    /// The number of earlier runs that ended without a closing mark.
+    /// Number of earlier runs that ended without a closing mark, for example in a crash.
     pub unclosed_runs: i64,
-    /// The number of ranges of its log that can't be read.
+    /// Number of unreadable byte ranges in the log.
     pub damaged_ranges: i64,
 }
 
-/// A statement as it is stored.
+/// A statement with its stored text and hash.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredStatement {
-    /// The statement.
+    /// Statement that was parsed from `body`.
     pub statement: Statement,
     /// SHA-256 of the JSON text in hexadecimal, computed when the period was closed.
     pub hash: String,
-    /// The statement as JSON text.
+    /// Statement as JSON text.
     pub body: String,
 }
 
-/// A closed period. Includes periods before the last closed one that only late records have made.
+/// A closed period. Periods before the last closed one are included even if they have no statement,
+/// because all of their records were late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClosedPeriod {
-    /// Start and end.
+    /// Time range of the period.
     pub period: Period,
-    /// Whether late records have changed it, so that it is settled again when the next one closes.
+    /// Whether late records may have changed the counts, so that the period is settled again when
+    /// the next one closes.
     pub late_records_pending: bool,
 }
 
 impl Store {
-    /// The names of members, tenants and classes by their ids.
+    /// Returns the names of members, tenants and classes by id.
     ///
     /// # Errors
     /// The store can't be read.
@@ -62,7 +65,8 @@
         Ok(names.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// The position up to which the store has the log of a member.
+    /// Returns the position up to which the log of a member is stored; the default position if
+    /// nothing was ever collected.
     ///
     /// # Errors
     /// The store can't be read.
@@ -79,8 +83,8 @@
         Ok(position.unwrap_or_default())
     }
 
-    /// How far the logs of members have been collected, sorted by name. Members from which nothing
-    /// was ever collected are left out.
+    /// Returns the state of the collection from each member, sorted by name. Members from which
+    /// nothing was ever collected are left out.
     ///
     /// # Errors
     /// The store can't be read.
@@ -113,8 +117,8 @@
         Ok(statuses.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// The number of records of one run of a member, by `TENANT CLASS`, which are also the keys of
-    /// the aggregator's own counters.
+    /// Returns the number of records of one run of a member, by tenant and class. The keys have the
+    /// form `TENANT CLASS`, as in the counters of the aggregator.
     ///
     /// # Errors
     /// The store can't be read.
@@ -130,7 +134,7 @@
         Ok(counts.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// The period to close next; `None` before the first record.
+    /// Returns the period to close next; `None` if no period was closed and there is no record.
     ///
     /// # Errors
     /// The store can't be read.
@@ -149,7 +153,7 @@
         Ok(first_arrival.map(|at| calendar.period_at(at)))
     }
 
-    /// All statements, oldest first.
+    /// Returns all statements, oldest first.
     ///
     /// # Errors
     /// The store can't be read.
@@ -170,7 +174,7 @@
         .collect()
     }
 
-    /// The closed periods, oldest first.
+    /// Returns the closed periods, oldest first.
     ///
     /// # Errors
     /// The store can't be read.
--- a/crates/usage-ledger/src/store/records.rs
+++ b/crates/usage-ledger/src/store/records.rs
@@ -1,7 +1,7 @@
-//! Reads usage records: the mapping of the table `record` to [`UsageRecord`].
+//! Reads usage records: maps rows of the table `record` to [`UsageRecord`]s.
 //!
-//! Transaction boundary: none of its own; it runs in the caller's transaction or, outside of one,
-//! reads one consistent snapshot a query.
+//! Transaction boundary: none. Within a transaction of the caller all functions run in it; outside
+//! of one, each query reads one consistent snapshot.
 
 use super::database::Store;
 use super::error::Result;
@@ -11,24 +11,25 @@
 use rusqlite::{params, Connection, Row};
 use std::ops::Range;
 
-/// Bit of the column `flags`: the client marked the request as a retry.
+/// Bit of the column `flags` that is set if the client marked the request as a retry.
 const FLAG_RETRY: i64 = 1;
-/// Bit of the column `flags`: the key is the idempotency key of the client.
+/// Bit of the column `flags` that is set if the key is derived from an idempotency key.
 const FLAG_IDEMPOTENCY_KEY: i64 = 1 << 1;
 
 impl Store {
-    /// The records that arrived in `from..until`, in Unix milliseconds, in the order of their ids.
+    /// Returns the records that arrived in `from_ms..until_ms` (Unix milliseconds), in the order of
+    /// their ids.
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn records(&self, from: i64, until: i64) -> Result<Vec<UsageRecord>> {
+    pub fn records(&self, from_ms: i64, until_ms: i64) -> Result<Vec<UsageRecord>> {
         let mut records = Vec::new();
-        for_each(&self.db, from..until, |record| records.push(record))?;
+        for_each(&self.db, from_ms..until_ms, |record| records.push(record))?;
         Ok(records)
     }
 }
 
-/// The column `flags` of a record.
+/// Returns the value of the column `flags` for a record.
 pub(super) fn flags(record: &Record) -> i64 {
     let mut flags = 0;
     if record.repeat {
@@ -40,8 +41,8 @@
     flags
 }
 
-/// Calls `on_record` with each record that arrived in this range, in the order of their ids. Only
-/// one record is in memory at a time.
+/// Calls `on_record` with each record that arrived in the range `arrivals` (Unix milliseconds), in
+/// the order of their ids. Only one record is in memory at a time.
 pub(super) fn for_each(
     db: &Connection,
     arrivals: Range<i64>,
@@ -89,8 +90,8 @@
     })
 }
 
-/// The outcome of a stored number. An unknown number, which only a later version can have written,
-/// counts as failed.
+/// Maps the stored number of an outcome. An unknown number, which only a newer release can have
+/// written, counts as failed.
 fn outcome(number: i32, share: u32) -> RecordedOutcome {
     match WireOutcome::try_from(number) {
         Ok(WireOutcome::Whole) => RecordedOutcome::Complete,
--- a/crates/usage-ledger/src/store/schema.rs
+++ b/crates/usage-ledger/src/store/schema.rs
@@ -1,12 +1,12 @@
-//! The SQLite schema and its versions.
+//! Versions of the SQLite schema, and their migrations.
 //!
 //! Transaction boundary: [`migrate`] applies all missing migrations in one immediate transaction.
-//! If two processes open a store at the same time, the second one finds it migrated.
+//! If two processes open a store at the same time, the second one waits and finds it migrated.
 
 use super::error::{Result, StoreError};
 use rusqlite::{Connection, TransactionBehavior};
 
-/// The migrations, one per version of the schema. A released migration never changes.
+/// Migrations, one per schema version. A released migration never changes.
 const MIGRATIONS: &[&str] = &["
 CREATE TABLE name (id INTEGER PRIMARY KEY, kind TEXT NOT NULL, text TEXT NOT NULL, UNIQUE (kind, text));
 CREATE TABLE record (
@@ -48,7 +48,7 @@
   attempts INTEGER NOT NULL, error TEXT);
 "];
 
-/// Migrates a database to the current version of the schema.
+/// Migrates a database to the current schema version.
 pub(super) fn migrate(db: &mut Connection) -> Result<()> {
     let transaction = db.transaction_with_behavior(TransactionBehavior::Immediate)?;
     let read_version = |row: &rusqlite::Row<'_>| row.get::<_, u32>(0);
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -1,7 +1,8 @@
 //! Runs of aggregators that ended without a closing mark, for example in a crash. The last replies
-//! of such a run may not have been sent, so retries may belong to its answered requests.
+//! of such a run may not have been sent, so retries may belong to requests that are recorded as
+//! answered.
 //!
-//! Transaction boundary: none of its own; it runs in the caller's transaction.
+//! Transaction boundary: none; all functions run in the transaction of the caller.
 
 use super::error::Result;
 use crate::join::JoinBounds;
@@ -15,21 +16,21 @@
     pub(super) incarnation: u64,
 }
 
-/// The last records of a run, whose replies may not have been sent.
+/// The uncertain tail of a run: its last records, whose replies may not have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UncertainTail {
-    /// Records after this one are uncertain.
+    /// Sequence number of the last record before the tail.
     pub(super) after_sequence: u64,
-    /// The earliest possible arrival of such a record, in Unix milliseconds.
+    /// Earliest possible arrival time of a record in the tail, in Unix milliseconds.
     pub(super) since_ms: i64,
 }
 
 pub(super) type UncertainTails = HashMap<RunKey, UncertainTail>;
 
-/// The uncertain tails of one member, or of all members if `member_id` is `None`.
+/// Returns the uncertain tails of one member, or of all members if `member_id` is `None`.
 ///
-/// A run has an uncertain tail if it has no closing mark although a later run of the member has
-/// begun.
+/// A run has an uncertain tail if it has no closing mark although a later run of the same member
+/// has started.
 pub(super) fn uncertain_tails(db: &Connection, member_id: Option<u32>) -> Result<UncertainTails> {
     let mut select = db.prepare_cached(
         "SELECT member, incarnation, marked, complete FROM position p WHERE NOT ended AND member = coalesce(?, member)
@@ -49,8 +50,8 @@
     Ok(tails.collect::<rusqlite::Result<_>>()?)
 }
 
-/// Marks the closed periods dirty that contain records of a tail that became uncertain, or certain
-/// again. Retries of its requests may now be joined in another way.
+/// Marks the closed periods dirty whose settlement reads records of a tail that has changed between
+/// `before` and `after`. Retries may now join other requests than before.
 pub(super) fn mark_changed_tails(
     db: &Connection,
     before: &UncertainTails,
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -1,7 +1,8 @@
-//! Verification: checks statements and documents against their hashes and the records.
+//! Verification: checks statements and documents against their hashes, and statements against the
+//! records.
 //!
 //! Transaction boundary: none. Another process may write at the same time, so a period that is
-//! closed during the verification may be reported.
+//! closed during the verification may be reported as faulty.
 
 use super::database::Store;
 use super::error::Result;
@@ -13,72 +14,73 @@
 use crate::statement::Statement;
 use std::collections::HashMap;
 
-/// The result of SQLite's integrity check for an intact file.
+/// Result of SQLite's integrity check for an intact file.
 const INTACT: &str = "ok";
 
-/// The result of a verification.
+/// Result of a verification.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerificationReport {
-    /// The number of statements, documents and periods that were checked.
+    /// Number of statements, documents and periods that were checked.
     pub checked: u64,
-    /// All faults that were found.
+    /// Faults that were found, in the order of the checks.
     pub faults: Vec<VerificationFault>,
 }
 
 /// An inconsistency in the store.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VerificationFault {
-    /// SQLite reports that its file is damaged.
+    /// SQLite reports that the file is damaged.
     #[error("the file is damaged: {finding}")]
     DamagedFile {
-        /// The report of SQLite.
+        /// First finding of SQLite's integrity check.
         finding: String,
     },
-    /// The text of a statement does not have the hash that is stored with it.
+    /// Hash mismatch: the text of a statement does not have the hash that is stored with it.
     #[error("statement {period}: its text is not what was hashed")]
     StatementChanged {
-        /// The statement's period.
+        /// Name of the period of the statement.
         period: String,
     },
-    /// A statement does not name the hash of the one before it.
+    /// A statement does not contain the hash of the previous statement.
     #[error("statement {period}: does not follow the one before it")]
     ChainBroken {
-        /// The statement's period.
+        /// Name of the period of the statement.
         period: String,
     },
-    /// The sum of lines and corrections, or that of the amounts of tenants, differs from the total.
+    /// The sum of lines and corrections, or the sum of the amounts of all tenants, differs from the
+    /// total of the statement.
     #[error("statement {period}: its lines come to {sum}, its total is {total}")]
     WrongTotal {
-        /// The statement's period.
+        /// Name of the period of the statement.
         period: String,
-        /// The sum of lines and corrections, in micro-units.
+        /// Sum of lines and corrections, in micro-units.
         sum: i64,
-        /// The total in the statement, in micro-units.
+        /// Total that the statement contains, in micro-units.
         total: i64,
     },
-    /// The text of a document does not have the hash that is stored with it.
+    /// Hash mismatch: the text of a document does not have the hash that is stored with it.
     #[error("document {id}: its text is not what was hashed")]
     DocumentChanged {
-        /// The document's id.
+        /// Id of the document.
         id: String,
     },
-    /// The statements together differ from the present counts of the records.
+    /// The counts in all statements together differ from the current counts of the records.
     #[error(
         "period {period}: {tenant:?} {class:?}: statements differ from the records by {requests} uses"
     )]
     RecordsDiffer {
-        /// The period's name.
+        /// Name of the period of the requests.
         period: String,
-        /// The tenant's name; `None` if its number has none.
+        /// Name of the tenant; `None` if the store has no name for the tenant's id.
         tenant: Option<String>,
-        /// The class's name; `None` if its number has none.
+        /// Name of the class; `None` if the store has no name for the class's id.
         class: Option<String>,
-        /// Logical requests of the records, minus those of the statements.
+        /// Number of logical requests in the records, minus the number in the statements.
         requests: i64,
     },
 }
 
-/// The state of a verification.
+/// State of a verification.
 struct Verification<'a> {
     store: &'a Store,
     report: VerificationReport,
@@ -88,6 +90,9 @@
     /// Checks the file, the chain of statements, their totals, the hashes of statements and
     /// documents, and the counts of all statements against the records.
     ///
+    /// Dirty periods are not checked against the records: their statements are known to be
+    /// outdated.
+    ///
     /// # Errors
     /// The store can't be read.
     pub fn verify(&self, bounds: JoinBounds) -> Result<VerificationReport> {
--- a/crates/usage-ledger/src/writer/error.rs
+++ b/crates/usage-ledger/src/writer/error.rs
@@ -1,42 +1,42 @@
-//! Errors of opening and writing a usage log.
+//! Errors of starting a writer and of writing to a usage log.
 
 use crate::collect::ListenError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a writer could not be started.
+/// An error that prevents a writer from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The directory can't be used.
-    #[error("{}: {source}", .directory.display())]
+    /// The directory can't be created, read or written.
+    #[error("cannot use directory {}: {source}", .directory.display())]
     Directory {
-        /// The log's directory.
+        /// Directory of the log.
         directory: PathBuf,
-        /// The error of the system.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// Another process has locked the log.
-    #[error("{}: another mixer writes this log", .directory.display())]
+    #[error("{}: the usage log is locked by another process", .directory.display())]
     Locked {
-        /// The log's directory.
+        /// Directory of the log.
         directory: PathBuf,
     },
-    /// The writer's thread can't be started.
-    #[error("{0}")]
+    /// The writer thread can't be started.
+    #[error("cannot start the writer thread: {0}")]
     Thread(#[source] io::Error),
-    /// The log can't be offered for collection.
+    /// The collection service for the log can't be started.
     #[error(transparent)]
     Listen(#[from] ListenError),
 }
 
-/// Why records could not be written.
+/// An error that prevents records from being written.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AppendError {
-    /// The last write failed less than the retry interval ago.
-    #[error("it could not be a moment ago")]
+    /// No write was attempted, because the last write failed less than the retry interval ago.
+    #[error("no write attempted: the retry interval after a failed write is not over")]
     Backoff,
-    /// One more segment would exceed the size limit of the settings (`usage.keep`).
-    #[error("it holds as much as it may; nothing of it has been settled")]
+    /// Another segment would exceed the size limit of the log (`usage.keep` in the settings).
+    #[error("the log has reached its size limit (usage.keep), and no segment has been settled")]
     CapacityExceeded,
     /// A write failed.
     #[error("{0}")]
--- a/crates/usage-ledger/src/writer/handle.rs
+++ b/crates/usage-ledger/src/writer/handle.rs
@@ -1,4 +1,4 @@
-//! The aggregator's side of a running writer.
+//! The handle through which an aggregator uses a running writer.
 
 use super::counters::WriterCounters;
 use crate::wire::{entry::What, Entry};
@@ -10,23 +10,26 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// The longest time that [`UsageLogWriter::close`] waits for the thread.
+/// Maximum time that [`UsageLogWriter::close`] waits for the writer thread.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which [`UsageLogWriter::close`] checks whether the thread has ended.
+/// Interval at which [`UsageLogWriter::close`] checks whether the writer thread has ended.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The handle of a running writer.
+/// Handle of a running writer.
 pub struct UsageLogWriter {
+    /// `None` after [`UsageLogWriter::close`].
     queue: Option<SyncSender<Entry>>,
     written: watch::Receiver<u64>,
     counters: Arc<WriterCounters>,
     max_reply_delay: Duration,
     collection_address: Option<SocketAddr>,
+    /// `None` after [`UsageLogWriter::close`].
     thread: Option<JoinHandle<()>>,
 }
 
 impl UsageLogWriter {
-    /// The handle of a thread that writes the entries of `queue` and publishes to `written`.
+    /// Creates the handle of a thread that writes the entries of `queue` and publishes to
+    /// `written`.
     pub(super) fn new(
         queue: SyncSender<Entry>,
         written: watch::Receiver<u64>,
@@ -44,12 +47,12 @@
         }
     }
 
-    /// Sets the address at which the log is offered for collection.
+    /// Sets the address at which the settlement can collect the log.
     pub(super) fn set_collection_address(&mut self, address: SocketAddr) {
         self.collection_address = Some(address);
     }
 
-    /// Queues an entry without waiting; false if the queue is full.
+    /// Queues an entry without waiting. Returns false if the queue is full or closed.
     pub fn try_enqueue(&mut self, what: What) -> bool {
         let entry = Entry { what: Some(what) };
         self.queue
@@ -57,36 +60,41 @@
             .is_some_and(|queue| queue.try_send(entry).is_ok())
     }
 
-    /// The counters of this run.
+    /// Returns the counters of this run.
     pub fn counters(&self) -> &WriterCounters {
         &self.counters
     }
 
-    /// The sequence number of the last record that the writer is done with: it was handed to the
-    /// operating system, or is lost.
+    /// Returns a receiver for the sequence number of the last processed record, which was either
+    /// handed to the operating system or lost.
     pub fn written_sequence(&self) -> watch::Receiver<u64> {
         self.written.clone()
     }
 
-    /// The longest time that a reply waits for its record to be written.
+    /// Returns the maximum time that a reply waits for its record to be written.
     pub fn max_reply_delay(&self) -> Duration {
         self.max_reply_delay
     }
 
-    /// The address at which the log is offered for collection; `None` if it is not.
+    /// Returns the address at which the settlement can collect the log; `None` if the log is not
+    /// offered for collection.
     pub fn collection_address(&self) -> Option<SocketAddr> {
         self.collection_address
     }
 
-    /// Counts a record that could not be queued.
+    /// Counts a record that could not be queued. Logs the count at each power of two.
     pub fn count_lost_record(&self) {
         let lost = self.counters.lost_records.fetch_add(1, Ordering::Relaxed) + 1;
         if lost.is_power_of_two() {
-            tracing::error!(lost, "usage records lost: the log takes none");
+            tracing::error!(
+                lost,
+                "usage records lost: the queue of the usage log is full"
+            );
         }
     }
 
-    /// Counts a reply that was sent before its record was written.
+    /// Counts a reply that was sent before its record was written. Logs the count at each power of
+    /// two.
     pub fn count_unrecorded_reply(&self) {
         let late = self
             .counters
@@ -96,12 +104,13 @@
         if late.is_power_of_two() {
             tracing::warn!(
                 late,
-                "answers that left before their usage record: the log has stalled"
+                "usage log stalled: replies were sent before their usage records were written"
             );
         }
     }
 
-    /// Ends the writer after it has written all queued entries, or after a timeout.
+    /// Closes the queue and waits until the thread has written all queued entries, or until a
+    /// timeout.
     pub fn close(&mut self) {
         self.queue = None;
         let Some(thread) = self.thread.take() else {
@@ -114,7 +123,7 @@
         if thread.is_finished() {
             let _ = thread.join();
         } else {
-            tracing::error!("the usage log did not take its last records in time");
+            tracing::error!("usage log not closed in time: the last records may be lost");
         }
         let written = self.counters.written_records.load(Ordering::Relaxed);
         let lost = self.counters.lost_records.load(Ordering::Relaxed);
--- a/crates/usage-ledger/src/writer/mod.rs
+++ b/crates/usage-ledger/src/writer/mod.rs
@@ -1,9 +1,10 @@
 //! The writer of an aggregator's usage log.
 //!
-//! Records pass through a bounded queue to a thread, so that a slow disk does not delay replies. If
-//! the queue is full, a record is dropped and counted. The thread writes the queued records in
-//! batches, starts a new segment when the last one is full, and publishes the sequence number of
-//! the last record that was written or lost. The format is defined in [`log`](crate::log).
+//! Records pass through a bounded queue to a thread, so that a slow disk does not block the
+//! aggregator. If the queue is full, the record is dropped and counted. The thread writes the
+//! queued records in batches, starts a new segment when the current one is full, and publishes the
+//! sequence number of the last record that was written or lost. The format is defined in
+//! [`log`](crate::log).
 
 mod counters;
 mod disk;
--- a/crates/usage-ledger/src/writer/run_tables.rs
+++ b/crates/usage-ledger/src/writer/run_tables.rs
@@ -1,33 +1,34 @@
-//! The names that the numbers in a run's records refer to.
+//! The names of the classes and tenants that records refer to by number.
 
 use crate::log::VERSION;
 use crate::wire::{Class, Header};
 
-/// Nanoseconds in a millisecond.
+/// Number of nanoseconds in a millisecond.
 pub(super) const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
-/// The tables that the numbers in records refer to, for one run of an aggregator.
+/// Tables of the names that records refer to by number, for one run of an aggregator.
 #[derive(Clone, Debug, Default)]
 pub struct RunTables {
-    /// The aggregator's own name.
+    /// Name of the aggregator that writes the log.
     pub aggregator: String,
-    /// Classes by number.
+    /// Classes, indexed by their numbers in records.
     pub classes: Vec<RunClass>,
-    /// Tenants by number.
+    /// Names of tenants, indexed by their numbers in records.
     pub tenants: Vec<String>,
 }
 
 /// A class of requests during one run of an aggregator.
 #[derive(Clone, Debug)]
 pub struct RunClass {
-    /// The class's name.
+    /// Name that the settlement uses for prices and statements.
     pub name: String,
-    /// The longest that a client waits over all its requests, in nanoseconds.
+    /// Client timeout: the maximum time that a client waits over all its requests, in nanoseconds.
     pub client_timeout_ns: u64,
 }
 
 impl RunTables {
-    /// The header of a segment; its published field names are mapped here.
+    /// Returns the header of the first segment of a run. Maps the names of the fields to their
+    /// published names.
     pub(super) fn into_header(self, incarnation: u64) -> Header {
         let classes = self.classes.into_iter().map(|class| Class {
             name: class.name,
