--- a/crates/usage-ledger/src/writer/start.rs
+++ b/crates/usage-ledger/src/writer/start.rs
@@ -1,4 +1,4 @@
-//! Starting a writer.
+//! Opens a usage log and starts its writer.
 
 use super::counters::WriterCounters;
 use super::disk::{Disk, FileSystem};
@@ -15,13 +15,14 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Opens the log for a new run and starts its writer. If the settings have a listen address, the
-/// log is offered for collection there. A partial write at the end of the log is cut off.
+/// Opens the log for a new run and starts its writer. If the settings contain a listen address,
+/// starts the collection service there. Removes a partial write from the end of the log.
 ///
-/// `now_ns` is the time in Unix nanoseconds.
+/// `now_ns` is the current time in Unix nanoseconds.
 ///
 /// # Errors
-/// The directory can't be used or is locked by another process, or the address can't be bound.
+/// The directory can't be used or is locked by another process, a thread can't be started, or the
+/// address can't be bound.
 pub fn start(
     settings: &UsageLogSettings,
     tables: RunTables,
@@ -35,10 +36,10 @@
     Ok(writer)
 }
 
-/// As [`start`], on any [`Disk`] and without a listener.
+/// Like [`start`], but writes to any [`Disk`] and starts no collection service.
 ///
 /// # Errors
-/// As [`start`].
+/// The directory can't be used or is locked by another process, or the thread can't be started.
 pub fn start_on(
     disk: impl Disk,
     settings: &UsageLogSettings,
@@ -74,7 +75,7 @@
     ))
 }
 
-/// Locks the log, so that it has one writer at a time.
+/// Locks the log, so that no other process can write to it.
 fn lock(directory: &Path) -> Result<File, StartError> {
     let lock = OpenOptions::new()
         .create(true)
@@ -93,7 +94,7 @@
     }
 }
 
-/// The last segment of the log, after a partial write at its end was cut off; `None` for a new log.
+/// Removes a partial write from the end of the log. Returns the last segment; `None` for a new log.
 fn repaired_last_segment(directory: &Path) -> io::Result<Option<Segment>> {
     let Some(last) = segments(directory)?.pop() else {
         return Ok(None);
@@ -103,14 +104,14 @@
         tracing::warn!(
             segment = last.name(),
             bytes = torn_bytes,
-            "a partial record at the end of the log was cut off"
+            "removed a partial record from the end of the usage log"
         );
     }
     Ok(Some(last))
 }
 
-/// The incarnation of the new run: later than that of any earlier run, even if the clock has
-/// stepped back.
+/// Returns the incarnation of the new run: the current time in Unix milliseconds, but always
+/// greater than the incarnation of any earlier run, even if the clock has stepped back.
 fn next_incarnation(now_ns: u64, last: Option<&Segment>) -> u64 {
     let last_incarnation = last.map_or(0, |segment| segment.incarnation);
     (now_ns / NANOSECONDS_PER_MS).max(last_incarnation + 1)
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a usage log.
+//! The thread that writes entries to a usage log.
 
 use super::counters::WriterCounters;
 use super::disk::Disk;
@@ -14,43 +14,45 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// The largest number of entries in one write.
+/// Maximum number of entries in one write.
 const MAX_BATCH_ENTRIES: usize = 1024;
-/// Pause after a failed write. Records during the pause are counted as lost without an attempt.
+/// Minimum time between a failed write and the next attempt. Records that arrive in between are
+/// counted as lost.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest wait for an entry until the thread polls the queue again.
+/// Maximum time that the thread waits for an entry before it polls the queue again.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The segment that is being written.
+/// The segment that is currently written.
 struct OpenSegment {
     file: File,
-    /// Length of its complete frames, in bytes.
+    /// Length of the magic number and all complete frames, in bytes.
     length: u64,
 }
 
-/// A batch of entries as bytes.
+/// A batch of encoded entries.
 struct EncodedBatch {
     bytes: Vec<u8>,
-    /// Sequence number of its first record.
+    /// Sequence number of the first record that may be in the batch.
     first_sequence: u64,
-    /// Sequence number of its last record.
+    /// Sequence number of the last record in this or an earlier batch.
     last_sequence: u64,
+    /// Number of records in the batch.
     records: u64,
 }
 
-/// The state of the thread.
+/// State of the writer thread.
 pub(super) struct WriterThread<D> {
     disk: D,
-    /// The lock on the log, held while the thread runs.
+    /// Lock on the log, which is held while the thread runs.
     _lock: File,
     directory: PathBuf,
     segment_bytes: u64,
-    keep_bytes: u64,
+    max_log_bytes: u64,
     header: Header,
     open: Option<OpenSegment>,
     publish_written: watch::Sender<u64>,
     counters: Arc<WriterCounters>,
-    /// When the last write failed; `None` if it succeeded.
+    /// Time at which the last write failed; `None` if it succeeded.
     failed_at: Option<Instant>,
 }
 
@@ -68,7 +70,7 @@
             _lock: lock,
             directory: settings.directory.clone(),
             segment_bytes: settings.segment_bytes,
-            keep_bytes: settings.keep_bytes,
+            max_log_bytes: settings.max_log_bytes,
             header,
             open: None,
             publish_written,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Writes entries until the queue is closed.
+    /// Writes queued entries until the queue is closed and empty.
     pub(super) fn run(mut self, entries: &Receiver<Entry>) {
         let mut last_sequence = 0;
         loop {
@@ -94,12 +96,13 @@
         }
     }
 
+    /// Writes a batch and counts its records as written or lost.
     fn write(&mut self, batch: &EncodedBatch) {
         let counter = match self.append(batch) {
             Ok(()) => &self.counters.written_records,
             Err(error) => {
                 if self.failed_at.replace(Instant::now()).is_none() {
-                    tracing::error!(%error, "the usage log can't be written: records are lost until it can");
+                    tracing::error!(%error, "failed to write the usage log; records are lost until a write succeeds");
                 }
                 &self.counters.lost_records
             }
@@ -107,7 +110,7 @@
         counter.fetch_add(batch.records, Ordering::Relaxed);
     }
 
-    /// Writes a batch, into a new segment if the last one is full.
+    /// Appends a batch to the current segment, or to a new one if there is none or it is full.
     fn append(&mut self, batch: &EncodedBatch) -> Result<(), AppendError> {
         let failed_recently = |at: Instant| at.elapsed() < RETRY_INTERVAL;
         if self.failed_at.is_some_and(failed_recently) {
@@ -119,15 +122,15 @@
             None => self.create_segment(batch.first_sequence)?,
         };
         if let Err(error) = self.disk.append(&mut segment.file, &batch.bytes) {
-            // A partial frame between others would be read as damage. Cut it off; if that fails,
-            // continue in another segment.
+            // Removes the partial write, which would be read as damage between frames. If that
+            // fails, the next batch starts a new segment.
             if segment.file.set_len(segment.length).is_ok() {
                 self.open = Some(segment);
             }
             return Err(error.into());
         }
         if self.failed_at.take().is_some() {
-            tracing::info!("the usage log can be written again");
+            tracing::info!("usage log writes succeed again");
         }
         segment.length += batch.bytes.len() as u64;
         self.open = Some(segment);
@@ -135,11 +138,11 @@
     }
 
     fn create_segment(&mut self, first_sequence: u64) -> Result<OpenSegment, AppendError> {
-        let mut held = 0;
+        let mut log_bytes = 0;
         for segment in segments(&self.directory)? {
-            held += fs::metadata(&segment.path).map_or(0, |file| file.len());
+            log_bytes += fs::metadata(&segment.path).map_or(0, |file| file.len());
         }
-        if held + self.segment_bytes > self.keep_bytes {
+        if log_bytes + self.segment_bytes > self.max_log_bytes {
             return Err(AppendError::CapacityExceeded);
         }
         self.header.first_sequence = first_sequence;
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! What earlier versions have written is read, and what is written has not changed: segments of the
-//! usage log, the SQLite file, the settings, and the JSON of statements and documents.
+//! Compatibility with earlier releases: their data must still be read, and the same bytes must be
+//! written. Covers the segments of the usage log, the SQLite file, the settings, and the JSON of
+//! statements and documents.
 
 use ini_config::{Schema, Settings};
 use std::collections::BTreeMap;
@@ -17,8 +18,8 @@
 use usage_ledger::wire::{self, Batch, Class, Entry, Header, Mark, Record};
 use usage_ledger::writer::{self, FileSystem, RunClass, RunTables};
 
-/// A segment of version 1: the magic number, the frame of its header, of a record and of a mark.
-/// A frame is a CRC-32, a length (both little-endian) and a protobuf message.
+/// A segment of version 1: the magic number, and the frames of the header, a record and a mark. A
+/// frame consists of a CRC-32, a length (both little-endian) and a protobuf message.
 const SEGMENT: &str = "\
     4354484c55534501\
     a1de9a32 14000000\
@@ -94,13 +95,13 @@
     let settings = UsageLogSettings {
         directory: folder.path().into(),
         segment_bytes: 1 << 20,
-        keep_bytes: 1 << 30,
+        max_log_bytes: 1 << 30,
         queue_entries: 64,
         max_reply_delay: Duration::from_millis(5),
         mark_interval: Duration::from_millis(100),
         listen_address: None,
     };
-    let names = RunTables {
+    let run_tables = RunTables {
         aggregator: "n0".into(),
         classes: vec![RunClass {
             name: "c".into(),
@@ -108,7 +109,7 @@
         }],
         tenants: vec!["t".into()],
     };
-    let mut writer = writer::start_on(FileSystem, &settings, names, 7_000_000).unwrap();
+    let mut writer = writer::start_on(FileSystem, &settings, run_tables, 7_000_000).unwrap();
     assert!(writer.try_enqueue(What::Record(segment_record())));
     assert!(writer.try_enqueue(segment_mark()));
     writer.close();
@@ -122,7 +123,7 @@
     assert_eq!(hex::encode(written), hex::encode(segment_bytes()));
 }
 
-/// The schema of version 1.
+/// The schema of version 1, as it was released.
 const SCHEMA_1: &str = "
 CREATE TABLE name (id INTEGER PRIMARY KEY, kind TEXT NOT NULL, text TEXT NOT NULL, UNIQUE (kind, text));
 CREATE TABLE record (
@@ -174,6 +175,7 @@
     skew_ms: 20,
 };
 
+/// Closes [`PERIOD`] and returns the JSON of its statement.
 fn close(store: &mut Store) -> String {
     let prices = BTreeMap::from([(
         "c".to_string(),
@@ -251,7 +253,7 @@
     }
 }
 
-/// The rows that the first version made of [`records`].
+/// The rows that the first release stored for [`records`].
 const RECORDS_1: &str = "
 INSERT INTO name VALUES (1, 'member', 'n0'), (2, 'tenant', 't'), (3, 'tenant', 'all'), (4, 'class', 'c'),
   (5, 'class', 'unknown');
@@ -263,12 +265,12 @@
 INSERT INTO damage VALUES (1, 's', 10, 20);
 ";
 
-/// The JSON below stands in lines only to be read.
+/// Removes the line breaks that make the expected JSON readable.
 fn one_line(text: &str) -> String {
     text.replace('\n', "")
 }
 
-/// The statement on [`records`], byte for byte.
+/// The statement for [`records`], byte for byte.
 const STATEMENT: &str = r#"{"period":"1970-01-01T00:16:40.000Z","end":"1970-01-01T00:16:41.000Z",
 "closed":"1970-01-01T00:18:20.000Z","members":[{"member":"n0",
 "complete":"-9223372036854775808","missing":false,"lost":1,"died":0,"damaged":1},{
@@ -282,7 +284,7 @@
 "answered":2,"allowance":1,"over":1,"amount":6}],"total":6,"rounding":"once a line,
  half a micro-unit up","previous":""}"#;
 
-/// The document for tenant `t` on [`STATEMENT`], byte for byte.
+/// The document that tenant `t` receives for [`STATEMENT`], byte for byte.
 const DOCUMENT: &str = r#"{"id":"statement-1970-01-01T001640.000Z-t","kind":"statement","tenant":"t",
 "period":"1970-01-01T00:16:40.000Z","amount":6,"lines":[{"tenant":"t","class":"c",
 "period":"1970-01-01T00:16:40.000Z","adjusts":false,"uses":1,"whole":0,"partial":1,
@@ -293,13 +295,13 @@
 "ambiguous":0,"amount":0,"unpriced":true}],"totals":{"tenant":"t","answered":2,
 "allowance":1,"over":1,"amount":6},"missing":["n1"]}"#;
 
-/// The document for a correction of [`STATEMENT`], byte for byte.
+/// The credit document for a correction of [`STATEMENT`], byte for byte.
 const CREDIT: &str = r#"{"id":"credit-k%201","kind":"credit","tenant":"t","period":"1970-01-01T00:16:40.000Z",
 "amount":-3,"corrections":[{"id":"k 1","tenant":"t","amount":-3,"reason":"reason",
 "author":"author"}],"corrects":["statement-1970-01-01T001640.000Z-t",
 "72e2538e22dc2b088c7dde0c249ee1c4c446bb42a9c7b1ca87bd1dec30ae08ea"]}"#;
 
-fn new_store(folder: &Path) -> Store {
+fn open_store(folder: &Path) -> Store {
     Store::open(&folder.join("ledger.sqlite")).unwrap()
 }
 
@@ -311,7 +313,7 @@
     database.execute_batch(RECORDS_1).unwrap();
     database.pragma_update(None, "user_version", 1).unwrap();
     drop(database);
-    let mut store = new_store(folder.path());
+    let mut store = open_store(folder.path());
     let position = LogPosition {
         incarnation: 3,
         sequence: 4,
@@ -337,7 +339,7 @@
         faults: vec![],
     };
     assert_eq!(store.verify(BOUNDS).unwrap(), verified);
-    // What the present version makes of the same batch is the same: it knows all of it.
+    // The current release recognises the records of the same batch as already stored.
     let calendar = Calendar(PeriodLength::Milliseconds(1000));
     let ingested = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
     assert_eq!((ingested.new, ingested.known), (0, 3));
@@ -353,19 +355,19 @@
         rows.collect::<Result<_, _>>().unwrap()
     };
     let folder = tempfile::tempdir().unwrap();
-    drop(new_store(folder.path()));
-    let made = rusqlite::Connection::open(folder.path().join("ledger.sqlite")).unwrap();
+    drop(open_store(folder.path()));
+    let created = rusqlite::Connection::open(folder.path().join("ledger.sqlite")).unwrap();
     let expected = rusqlite::Connection::open_in_memory().unwrap();
     expected.execute_batch(SCHEMA_1).unwrap();
-    assert_eq!(schema(&made), schema(&expected));
-    let version = made.pragma_query_value(None, "user_version", |row| row.get::<_, u32>(0));
+    assert_eq!(schema(&created), schema(&expected));
+    let version = created.pragma_query_value(None, "user_version", |row| row.get::<_, u32>(0));
     assert_eq!(version.unwrap(), 1);
 }
 
 #[test]
 fn statements_and_documents_keep_their_bytes() {
     let folder = tempfile::tempdir().unwrap();
-    let mut store = new_store(folder.path());
+    let mut store = open_store(folder.path());
     let calendar = Calendar(PeriodLength::Milliseconds(1000));
     let ingested = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
     assert_eq!((ingested.new, ingested.late), (3, 0));
@@ -406,7 +408,7 @@
 #[test]
 #[allow(
     clippy::too_many_lines,
-    reason = "one file and all that is read from it"
+    reason = "one settings file and all values that are read from it"
 )]
 fn a_settings_file_of_an_earlier_version_is_read() {
     let text = "\
@@ -452,7 +454,7 @@
     let expected = UsageLogSettings {
         directory: "/var/lib/mixer/usage".into(),
         segment_bytes: 4 << 20,
-        keep_bytes: 64 << 20,
+        max_log_bytes: 64 << 20,
         queue_entries: 100,
         max_reply_delay: Duration::from_millis(2),
         mark_interval: Duration::from_millis(250),
@@ -516,7 +518,11 @@
     let usage = UsageLogSettings::read(&read("[usage]\ndirectory = d\n"), &SETTINGS);
     let usage = usage.unwrap().unwrap();
     assert_eq!(
-        (usage.segment_bytes, usage.keep_bytes, usage.queue_entries),
+        (
+            usage.segment_bytes,
+            usage.max_log_bytes,
+            usage.queue_entries
+        ),
         (8 << 20, 1 << 30, 8192)
     );
     assert_eq!(
@@ -538,23 +544,23 @@
         ),
         (
             "[usage]\ndirectory = d\nsegment = 1KiB\n",
-            "old.ini:3: [usage] segment: has to be 4KiB at least",
+            "old.ini:3: [usage] segment: must be at least 4KiB",
         ),
         (
             "[usage]\ndirectory = d\nkeep = 8MiB\n",
-            "old.ini:3: [usage] keep: has to be twice 'segment' at least, or no segment could ever be closed",
+            "old.ini:3: [usage] keep: must be at least twice 'segment', or no segment could ever be closed",
         ),
         (
             "[usage]\ndirectory = d\nmark = 1ms\n",
-            "old.ini:3: [usage] mark: has to be 10ms at least",
+            "old.ini:3: [usage] mark: must be at least 10ms",
         ),
         (
             "[periods]\nzone = Moon\n",
-            "old.ini:2: [periods] zone: there is no time zone 'Moon'; use a name as in Asia/Colombo",
+            "old.ini:2: [periods] zone: there is no time zone 'Moon'; expected an IANA name, for example Asia/Colombo",
         ),
         (
             "[periods]\nevery = 10ms\n",
-            "old.ini:2: [periods] every: has to be 1s at least",
+            "old.ini:2: [periods] every: must be at least 1s",
         ),
         (
             "[member n0]\n",
@@ -562,16 +568,16 @@
         ),
         (
             "[member n0]\naddress = 127.0.0.1:1\nfrom = today\n",
-            "old.ini:3: [member n0] from: has to be a time as in 2026-12-01T00:00:00Z",
+            "old.ini:3: [member n0] from: must be a time, for example 2026-12-01T00:00:00Z",
         ),
         (
             "[member n0]\naddress = 127.0.0.1:1\nfrom = 2026-12-01T00:00:00Z\nuntil = 2026-12-01T00:00:00Z\n",
-            "old.ini:4: [member n0] until: does not come after 'from'",
+            "old.ini:4: [member n0] until: must be later than 'from'",
         ),
         ("[price c]\n", "old.ini:1: [price c] whole: is missing"),
         (
             "[export]\nurl = https://h/\n",
-            "old.ini:2: [export] url: has to begin with http://",
+            "old.ini:2: [export] url: must begin with http://",
         ),
     ];
     for (text, expected) in cases {
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -1,5 +1,5 @@
-//! Joining, settling and adjusting against a naive model, under random retries, deaths, reorderings
-//! and late arrivals.
+//! Joining, settling and adjusting, compared with a naive model under random retries, crashes,
+//! reordering and late records.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,9 +13,10 @@
 use usage_ledger::rate::UsageCounts;
 
 const SKEW_MS: i64 = 20;
-const WINDOW_MS: i64 = 100;
+const CLIENT_TIMEOUT_MS: i64 = 100;
 const HORIZON_MS: i64 = 150;
 const PERIOD_MS: i64 = 400;
+const GRACE_MS: i64 = 1000;
 const BOUNDS: JoinBounds = JoinBounds {
     horizon_ms: HORIZON_MS,
     skew_ms: SKEW_MS,
@@ -36,7 +37,7 @@
         is_retry: false,
         key: 2,
         has_idempotency_key: false,
-        client_timeout_ms: WINDOW_MS,
+        client_timeout_ms: CLIENT_TIMEOUT_MS,
         reply_uncertain: false,
     }
 }
@@ -60,8 +61,9 @@
     )
 }
 
-/// A naive implementation of the rule of the module, over all records at once.
-fn naive(mut records: Vec<UsageRecord>) -> Vec<Vec<RecordId>> {
+/// Naive implementation of the rules in the documentation of the module `join`, over all records at
+/// once.
+fn join_naively(mut records: Vec<UsageRecord>) -> Vec<Vec<RecordId>> {
     records.sort_by_key(UsageRecord::id);
     let is_first = |record: &&UsageRecord| !record.is_retry && !record.has_idempotency_key;
     let firsts = records.iter().filter(is_first);
@@ -75,30 +77,31 @@
                 record.has_idempotency_key,
             )
         };
-        let window = if retry.has_idempotency_key {
+        let window_ms = if retry.has_idempotency_key {
             HORIZON_MS
         } else {
-            WINDOW_MS
+            CLIENT_TIMEOUT_MS
         };
-        let fits = |request: &&mut Vec<UsageRecord>| {
+        let is_candidate = |request: &&mut Vec<UsageRecord>| {
             let (first, last) = (request[0], request[request.len() - 1]);
-            let open = retry.has_idempotency_key || last.reply_uncertain || !is_answered(&last);
+            let may_be_joined =
+                retry.has_idempotency_key || last.reply_uncertain || !is_answered(&last);
             group(&first) == group(retry)
-                && first.arrived_at_ms + window + SKEW_MS >= retry.arrived_at_ms
+                && first.arrived_at_ms + window_ms + SKEW_MS >= retry.arrived_at_ms
                 && last.arrived_at_ms <= retry.arrived_at_ms + SKEW_MS
-                && open
+                && may_be_joined
         };
         let rank = |request: &&mut Vec<UsageRecord>| {
             let (first, last) = (request[0], request[request.len() - 1]);
-            let answered = !retry.has_idempotency_key && is_answered(&last);
+            let is_answered = !retry.has_idempotency_key && is_answered(&last);
             let id = if retry.has_idempotency_key {
                 first.id()
             } else {
                 last.id()
             };
-            (answered, last.arrived_at_ms > retry.arrived_at_ms, id)
+            (is_answered, last.arrived_at_ms > retry.arrived_at_ms, id)
         };
-        match requests.iter_mut().filter(fits).min_by_key(rank) {
+        match requests.iter_mut().filter(is_candidate).min_by_key(rank) {
             Some(request) => request.push(*retry),
             None => requests.push(vec![*retry]),
         }
@@ -131,8 +134,8 @@
         outcome,
         0u8..8,
     );
-    let record = |(at, member, tenant, key, is_retry, outcome, dice)| {
-        let keyed = dice == 0;
+    let record = |(at, member, tenant, key, is_retry, outcome, selector)| {
+        let keyed = selector == 0;
         UsageRecord {
             member_id: member,
             tenant_id: tenant,
@@ -140,7 +143,7 @@
             has_idempotency_key: keyed,
             is_retry,
             outcome,
-            reply_uncertain: dice == 1,
+            reply_uncertain: selector == 1,
             ..first_record(at, 0)
         }
     };
@@ -152,16 +155,16 @@
     })
 }
 
-/// Settles one period, as the store does.
+/// Settles one period in the same way as the store.
 fn settle(records: &[UsageRecord], period: Period, before: &CarryOver) -> (LineCounts, CarryOver) {
     let arrivals = BOUNDS.arrivals(period);
     let records = records.iter().copied();
-    let mut seen: Vec<UsageRecord> = records
+    let mut arrived: Vec<UsageRecord> = records
         .filter(|record| arrivals.contains(&record.arrived_at_ms))
         .collect();
-    seen.sort_by_key(UsageRecord::id);
+    arrived.sort_by_key(UsageRecord::id);
     let mut settler = PeriodSettler::new(period, BOUNDS, before.clone());
-    seen.into_iter().for_each(|record| settler.push(record));
+    arrived.into_iter().for_each(|record| settler.push(record));
     let settled = settler.finish();
     (settled.lines, settled.carry_over)
 }
@@ -184,10 +187,10 @@
         failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn streaming_joins_each_record_once_as_the_rule_defines(records in arbitrary_records()) {
+    fn the_joiner_agrees_with_the_naive_model_and_joins_each_record_once(records in arbitrary_records()) {
         let requests = join(records.clone());
         let joined = sorted_ids(requests.iter().map(|request| request.records.as_slice()));
-        prop_assert_eq!(joined, naive(records.clone()));
+        prop_assert_eq!(joined, join_naively(records.clone()));
         let ids: Vec<RecordId> =
             requests.iter().flat_map(|request| request.records.iter().map(UsageRecord::id)).collect();
         let distinct: BTreeSet<RecordId> = ids.iter().copied().collect();
@@ -196,7 +199,7 @@
     }
 
     #[test]
-    fn periods_settled_one_by_one_count_what_all_records_do(records in arbitrary_records()) {
+    fn periods_settled_one_by_one_have_the_counts_of_all_records_joined_at_once(records in arbitrary_records()) {
         let mut expected: BTreeMap<i64, LineCounts> = BTreeMap::new();
         for request in join(records.clone()) {
             let first = request.first();
@@ -207,14 +210,14 @@
         let mut carried = CarryOver::default();
         for n in 0..4 {
             let (lines, next) = settle(&records, period(n), &carried);
-            prop_assert_eq!(lines, expected.remove(&n).unwrap_or_default(), "period {}", n);
+            prop_assert_eq!(lines, expected.remove(&n).unwrap_or_default(), "wrong counts in period {}", n);
             carried = next;
         }
         prop_assert!(expected.is_empty());
     }
 
-    /// Some records arrive only after their periods were closed: statements and adjustments
-    /// together count the same as all records, in any order.
+    /// Some records are collected only after their periods were closed. Statements and adjustments
+    /// together must have the counts of all records.
     #[test]
     fn adjustments_account_for_late_records(records in arbitrary_records(), late in any::<u64>()) {
         let is_early = |record: &&UsageRecord| late >> (record.sequence % 64) & 1 == 0;
@@ -228,17 +231,17 @@
         }
         let mut carried = CarryOver::default();
         for (n, stated) in (0..4).zip(&stated) {
-            let (now, next) = settle(&records, period(n), &carried);
-            let adjusted = adjustments(&now, stated);
+            let (current, next) = settle(&records, period(n), &carried);
+            let adjusted = adjustments(&current, stated);
             let both = stated.values().chain(adjusted.values()).copied();
-            prop_assert_eq!(total(both), total(now.values().copied()));
+            prop_assert_eq!(total(both), total(current.values().copied()));
             carried = next;
         }
     }
 }
 
 mod retries {
-    use super::{first_record, join, SKEW_MS, WINDOW_MS};
+    use super::{first_record, join, CLIENT_TIMEOUT_MS, SKEW_MS};
     use usage_ledger::join::{RecordedOutcome, UsageRecord};
 
     fn retry(arrived_at_ms: i64, sequence: u64) -> UsageRecord {
@@ -257,7 +260,7 @@
 
     #[test]
     fn are_joined_one_to_one_and_in_order() {
-        // Two clients with the same query at the same time.
+        // Two clients send the same query at the same time.
         let requests = join(vec![
             first_record(0, 1),
             first_record(0, 2),
@@ -271,7 +274,7 @@
                 && request.records.len() == 2));
         assert!(
             !requests[0].ambiguous.is_empty(),
-            "either of two could be joined"
+            "expected an ambiguous retry, since it could join either request"
         );
     }
 
@@ -299,16 +302,25 @@
     #[test]
     fn are_joined_within_the_client_timeout() {
         assert_eq!(
-            join(vec![first_record(0, 1), retry(WINDOW_MS + SKEW_MS, 2)]).len(),
+            join(vec![
+                first_record(0, 1),
+                retry(CLIENT_TIMEOUT_MS + SKEW_MS, 2)
+            ])
+            .len(),
             1
         );
         assert_eq!(
-            join(vec![first_record(0, 1), retry(WINDOW_MS + SKEW_MS + 1, 2)]).len(),
+            join(vec![
+                first_record(0, 1),
+                retry(CLIENT_TIMEOUT_MS + SKEW_MS + 1, 2)
+            ])
+            .len(),
             2
         );
     }
 
-    /// A clock that is behind: the retry seems to arrive before its first request.
+    /// The clock of the second aggregator is behind: the retry seems to arrive before its first
+    /// request.
     #[test]
     fn are_joined_within_the_clock_skew() {
         let requests = join(vec![
@@ -358,30 +370,34 @@
 
 #[test]
 fn a_period_waits_for_missing_members_until_the_grace_period_is_over() {
-    let known = |member: &str, complete| MemberProgress {
+    let progress = |member: &str, complete_until_ms| MemberProgress {
         member: member.into(),
-        complete_until_ms: complete,
+        complete_until_ms,
     };
-    let until = BOUNDS.arrivals(period(0)).end;
-    let both = |b| [known("a", Some(until)), known("b", b)];
-    let closes =
-        |now, members: &[MemberProgress]| decide_closing(period(0), BOUNDS, 1000, now, members);
-    assert_eq!(closes(until, &both(Some(until))), ClosingDecision::Complete);
+    let until_ms = BOUNDS.arrivals(period(0)).end;
+    let both = |until_of_b| [progress("a", Some(until_ms)), progress("b", until_of_b)];
+    let decide = |now_ms, members: &[MemberProgress]| {
+        decide_closing(period(0), BOUNDS, GRACE_MS, now_ms, members)
+    };
+    assert_eq!(
+        decide(until_ms, &both(Some(until_ms))),
+        ClosingDecision::Complete
+    );
     assert_eq!(
-        closes(until, &both(Some(until - 1))),
+        decide(until_ms, &both(Some(until_ms - 1))),
         ClosingDecision::Wait(vec!["b".into()])
     );
     assert_eq!(
-        closes(until + 999, &both(None)),
+        decide(until_ms + GRACE_MS - 1, &both(None)),
         ClosingDecision::Wait(vec!["b".into()])
     );
     assert_eq!(
-        closes(until + 1000, &both(None)),
+        decide(until_ms + GRACE_MS, &both(None)),
         ClosingDecision::Incomplete(vec!["b".into()])
     );
     assert_eq!(
-        closes(until - 1, &both(Some(until))),
+        decide(until_ms - 1, &both(Some(until_ms))),
         ClosingDecision::Wait(vec![]),
-        "a clock ahead closes nothing early"
+        "expected a wait: a member whose clock is ahead must not close the period early"
     );
 }
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -1,4 +1,4 @@
-//! A usage log under test.
+//! Helpers that write and read usage logs.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 use usage_ledger::wire::{entry::What, Damage, Outcome, Record};
 use usage_ledger::writer::{self, FileSystem, RunClass, RunTables, UsageLogWriter};
 
-/// A position past all records of a log.
-pub const EVERYTHING: LogPosition = LogPosition {
+/// A position after all records of a log.
+pub const AFTER_ALL_RECORDS: LogPosition = LogPosition {
     incarnation: u64::MAX,
     sequence: u64::MAX,
 };
@@ -17,7 +17,7 @@
     UsageLogSettings {
         directory: directory.into(),
         segment_bytes,
-        keep_bytes: 1 << 30,
+        max_log_bytes: 1 << 30,
         queue_entries: 64,
         max_reply_delay: Duration::from_millis(5),
         mark_interval: Duration::from_millis(100),
@@ -25,7 +25,7 @@
     }
 }
 
-pub fn names() -> RunTables {
+pub fn run_tables() -> RunTables {
     RunTables {
         aggregator: "n0".into(),
         classes: vec![RunClass {
@@ -47,7 +47,8 @@
     })
 }
 
-/// Writes records one by one, and waits for each, so that the queue is never full.
+/// Writes records one by one and waits until each is written or lost, so that the queue is never
+/// full.
 pub fn write(writer: &mut UsageLogWriter, sequences: std::ops::RangeInclusive<u64>) {
     let mut written = writer.written_sequence();
     for sequence in sequences {
@@ -55,15 +56,21 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .build()
             .unwrap();
-        runtime.block_on(async { written.wait_for(|upto| *upto >= sequence).await.unwrap() });
+        runtime.block_on(async {
+            written
+                .wait_for(|written| *written >= sequence)
+                .await
+                .unwrap()
+        });
     }
 }
 
-pub fn log_of(directory: &Path, segment_bytes: u64, records: u64) {
+/// Writes one run with this number of records.
+pub fn write_run(directory: &Path, segment_bytes: u64, records: u64) {
     let mut writer = writer::start_on(
         FileSystem,
         &settings(directory, segment_bytes),
-        names(),
+        run_tables(),
         5_000_000,
     )
     .unwrap();
@@ -71,7 +78,7 @@
     writer.close();
 }
 
-/// All records and damage that a follower has found.
+/// All records and damage that a follower has delivered.
 #[derive(Default)]
 pub struct Found {
     pub records: Vec<LogPosition>,
@@ -79,12 +86,12 @@
 }
 
 impl Found {
-    /// The sequence numbers of all records.
+    /// Returns the sequence numbers of all records.
     pub fn sequences(&self) -> Vec<u64> {
         self.records.iter().map(|record| record.sequence).collect()
     }
 
-    /// The sequence numbers of the records of one run.
+    /// Returns the sequence numbers of the records of one run.
     pub fn sequences_of(&self, incarnation: u64) -> Vec<u64> {
         let records = self.records.iter();
         records
--- a/crates/usage-ledger/tests/log/main.rs
+++ b/crates/usage-ledger/tests/log/main.rs
@@ -1,4 +1,5 @@
-//! The usage log under everything that a disk does: torn tails, flipped bytes, no space, no answer.
+//! The usage log under faults of the disk: partial writes, flipped bits, a full disk, a stalled
+//! disk.
 
 mod harness;
 mod reading;
--- a/crates/usage-ledger/tests/log/reading.rs
+++ b/crates/usage-ledger/tests/log/reading.rs
@@ -1,14 +1,14 @@
-//! Reading a log: torn tails, flipped bytes, and positions.
+//! Reading a log: partial writes, flipped bits, and start positions.
 
-use crate::harness::{follow, log_of, names, settings, write, EVERYTHING};
+use crate::harness::{follow, run_tables, settings, write, write_run, AFTER_ALL_RECORDS};
 use std::fs;
 use usage_ledger::log::{self, LogPosition, SegmentItem};
 use usage_ledger::writer::{self, FileSystem};
 
 #[test]
-fn a_torn_tail_is_cut_at_any_length_and_nothing_before_it_is_lost() {
+fn a_partial_write_of_any_length_is_removed_without_loss_of_earlier_records() {
     let folder = tempfile::tempdir().unwrap();
-    log_of(folder.path(), 1 << 20, 6);
+    write_run(folder.path(), 1 << 20, 6);
     let segment = log::segments(folder.path()).unwrap().remove(0);
     let complete = fs::read(&segment.path).unwrap();
     let start = log::parse_header(&complete).unwrap().entries_start;
@@ -18,18 +18,33 @@
     for length in 0..=complete.len() {
         fs::write(&segment.path, &complete[..length]).unwrap();
         let kept = ends.iter().filter(|end| **end <= length).count() as u64;
-        let mut again =
-            writer::start_on(FileSystem, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
-        write(&mut again, 1..=2);
-        again.close();
+        let mut second_run = writer::start_on(
+            FileSystem,
+            &settings(folder.path(), 1 << 20),
+            run_tables(),
+            0,
+        )
+        .unwrap();
+        write(&mut second_run, 1..=2);
+        second_run.close();
         let found = follow(folder.path(), LogPosition::default(), 100);
         if length >= start {
             let old = found.sequences_of(segment.incarnation);
-            assert_eq!(old, (1..=kept).collect::<Vec<_>>(), "cut at {length}");
+            assert_eq!(
+                old,
+                (1..=kept).collect::<Vec<_>>(),
+                "wrong records after a cut at byte {length}"
+            );
         }
         let damage = &found.damage;
-        assert!(damage.is_empty(), "cut at {length}: {damage:?}");
-        assert!(found.sequences().ends_with(&[1, 2]), "cut at {length}");
+        assert!(
+            damage.is_empty(),
+            "expected no damage after a cut at byte {length}: {damage:?}"
+        );
+        assert!(
+            found.sequences().ends_with(&[1, 2]),
+            "expected the records of the second run after a cut at byte {length}"
+        );
         for other in log::segments(folder.path()).unwrap() {
             if other.path != segment.path {
                 fs::remove_file(&other.path).unwrap();
@@ -39,26 +54,32 @@
 }
 
 #[test]
-fn a_flipped_byte_costs_only_its_frame_and_is_reported_as_damage() {
+fn a_flipped_bit_damages_only_its_frame_and_is_reported() {
     let folder = tempfile::tempdir().unwrap();
-    log_of(folder.path(), 1 << 20, 8);
+    write_run(folder.path(), 1 << 20, 8);
     let segment = log::segments(folder.path()).unwrap().remove(0);
     let complete = fs::read(&segment.path).unwrap();
     let start = log::parse_header(&complete).unwrap().entries_start;
     let ends: Vec<usize> = std::iter::once(start)
         .chain((1..=8).map(|n| log::read_items(&complete, start, n).end))
         .collect();
-    // With a later segment, an unreadable end can't be a write in progress.
-    let mut again =
-        writer::start_on(FileSystem, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
-    write(&mut again, 1..=1);
-    again.close();
+    // Adds a later segment, so that unreadable bytes at the end of the first one can't be a write
+    // in progress.
+    let mut second_run = writer::start_on(
+        FileSystem,
+        &settings(folder.path(), 1 << 20),
+        run_tables(),
+        0,
+    )
+    .unwrap();
+    write(&mut second_run, 1..=1);
+    second_run.close();
     for at in start..complete.len() {
         for bit in [0x01, 0x80] {
             let mut bytes = complete.clone();
             bytes[at] ^= bit;
             fs::write(&segment.path, &bytes).unwrap();
-            let hit = ends
+            let damaged_sequence = ends
                 .windows(2)
                 .position(|pair| (pair[0]..pair[1]).contains(&at))
                 .unwrap() as u64
@@ -66,18 +87,26 @@
             let found = follow(folder.path(), LogPosition::default(), 3);
             assert_eq!(
                 found.sequences_of(segment.incarnation),
-                (1..=8).filter(|n| *n != hit).collect::<Vec<_>>(),
-                "at {at}"
+                (1..=8)
+                    .filter(|n| *n != damaged_sequence)
+                    .collect::<Vec<_>>(),
+                "wrong records after a flipped bit at byte {at}"
             );
             let [damage] = &found.damage[..] else {
-                panic!("at {at}: {:?}", found.damage)
+                panic!(
+                    "expected one damaged range for a flipped bit at byte {at}: {:?}",
+                    found.damage
+                )
             };
             assert_eq!(damage.segment, segment.name());
             let range = damage.from..damage.to;
-            assert!(range.contains(&(at as u64)), "{at} is not in {range:?}");
+            assert!(
+                range.contains(&(at as u64)),
+                "damaged range {range:?} does not contain byte {at}"
+            );
         }
     }
-    // A damaged header: the records are still read.
+    // The records are still read if the header is damaged.
     let mut bytes = complete.clone();
     bytes[start - 1] ^= 1;
     fs::write(&segment.path, &bytes).unwrap();
@@ -94,25 +123,25 @@
 #[test]
 fn a_follower_resumes_from_any_position_across_segments() {
     let folder = tempfile::tempdir().unwrap();
-    log_of(folder.path(), 1024, 200);
-    log_of(folder.path(), 1024, 100);
+    write_run(folder.path(), 1024, 200);
+    write_run(folder.path(), 1024, 100);
     assert!(
         log::segments(folder.path()).unwrap().len() > 4,
-        "it rotates"
+        "expected several segments per run"
     );
     let found = follow(folder.path(), LogPosition::default(), 7);
     let all = &found.records;
     assert_eq!((all.len(), found.damage.len()), (300, 0));
     for (n, after) in all.iter().enumerate() {
         let rest = follow(folder.path(), *after, 1 + n % 90).records;
-        assert_eq!(rest, all[n + 1..], "after {n}");
+        assert_eq!(rest, all[n + 1..], "wrong records after position {n}");
     }
-    // Settled segments are removed; the others and the last one are kept.
+    // Settled segments are removed, except for the last one of the log.
     let before = log::segments(folder.path()).unwrap().len();
     let settled = all[120];
     let removed = log::remove_settled(folder.path(), settled).unwrap();
     assert!(removed > 0 && log::segments(folder.path()).unwrap().len() == before - removed);
     assert_eq!(follow(folder.path(), settled, 50).records, all[121..]);
-    log::remove_settled(folder.path(), EVERYTHING).unwrap();
+    log::remove_settled(folder.path(), AFTER_ALL_RECORDS).unwrap();
     assert_eq!(log::segments(folder.path()).unwrap().len(), 1);
 }
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -1,6 +1,6 @@
-//! Writing a log: a full disk, a stalled disk, and limits.
+//! Writing a log: a full disk, a stalled disk, the lock and the size limit.
 
-use crate::harness::{follow, names, record, settings, write, EVERYTHING};
+use crate::harness::{follow, record, run_tables, settings, write, AFTER_ALL_RECORDS};
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,7 +11,7 @@
 use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::writer::{self, Disk, FileSystem};
 
-/// Writes half of the bytes and fails, while the flag is set.
+/// A disk that writes half of the bytes and fails while the flag is set.
 struct FullDisk(Arc<AtomicBool>);
 
 impl Disk for FullDisk {
@@ -29,10 +29,11 @@
     let folder = tempfile::tempdir().unwrap();
     let full = Arc::new(AtomicBool::new(false));
     let disk = FullDisk(full.clone());
-    let mut writer = writer::start_on(disk, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
+    let mut writer =
+        writer::start_on(disk, &settings(folder.path(), 1 << 20), run_tables(), 0).unwrap();
     write(&mut writer, 1..=3);
     full.store(true, Ordering::SeqCst);
-    // Each is waited for; the wait also ends for records that can't be written.
+    // `write` waits for each record. The wait must also end for records that can't be written.
     write(&mut writer, 4..=9);
     full.store(false, Ordering::SeqCst);
     std::thread::sleep(Duration::from_millis(120));
@@ -48,10 +49,13 @@
     let found = follow(folder.path(), LogPosition::default(), 100);
     assert_eq!(found.sequences(), [1, 2, 3, 10, 11, 12]);
     let damage = &found.damage;
-    assert!(damage.is_empty(), "half a write is taken back: {damage:?}");
+    assert!(
+        damage.is_empty(),
+        "expected partial writes to be removed: {damage:?}"
+    );
 }
 
-/// Blocks each write until it is released.
+/// A disk that blocks each write until the sender of the channel is dropped.
 struct StalledDisk(Receiver<()>);
 
 impl Disk for StalledDisk {
@@ -68,53 +72,61 @@
     let mut writer = writer::start_on(
         StalledDisk(stalled),
         &settings(folder.path(), 1 << 20),
-        names(),
+        run_tables(),
         0,
     )
     .unwrap();
-    let taken = (1..=3000)
+    let queued = (1..=3000)
         .filter(|sequence| writer.try_enqueue(record(*sequence)))
         .count() as u64;
-    // The capacity of the queue, and the batch that is being written.
-    assert!((64..=64 + 1024).contains(&taken), "{taken}");
+    // The capacity of the queue is 64; up to 1024 more records are in the batch that is being
+    // written.
+    assert!(
+        (64..=64 + 1024).contains(&queued),
+        "unexpected number of queued records: {queued}"
+    );
     assert_eq!(
         *writer.written_sequence().borrow(),
         0,
-        "none is reported as written"
+        "expected no record to be reported as written"
     );
     drop(release);
     writer.close();
     let found = follow(folder.path(), LogPosition::default(), 4096);
     assert_eq!(
         found.records.len() as u64,
-        taken,
-        "all that was taken is there, and the gap shows in the sequence"
+        queued,
+        "expected all queued records in the log"
     );
 }
 
 #[test]
-fn a_log_has_one_writer_and_a_capacity() {
+fn a_log_has_one_writer_and_a_size_limit() {
     let folder = tempfile::tempdir().unwrap();
-    let bounded = UsageLogSettings {
-        keep_bytes: 12 * 1024,
+    let limited_settings = UsageLogSettings {
+        max_log_bytes: 12 * 1024,
         ..settings(folder.path(), 4096)
     };
-    let mut writer = writer::start_on(FileSystem, &bounded, names(), 0).unwrap();
-    let second = writer::start_on(FileSystem, &bounded, names(), 0);
-    assert!(second.err().unwrap().to_string().contains("another mixer"));
+    let mut writer = writer::start_on(FileSystem, &limited_settings, run_tables(), 0).unwrap();
+    let second = writer::start_on(FileSystem, &limited_settings, run_tables(), 0);
+    assert!(second
+        .err()
+        .unwrap()
+        .to_string()
+        .contains("locked by another process"));
     write(&mut writer, 1..=1000);
     let lost = writer.counters().lost_records.load(Ordering::SeqCst);
-    let held: u64 = log::segments(folder.path())
+    let log_bytes: u64 = log::segments(folder.path())
         .unwrap()
         .iter()
         .map(|segment| fs::metadata(&segment.path).unwrap().len())
         .sum();
     assert!(
-        lost > 0 && held <= bounded.keep_bytes,
-        "{lost} lost, {held} bytes"
+        lost > 0 && log_bytes <= limited_settings.max_log_bytes,
+        "expected lost records and a log within its size limit: {lost} lost, {log_bytes} bytes"
     );
-    // Once segments are settled and removed, there is capacity again.
-    log::remove_settled(folder.path(), EVERYTHING).unwrap();
+    // After settled segments are removed, the log can grow again.
+    log::remove_settled(folder.path(), AFTER_ALL_RECORDS).unwrap();
     std::thread::sleep(Duration::from_millis(120));
     write(&mut writer, 1001..=1003);
     assert_eq!(writer.counters().lost_records.load(Ordering::SeqCst), lost);
--- a/crates/usage-ledger/tests/period.rs
+++ b/crates/usage-ledger/tests/period.rs
@@ -1,10 +1,10 @@
-//! Billing periods under calendars whose days differ in length.
+//! Billing periods of calendars with days of different lengths.
 
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
 use usage_ledger::period::{Calendar, Period, PeriodLength};
 
-fn ms(text: &str) -> i64 {
+fn unix_ms(text: &str) -> i64 {
     text.parse::<Timestamp>().unwrap().as_millisecond()
 }
 
@@ -31,8 +31,8 @@
             28 * 24,
         ),
     ];
-    for (calendar, from, longest, shortest) in calendars {
-        let mut period = calendar.period_at(ms(from));
+    for (calendar, from, longest_hours, shortest_hours) in calendars {
+        let mut period = calendar.period_at(unix_ms(from));
         let mut hours = Vec::new();
         for _ in 0..200 {
             assert_eq!(calendar.period_at(period.start_ms), period);
@@ -44,14 +44,14 @@
         }
         assert_eq!(
             (hours.iter().max(), hours.iter().min()),
-            (Some(&longest), Some(&shortest))
+            (Some(&longest_hours), Some(&shortest_hours))
         );
     }
-    // Both hours between two and three belong to the one day.
+    // Both hours between two and three o'clock local time belong to the same day.
     let berlin = Calendar(PeriodLength::CivilDay(zone("Europe/Berlin")));
     assert_eq!(
-        berlin.period_at(ms("2026-10-25T00:30:00Z")),
-        berlin.period_at(ms("2026-10-25T01:30:00Z"))
+        berlin.period_at(unix_ms("2026-10-25T00:30:00Z")),
+        berlin.period_at(unix_ms("2026-10-25T01:30:00Z"))
     );
     assert_eq!(
         Calendar(PeriodLength::Milliseconds(5000)).period_at(12_345),
--- a/crates/usage-ledger/tests/rate.rs
+++ b/crates/usage-ledger/tests/rate.rs
@@ -1,4 +1,4 @@
-//! What counted use costs.
+//! Amounts of lines, and requests over the allowance.
 
 use usage_ledger::rate::{line_amount, requests_over_allowance, UsageCounts};
 use usage_ledger::settings::Price;
@@ -22,11 +22,11 @@
         ((1, 1_499_999), 4),
         ((1, 1_500_000), 5),
     ];
-    for ((complete, share), due) in cases {
+    for ((complete, share), expected) in cases {
         assert_eq!(
             line_amount(&line(complete, share), price),
-            due,
-            "{complete} {share}"
+            expected,
+            "wrong amount for {complete} complete answers and a share of {share} millionths"
         );
     }
     let (before, after) = (line(1, 400_000), line(2, 900_000));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn requests_over_the_allowance_are_counted_apart() {
+fn answered_requests_beyond_the_allowance_are_counted() {
     assert_eq!(
         (
             requests_over_allowance(5, None),
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -18,34 +18,35 @@
 use usage_ledger::writer::{self, RunClass, RunTables, UsageLogWriter};
 
 const PERIOD_MS: i64 = 1000;
-/// The start of a period long past, in Unix milliseconds.
-const PERIOD_START: i64 = 1_000_000_000_000;
-/// The longest wait of a test for the service.
+/// Start of a period in the past, in Unix milliseconds.
+const PERIOD_START_MS: i64 = 1_000_000_000_000;
+/// Maximum time that a test waits for the service.
 const TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which a test polls a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds; `what` names the awaited event.
 fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "no {what} in time");
+        assert!(Instant::now() < deadline, "no {what} within {TIMEOUT:?}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// An aggregator's usage log, offered for collection at a port that the system chooses.
+/// Starts the writer of an aggregator's usage log, with collection at a port that the operating
+/// system assigns.
 fn start_log(directory: &Path, name: &str) -> UsageLogWriter {
     let settings = UsageLogSettings {
         directory: directory.into(),
         segment_bytes: 4096,
-        keep_bytes: 1 << 30,
+        max_log_bytes: 1 << 30,
         queue_entries: 1024,
         max_reply_delay: Duration::from_millis(5),
         mark_interval: Duration::from_millis(100),
         listen_address: Some((Ipv4Addr::LOCALHOST, 0).into()),
     };
-    let names = RunTables {
+    let run_tables = RunTables {
         aggregator: name.into(),
         classes: vec![RunClass {
             name: "c".into(),
@@ -53,21 +54,21 @@
         }],
         tenants: vec!["t".into()],
     };
-    writer::start(&settings, names, 1_000_000_000).unwrap()
+    writer::start(&settings, run_tables, 1_000_000_000).unwrap()
 }
 
-/// Where a log is offered for collection.
+/// Returns the address at which a log is offered for collection.
 fn address_of(writer: &UsageLogWriter) -> SocketAddr {
     let address = writer.collection_address().unwrap();
     assert!(address.ip().is_loopback() && address.port() != 0);
     address
 }
 
-fn write_record(writer: &mut UsageLogWriter, sequence: u64, at: i64) {
+fn write_record(writer: &mut UsageLogWriter, sequence: u64, arrived_at_ms: i64) {
     let record = Record {
         key: sequence * 2,
         sequence,
-        arrived_ms: at as u64,
+        arrived_ms: arrived_at_ms as u64,
         outcome: Outcome::Whole.into(),
         ..Record::default()
     };
@@ -124,7 +125,7 @@
             .build()
             .unwrap();
         let store = directory.join("ledger.sqlite");
-        // Two processes can't create a store at the same time: it is there before both open it.
+        // Creates the store first: the service and the test must not create it at the same time.
         drop(Store::open(&store).unwrap());
         let (signals, receiver) = mpsc::channel(1);
         let serve = runtime.spawn(settlement::serve(store.clone(), settings, receiver));
@@ -171,17 +172,17 @@
     let settings = ledger_settings(folder.path(), &[("n0", address_of(&writer))]);
     let service = Service::start(folder.path(), settings);
     for sequence in 1..=500 {
-        write_record(&mut writer, sequence, PERIOD_START + sequence as i64);
+        write_record(&mut writer, sequence, PERIOD_START_MS + sequence as i64);
     }
-    // Not complete yet: the period waits for the member.
+    // The period waits, since no mark has stated that the records are complete.
     let store = Store::open(&service.store).unwrap();
     let collected = |sequence| store.position("n0").unwrap().sequence >= sequence;
     wait_for("records", || collected(500));
     assert!(service.statements().is_empty());
-    let complete = PERIOD_START + 2 * PERIOD_MS;
+    let complete_until_ms = PERIOD_START_MS + 2 * PERIOD_MS;
     assert!(writer.try_enqueue(What::Mark(Mark {
         sequence: 500,
-        complete_ms: complete as u64,
+        complete_ms: complete_until_ms as u64,
         end: false,
     })));
     wait_for("statement", || !service.statements().is_empty());
@@ -193,10 +194,10 @@
     assert!(!statement.members[0].is_missing);
     let document = "statement-2001-09-09T014640.000Z-t.json";
     wait_for("document", || service.exported().contains(&document.into()));
-    // Segments whose records are in the store are removed, except the last one.
+    // Segments whose records are stored are removed, except for the last one.
     assert!(log::segments(&log_directory).unwrap().len() > 1);
     wait_for("acknowledgement", || {
-        write_record(&mut writer, 501, PERIOD_START + PERIOD_MS);
+        write_record(&mut writer, 501, PERIOD_START_MS + PERIOD_MS);
         log::segments(&log_directory).unwrap().len() == 1
     });
     service.stop();
@@ -212,9 +213,9 @@
     ];
     let [first, second] = writers.each_ref().map(address_of);
     for writer in &mut writers {
-        write_record(writer, 1, PERIOD_START);
+        write_record(writer, 1, PERIOD_START_MS);
     }
-    // The address of n1 is that of n0's log.
+    // The configured address of n1 is wrong: it is the address of n0's log.
     let settings = ledger_settings(folder.path(), &[("n0", first), ("n1", first)]);
     let service = Service::start(folder.path(), settings);
     wait_for("first store", || service.store.exists());
--- a/crates/usage-ledger/tests/store/closing.rs
+++ b/crates/usage-ledger/tests/store/closing.rs
@@ -1,4 +1,4 @@
-//! Closing periods: late records, clock skew, and runs without a closing mark.
+//! Closing periods: late records, clock skew, and runs that ended without a closing mark.
 
 use crate::harness::{
     adjusted_requests, batch, complete_record, header, mark, own_requests, period, rejected, retry,
@@ -9,15 +9,15 @@
 #[test]
 fn late_records_adjust_the_next_statement_and_leave_closed_ones_unchanged() {
     let mut harness = StoreHarness::new();
-    // A retry near the end of a period, whose first request is not collected yet.
-    let orphan = batch(
+    // A retry near the start of a period, whose first request has not been collected yet.
+    let retry_without_first_request = batch(
         1,
         vec![
             retry(complete_record(1, FIRST_MS + PERIOD_MS + 30, 4)),
             mark(1, FIRST_MS + 9000, false),
         ],
     );
-    harness.ingest("n0", &orphan);
+    harness.ingest("n0", &retry_without_first_request);
     let empty = harness.close(0, &["n1"]);
     assert_eq!(
         (
@@ -30,7 +30,8 @@
     let first = harness.close(1, &["n1"]);
     assert_eq!((own_requests(&first), first.total), (1, 10));
     let before = harness.store.statements().unwrap();
-    // The first request is collected late: one logical request, in the period of the first one.
+    // The first request is collected late: both records form one logical request, which belongs to
+    // the period of the first request.
     let late = harness.ingest(
         "n1",
         &batch(
@@ -55,7 +56,7 @@
     assert_eq!(
         harness.store.statements().unwrap()[..2],
         before[..],
-        "byte for byte"
+        "expected closed statements to keep their bytes"
     );
     harness.assert_verified();
 }
@@ -90,7 +91,7 @@
 #[test]
 fn clock_skew_and_a_clock_that_steps_back_count_each_request_once() {
     let mut harness = StoreHarness::new();
-    // The clock of n1 is behind: its retry seems to arrive before the first request, in the
+    // The clock of n1 is behind: the retry seems to arrive before its first request, in the
     // previous period.
     harness.ingest(
         "n0",
@@ -122,7 +123,7 @@
         ),
         (1, 1, 2)
     );
-    // A clock steps back at a restart: the records are late, and still counted.
+    // The clock of n0 steps back at a restart: records of the new run are late, but still counted.
     harness.ingest(
         "n0",
         &batch(
@@ -136,7 +137,7 @@
     assert_eq!(
         harness.store.member_statuses().unwrap()[0].complete_until_ms,
         FIRST_MS + 900,
-        "its last run is the one that counts"
+        "expected the watermark of the latest run"
     );
     let second = harness.close(2, &[]);
     assert_eq!(
@@ -149,11 +150,11 @@
 #[test]
 fn an_answer_of_a_run_without_a_closing_mark_may_be_retried() {
     let mut harness = StoreHarness::new();
-    let last = vec![
+    let records_before_the_crash = vec![
         mark(0, FIRST_MS, false),
         What::Record(complete_record(1, FIRST_MS + 10, 4)),
     ];
-    harness.ingest("n0", &batch(1, last));
+    harness.ingest("n0", &batch(1, records_before_the_crash));
     harness.ingest(
         "n1",
         &batch(
@@ -164,13 +165,14 @@
             ],
         ),
     );
-    // The run may not have ended yet: the answer counts, and the retry as another request.
+    // The run of n0 may still go on: its answer counts as sent, and the retry as another request.
     let first = harness.close(0, &["n0"]);
     assert_eq!(
         (own_requests(&first), first.lines[0].counts.ambiguous),
         (2, 1)
     );
-    // A later run has begun and there is no closing mark: the retry belongs to that request.
+    // A later run of n0 has started and the earlier one has no closing mark: the answer may not
+    // have been sent, so the retry joins that request.
     harness.ingest("n0", &batch(2, vec![mark(0, FIRST_MS + 5000, false)]));
     let next = harness.close(1, &[]);
     assert_eq!(
@@ -185,7 +187,7 @@
 }
 
 #[test]
-fn statements_report_gaps_deaths_and_damage_and_keep_removed_tenants() {
+fn statements_report_gaps_crashes_and_damage_and_keep_removed_tenants() {
     let mut harness = StoreHarness::new();
     let mut records = batch(
         1,
@@ -201,15 +203,15 @@
     });
     harness.ingest("n0", &records);
     harness.ingest("n0", &batch(1, vec![mark(7, FIRST_MS + 10, false)]));
-    // The settings of the next run have one tenant less.
-    let next = Batch {
+    // Tenant `t` was removed from the settings before the next run.
+    let next_run = Batch {
         header: header(2, &["u"]),
         entries: vec![Entry {
             what: Some(What::Record(complete_record(1, FIRST_MS + 20, 6))),
         }],
         damage: Vec::new(),
     };
-    harness.ingest("n0", &next);
+    harness.ingest("n0", &next_run);
     let statement = harness.close(0, &["n1"]);
     let member = &statement.members[0];
     assert_eq!(
@@ -220,10 +222,10 @@
         ),
         (5, 1, 1)
     );
-    let by: Vec<(&str, i64)> = statement
+    let requests_by_tenant: Vec<(&str, i64)> = statement
         .lines
         .iter()
         .map(|line| (line.tenant.as_str(), line.counts.requests))
         .collect();
-    assert_eq!(by, [("t", 2), ("u", 1)]);
+    assert_eq!(requests_by_tenant, [("t", 2), ("u", 1)]);
 }
--- a/crates/usage-ledger/tests/store/delivery.rs
+++ b/crates/usage-ledger/tests/store/delivery.rs
@@ -1,4 +1,4 @@
-//! Random records under random delivery.
+//! Random records that are delivered repeatedly, late and in any order.
 
 use crate::harness::{batch, complete_record, mark, StoreHarness, BOUNDS, FIRST_MS, PERIOD_MS};
 use proptest::prelude::*;
@@ -8,10 +8,11 @@
 
 const MEMBERS: [&str; 2] = ["n0", "n1"];
 
-/// The random values of a record.
-type Draw = (i64, u64, bool, i32, u8, u8);
+/// Random values of a record: offset of the arrival in milliseconds, key, whether it is a retry,
+/// outcome, selector of the member and of a restart, round of the delivery.
+type RandomRecord = (i64, u64, bool, i32, u8, u8);
 
-/// Entries of one run of a member, delivered in this round.
+/// Entries of one run of a member that are delivered together.
 struct Delivery {
     round: u8,
     member: usize,
@@ -19,26 +20,28 @@
     entries: Vec<What>,
 }
 
-/// The run of a member that is being recorded.
+/// The current run of a member.
 #[derive(Clone, Copy)]
 struct Run {
     incarnation: u64,
     last_sequence: u64,
 }
 
-/// Makes deliveries of records. A member may end its run before a record: with a closing mark where
-/// the bit of `ends` is 0, otherwise by a crash. Where the bit of `marks` is 0 a mark follows the
-/// record.
-fn deliveries(draws: &[Draw], ends: u64, marks: u64) -> Vec<Delivery> {
+/// Returns the deliveries of records. The run of a member may end before a record: with a closing
+/// mark if the record's bit in `ends` is 0, otherwise by a crash. A mark follows the record if its
+/// bit in `marks` is 0.
+fn deliveries(random_records: &[RandomRecord], ends: u64, marks: u64) -> Vec<Delivery> {
     let first_run = Run {
         incarnation: 1,
         last_sequence: 0,
     };
     let mut runs = [first_run; MEMBERS.len()];
     let mut deliveries = Vec::new();
-    for (n, &(offset, key, repeat, outcome, dice, round)) in draws.iter().enumerate() {
+    for (n, &(offset_ms, key, repeat, outcome, selector, round)) in
+        random_records.iter().enumerate()
+    {
         let bit_is_clear = |bits: u64| bits >> (n % 64) & 1 == 0;
-        let member = usize::from(dice % 2);
+        let member = usize::from(selector % 2);
         let run = &mut runs[member];
         let mut deliver = |incarnation, entries| {
             deliveries.push(Delivery {
@@ -48,7 +51,7 @@
                 entries,
             });
         };
-        if dice < 2 && run.last_sequence > 0 {
+        if selector < 2 && run.last_sequence > 0 {
             if bit_is_clear(ends) {
                 let end = mark(run.last_sequence, FIRST_MS, true);
                 deliver(run.incarnation, vec![end]);
@@ -66,7 +69,7 @@
             keyed,
             outcome,
             share: if is_partial { 600_000 } else { 0 },
-            ..complete_record(sequence, FIRST_MS + offset, key)
+            ..complete_record(sequence, FIRST_MS + offset_ms, key)
         };
         let mut entries = vec![What::Record(record)];
         if bit_is_clear(marks) {
@@ -77,7 +80,7 @@
     deliveries
 }
 
-/// The counts of all statements.
+/// Returns the sum of the counts in all statements.
 fn stated(harness: &StoreHarness) -> UsageCounts {
     let mut stated = UsageCounts::default();
     for stored in harness.store.statements().unwrap() {
@@ -88,7 +91,7 @@
     stated
 }
 
-/// The counts of all records if they are joined at once.
+/// Returns the counts of all records, joined at once.
 fn joined(harness: &StoreHarness) -> UsageCounts {
     let mut counts = UsageCounts::default();
     let mut joiner = Joiner::new(BOUNDS);
@@ -102,16 +105,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random records of two members are delivered in random batches, some twice, some after their
-    /// period was closed. Members and the settlement crash and are started again. All statements
-    /// together have the counts of all records joined at once.
+    /// Random records of two members are delivered in random batches, some of them twice, some
+    /// after their period was closed. Members and the settlement crash and restart. All statements
+    /// together must have the counts of all records joined at once.
     #[test]
     fn statements_add_up_to_the_records_in_any_order_of_delivery(
-        draws in prop::collection::vec((0i64..3 * PERIOD_MS, 0u64..4, any::<bool>(), 0i32..5, 0u8..8, 0u8..4), 1..60),
+        random_records in prop::collection::vec(
+            (0i64..3 * PERIOD_MS, 0u64..4, any::<bool>(), 0i32..5, 0u8..8, 0u8..4),
+            1..60,
+        ),
         ends in any::<u64>(), marks in any::<u64>(),
     ) {
         let mut harness = StoreHarness::new();
-        let deliveries = deliveries(&draws, ends, marks);
+        let deliveries = deliveries(&random_records, ends, marks);
         for round in 0..4u8 {
             for (n, delivery) in deliveries.iter().enumerate() {
                 let is_repeated = delivery.round < round && n % 3 == 0;
@@ -123,11 +129,11 @@
             harness.restart();
             harness.close(i64::from(round), &[]);
         }
-        // One more period, for adjustments of the last one.
+        // One more period, whose statement adjusts the last one.
         harness.close(4, &[]);
         harness.assert_verified();
         let stated = stated(&harness);
         prop_assert_eq!(stated, joined(&harness));
-        prop_assert_eq!(stated.records, draws.len() as i64);
+        prop_assert_eq!(stated.records, random_records.len() as i64);
     }
 }
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -1,4 +1,4 @@
-//! Corrections, documents and their export.
+//! Corrections, documents and their delivery.
 
 use crate::harness::{batch, complete_record, period, StoreHarness, FIRST_MS};
 use std::path::Path;
@@ -63,24 +63,27 @@
             .store
             .enter_correction(&correction("late", -4), period(0), FIRST_MS)
             .is_err(),
-        "one of each id"
+        "expected an error for a correction with an id that exists"
     );
     assert_eq!(harness.store.documents().unwrap().len(), 3);
     harness.assert_verified();
 }
 
-/// The attempt has written the document to the folder, has posted nothing, and has not failed.
+/// Asserts that an attempt has written the document to the folder, posted nothing and succeeded.
 fn assert_only_in_folder(delivery: &Delivery) {
     let Delivery {
         in_folder,
         posted,
         error,
     } = delivery;
-    assert!(*in_folder && !posted && error.is_none(), "{delivery:?}");
+    assert!(
+        *in_folder && !posted && error.is_none(),
+        "expected a delivery to the folder only: {delivery:?}"
+    );
 }
 
-/// The process is killed between close and export, and between an export and the update of the
-/// outbox: the same document is sent again.
+/// If the process is killed after a period was closed, or after a document was sent but before the
+/// outbox was updated, the same document must be sent again.
 #[test]
 fn a_document_survives_crashes_under_one_id_with_the_same_bytes() {
     let mut harness = StoreHarness::new();
@@ -91,26 +94,26 @@
     harness.close(0, &[]);
     harness.restart();
     let folder = tempfile::tempdir().unwrap();
-    let to = ExportTarget {
+    let target = ExportTarget {
         folder: Some(folder.path().into()),
         url: None,
         timeout: Duration::from_secs(1),
         retry_delay: Duration::from_millis(1),
     };
-    let waiting = harness.store.undelivered_documents(&to).unwrap();
-    assert_only_in_folder(&export::deliver(&to, &waiting[0]));
+    let pending = harness.store.undelivered_documents(&target).unwrap();
+    assert_only_in_folder(&export::deliver(&target, &pending[0]));
     let bytes =
-        |folder: &Path| std::fs::read(folder.join(format!("{}.json", waiting[0].id))).unwrap();
+        |folder: &Path| std::fs::read(folder.join(format!("{}.json", pending[0].id))).unwrap();
     let first = bytes(folder.path());
-    // The document was sent, and the process was killed before the outbox was updated.
+    // The document has been sent, but the process is killed before the outbox is updated.
     harness.restart();
-    let again = harness.store.undelivered_documents(&to).unwrap();
-    assert_eq!(again, waiting);
-    let delivery = export::deliver(&to, &again[0]);
+    let pending_after_restart = harness.store.undelivered_documents(&target).unwrap();
+    assert_eq!(pending_after_restart, pending);
+    let delivery = export::deliver(&target, &pending_after_restart[0]);
     assert_only_in_folder(&delivery);
     harness
         .store
-        .record_delivery(&again[0].id, &delivery, FIRST_MS)
+        .record_delivery(&pending_after_restart[0].id, &delivery, FIRST_MS)
         .unwrap();
     assert_eq!(
         (
@@ -119,10 +122,14 @@
         ),
         (first, 1)
     );
-    assert!(harness.store.undelivered_documents(&to).unwrap().is_empty());
-    let again = Duration::from_millis(10);
+    assert!(harness
+        .store
+        .undelivered_documents(&target)
+        .unwrap()
+        .is_empty());
+    let retry_delay = Duration::from_millis(10);
     assert_eq!(
-        [1, 2, 7, 99].map(|n| export::retry_backoff(again, n).as_millis()),
+        [1, 2, 7, 99].map(|attempts| export::retry_backoff(retry_delay, attempts).as_millis()),
         [10, 20, 640, 640]
     );
 }
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -1,4 +1,4 @@
-//! A store under test, and records for it.
+//! A store in a temporary directory, and records for it.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -14,22 +14,24 @@
     skew_ms: 20,
 };
 pub const PERIOD_MS: i64 = 1000;
-/// The start of the first period, in Unix milliseconds.
+/// Start of the period with number 0, in Unix milliseconds.
 pub const FIRST_MS: i64 = 1_000_000;
 
 pub fn calendar() -> Calendar {
     Calendar(PeriodLength::Milliseconds(PERIOD_MS))
 }
 
-pub fn period(n: i64) -> Period {
+/// Returns the period with this number. Numbers count from [`FIRST_MS`] and may be negative.
+pub fn period(number: i64) -> Period {
     Period {
-        start_ms: FIRST_MS + n * PERIOD_MS,
-        end_ms: FIRST_MS + (n + 1) * PERIOD_MS,
+        start_ms: FIRST_MS + number * PERIOD_MS,
+        end_ms: FIRST_MS + (number + 1) * PERIOD_MS,
     }
 }
 
-/// A store in a directory of its own.
+/// A store in a temporary directory.
 pub struct StoreHarness {
+    /// Deletes the directory when the harness is dropped.
     _folder: tempfile::TempDir,
     pub path: PathBuf,
     pub store: Store,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// The process crashes and is started again.
+    /// Opens the store again, as after a crash of the process.
     pub fn restart(&mut self) {
         self.store = Store::open(&self.path).unwrap();
     }
@@ -69,7 +71,8 @@
             .unwrap()
     }
 
-    pub fn close(&mut self, n: i64, missing: &[&str]) -> Statement {
+    /// Closes the period with this number; `missing` names the members whose records are missing.
+    pub fn close(&mut self, period_number: i64, missing: &[&str]) -> Statement {
         let missing: Vec<String> = missing.iter().map(|name| name.to_string()).collect();
         let terms = ClosingTerms {
             bounds: BOUNDS,
@@ -79,12 +82,18 @@
             missing: &missing,
             now_ms: FIRST_MS + 100 * PERIOD_MS,
         };
-        self.store.close_period(period(n), &terms).unwrap()
+        self.store
+            .close_period(period(period_number), &terms)
+            .unwrap()
     }
 
+    /// Asserts that the verification of the store finds no fault.
     pub fn assert_verified(&self) {
         let report = self.store.verify(BOUNDS).unwrap();
-        assert!(report.checked > 0 && report.faults.is_empty(), "{report:?}");
+        assert!(
+            report.checked > 0 && report.faults.is_empty(),
+            "expected checked items without faults: {report:?}"
+        );
     }
 }
 
@@ -116,13 +125,13 @@
     }
 }
 
-pub fn complete_record(sequence: u64, at: i64, key: u64) -> Record {
+pub fn complete_record(sequence: u64, arrived_at_ms: i64, key: u64) -> Record {
     Record {
         key,
         parts: 1,
         attempts: 1,
         sequence,
-        arrived_ms: at as u64,
+        arrived_ms: arrived_at_ms as u64,
         outcome: Outcome::Whole.into(),
         ..Record::default()
     }
@@ -135,22 +144,22 @@
     })
 }
 
-pub fn rejected(sequence: u64, at: i64, key: u64) -> What {
+pub fn rejected(sequence: u64, arrived_at_ms: i64, key: u64) -> What {
     What::Record(Record {
         outcome: Outcome::Refused.into(),
-        ..complete_record(sequence, at, key)
+        ..complete_record(sequence, arrived_at_ms, key)
     })
 }
 
-pub fn mark(sequence: u64, complete: i64, end: bool) -> What {
+pub fn mark(sequence: u64, complete_until_ms: i64, end: bool) -> What {
     What::Mark(Mark {
         sequence,
-        complete_ms: complete as u64,
+        complete_ms: complete_until_ms as u64,
         end,
     })
 }
 
-/// The requests that a statement counts of its own period.
+/// Returns the number of requests in the lines of the statement's own period.
 pub fn own_requests(statement: &Statement) -> i64 {
     let lines = statement.lines.iter();
     lines
@@ -159,7 +168,7 @@
         .sum()
 }
 
-/// The requests that a statement adds to earlier periods.
+/// Returns the number of requests that a statement adds to earlier periods.
 pub fn adjusted_requests(statement: &Statement) -> i64 {
     let lines = statement.lines.iter();
     lines
--- a/crates/usage-ledger/tests/store/ingest.rs
+++ b/crates/usage-ledger/tests/store/ingest.rs
@@ -1,4 +1,4 @@
-//! What is delivered twice, in another order, or after a crash.
+//! Ingestion of batches that are delivered repeatedly, for example after a crash.
 
 use crate::harness::{
     batch, complete_record, mark, own_requests, rejected, retry, StoreHarness, FIRST_MS,
@@ -9,28 +9,28 @@
 #[test]
 fn ingesting_the_same_records_again_changes_nothing() {
     let mut harness = StoreHarness::new();
-    let one = batch(
+    let first_batch = batch(
         1,
         vec![
             What::Record(complete_record(1, FIRST_MS, 2)),
             rejected(2, FIRST_MS + 5, 4),
         ],
     );
-    let two = batch(
+    let second_batch = batch(
         1,
         vec![
             retry(complete_record(3, FIRST_MS + 60, 4)),
             mark(3, FIRST_MS + 5000, false),
         ],
     );
-    assert_eq!(harness.ingest("n0", &one).new, 2);
-    // Killed between ingestion and acknowledgement: the batch is sent again.
+    assert_eq!(harness.ingest("n0", &first_batch).new, 2);
+    // The settlement is killed between ingestion and acknowledgement, so the batch is sent again.
     harness.restart();
     assert_eq!(
         (
-            harness.ingest("n0", &one).known,
-            harness.ingest("n0", &two).new,
-            harness.ingest("n0", &one).known
+            harness.ingest("n0", &first_batch).known,
+            harness.ingest("n0", &second_batch).new,
+            harness.ingest("n0", &first_batch).known
         ),
         (2, 1, 2)
     );
@@ -56,7 +56,7 @@
             statement.tenants[0].over_allowance,
             statement.tenants[0].answered
         ) == (1, 2),
-        "one over the allowance of one"
+        "expected two answered requests, one of them over the allowance of 1"
     );
     harness.assert_verified();
 }
--- a/crates/usage-ledger/tests/store/main.rs
+++ b/crates/usage-ledger/tests/store/main.rs
@@ -1,5 +1,5 @@
-//! The settlement's store: what is delivered twice, late, in another order, or never; and crashes
-//! between the steps.
+//! The store of the settlement: records that are delivered repeatedly, late, in another order or
+//! never, and crashes between two operations.
 
 mod closing;
 mod delivery;
--- a/crates/usage-ledger/tests/store/reconciliation.rs
+++ b/crates/usage-ledger/tests/store/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the records with what clients have recorded.
+//! Reconciliation of the ledger with the records of clients.
 
 use crate::harness::{
     batch, calendar, complete_record, period, rejected, StoreHarness, BOUNDS, FIRST_MS, PERIOD_MS,
@@ -20,7 +20,10 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "one scenario, compared as a whole")]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario whose whole report is compared"
+)]
 fn totals_and_single_requests_are_compared_within_the_range() {
     let mut harness = StoreHarness::new();
     let records = vec![
--- a/crates/usage-ledger/tests/store/verification.rs
+++ b/crates/usage-ledger/tests/store/verification.rs
@@ -1,4 +1,4 @@
-//! Verification of a store that was tampered with, and of its version.
+//! Verification of a store that was tampered with, and rejection of a newer schema.
 
 use crate::harness::{batch, complete_record, StoreHarness, BOUNDS, FIRST_MS};
 use usage_ledger::store::{Store, VerificationFault};
@@ -25,7 +25,7 @@
             "does not follow",
         ),
     ];
-    for (sql, found) in tampering {
+    for (sql, expected_text) in tampering {
         let mut harness = StoreHarness::new();
         harness.ingest(
             "n0",
@@ -40,8 +40,10 @@
             .unwrap();
         let faults = harness.store.verify(BOUNDS).unwrap().faults;
         assert!(
-            faults.iter().any(|fault| fault.to_string().contains(found)),
-            "{sql}: {faults:?}"
+            faults
+                .iter()
+                .any(|fault| fault.to_string().contains(expected_text)),
+            "expected a fault with '{expected_text}' after '{sql}': {faults:?}"
         );
     }
     let harness = StoreHarness::new();
@@ -53,11 +55,11 @@
         .err()
         .unwrap()
         .to_string()
-        .contains("later program"));
+        .contains("newer release"));
 }
 
 #[test]
-fn faults_are_reported_in_the_published_words() {
+fn faults_have_their_published_texts() {
     let period = || "P".to_string();
     let faults = [
         VerificationFault::DamagedFile {
