--- a/crates/aggregator/src/cli/ledger/context.rs
+++ b/crates/aggregator/src/cli/ledger/context.rs
@@ -1,4 +1,4 @@
-//! The settings of the ledger and the store that they name.
+//! The settings and the store that the `ledger` commands work on.
 
 use super::LedgerError;
 use crate::files::Files;
@@ -9,11 +9,11 @@
 use usage_ledger::settings::LedgerSettings;
 use usage_ledger::store::Store;
 
-/// The settings of the ledger and the store that they name.
+/// Settings of the ledger, and the path of its store.
 pub struct LedgerContext {
-    /// The settings in force.
+    /// Settings from the settings file.
     pub settings: LedgerSettings,
-    /// The store's file.
+    /// Path of the SQLite file.
     pub store_path: PathBuf,
 }
 
@@ -23,16 +23,16 @@
 }
 
 impl LedgerContext {
-    /// Reads the settings.
+    /// Reads the settings file.
     ///
     /// # Errors
-    /// The settings are invalid, or name no store.
+    /// The settings can't be read, are invalid, or name no store.
     pub fn open(files: &Files) -> Result<LedgerContext, LedgerError> {
         let settings = settings::read(files.settings.as_deref())?;
         LedgerContext::new(read_ledger_settings(&settings)?)
     }
 
-    /// Uses settings that were read before.
+    /// Creates a context from settings that were read before.
     ///
     /// # Errors
     /// The settings name no store.
@@ -47,7 +47,11 @@
         })
     }
 
-    /// Opens the store. A missing store is an error, since a command that reads must not create it.
+    /// Opens the store.
+    ///
+    /// # Errors
+    /// The store can't be opened or does not exist. It is not created here, because commands that
+    /// only read must not create a store.
     pub fn existing_store(&self) -> Result<Store, LedgerError> {
         if !self.store_path.exists() {
             return Err(LedgerError::StoreMissing(self.store_path.clone()));
@@ -58,7 +62,10 @@
         })
     }
 
-    /// The period that begins at `time`, in the form in which `ledger periods` shows it.
+    /// Returns the period that begins at `time`, which has the form that `ledger periods` prints.
+    ///
+    /// # Errors
+    /// `time` can't be parsed, no period begins at `time`, or the store can't be read.
     pub fn period_starting_at(&self, store: &Store, time: &str) -> Result<Period, LedgerError> {
         let timestamp: jiff::Timestamp = time
             .parse()
--- a/crates/aggregator/src/cli/ledger/correct.rs
+++ b/crates/aggregator/src/cli/ledger/correct.rs
@@ -7,30 +7,33 @@
 use usage_ledger::statement::CorrectionLine;
 use usage_ledger::store::sha256_hex;
 
-/// Number of characters of a generated correction id.
+/// Length of a generated correction id, in hexadecimal digits.
 const GENERATED_ID_LENGTH: usize = 16;
 
 /// The arguments of `ledger correct`.
 #[derive(clap::Args)]
 pub struct CorrectArguments {
+    /// Tenant whose bill is corrected
     #[arg(long)]
     tenant: String,
-    /// The start of the period to correct, as `periods` shows it
+    /// Start of the period to correct, in the form that `periods` prints
     #[arg(long)]
     period: String,
-    /// Micro-units; below zero is a credit
+    /// Amount in micro-units; negative for a credit
     #[arg(long, allow_hyphen_values = true)]
     amount: i64,
+    /// Reason for the correction, which the tenant sees
     #[arg(long)]
     reason: String,
+    /// Operator who enters the correction, which the tenant sees
     #[arg(long)]
     author: String,
-    /// Names the correction; the same one twice is an error
+    /// Unique id of the correction; generated if not given
     #[arg(long)]
     id: Option<String>,
 }
 
-/// Enters the correction, and prints where it will appear.
+/// Enters the correction, and prints the document or statement that will contain it.
 pub fn run(context: &LedgerContext, arguments: CorrectArguments) -> Result<(), LedgerError> {
     let mut store = context.existing_store()?;
     let period = context.period_starting_at(&store, &arguments.period)?;
--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -1,4 +1,4 @@
-//! `ledger dump`: the records in the store, or those of one aggregator's usage log.
+//! `ledger dump`: prints the records in the store, or those of one aggregator's usage log.
 
 use super::{LedgerContext, LedgerError};
 use crate::cli::output::{FormatArguments, OutputFormat, Report};
@@ -11,7 +11,7 @@
 use usage_ledger::period::format_timestamp;
 use usage_ledger::wire::{entry::What, Damage, Header, Record};
 
-/// The published names of the columns.
+/// Published names of the columns.
 const COLUMNS: [&str; 14] = [
     "arrived",
     "mixer",
@@ -29,19 +29,20 @@
     "key",
 ];
 
-/// Number of entries that are read at a time.
+/// Maximum number of entries in one read of a log.
 const BATCH_ENTRIES: usize = 4096;
 
 /// The arguments of `ledger dump`.
 #[derive(clap::Args)]
 pub struct DumpArguments {
+    /// Folder of a mixer's usage log; if not given, the records in the store are printed
     #[arg(long, value_name = "FOLDER")]
     log: Option<PathBuf>,
     #[command(flatten)]
     format: FormatArguments,
 }
 
-/// Prints all records of the log, or of the store if no log is given, in the order of the source.
+/// Prints all records of the log or, without `--log`, of the store, in the order of the source.
 pub fn run(files: &Files, arguments: &DumpArguments) -> Result<(), LedgerError> {
     let format = arguments.format.format;
     match &arguments.log {
@@ -50,7 +51,7 @@
     }
 }
 
-/// One record of a log or of the store. Names that the source does not have are `None`.
+/// A record of a log or of the store. Names that the source does not contain are `None`.
 struct RecordRow<'a> {
     arrived_at_ms: i64,
     aggregator: Option<&'a str>,
@@ -59,7 +60,7 @@
     tenant: Option<&'a str>,
     class: Option<&'a str>,
     outcome: String,
-    /// The share of a partial answer, in millionths; 0 otherwise.
+    /// Share of a partial answer, in millionths; 0 for other outcomes.
     share_millionths: u32,
     parts: u32,
     attempts: u32,
@@ -70,7 +71,7 @@
 }
 
 impl RecordRow<'_> {
-    /// The values in the order of [`COLUMNS`].
+    /// Returns the values in the order of [`COLUMNS`].
     fn values(&self) -> Vec<Value> {
         vec![
             json!(format_timestamp(self.arrived_at_ms)),
@@ -142,7 +143,7 @@
 
 fn warn_of_damage(damage: &Damage) {
     let (segment, from, to) = (&damage.segment, damage.from, damage.to);
-    eprintln!("query-aggregator: {segment}: damaged from offset {from} to {to}");
+    eprintln!("query-aggregator: segment {segment}: unreadable bytes from offset {from} to {to}");
 }
 
 fn logged_row<'a>(header: &'a Header, record: &Record) -> RecordRow<'a> {
--- a/crates/aggregator/src/cli/ledger/error.rs
+++ b/crates/aggregator/src/cli/ledger/error.rs
@@ -12,98 +12,99 @@
 /// An error of a `ledger` command.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// The settings are invalid.
+    /// The settings can't be read or are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The settings name no store.
-    #[error("no store: [settlement] store has to name it in the settings (--settings FILE)")]
+    #[error("no store configured: set [settlement] store in the settings file (--settings FILE)")]
     StoreNotNamed,
-    /// The settings name no destination for documents.
-    #[error("[export] names neither a folder nor a url")]
+    /// The settings contain no destination for documents.
+    #[error("no destination for documents configured: set [export] folder or [export] url")]
     NoExportTarget,
 
     /// An argument is not a time.
-    #[error("'{0}' is no time, as in 2026-12-01T00:00:00Z")]
+    #[error("'{0}' is not a time; expected a form such as 2026-12-01T00:00:00Z")]
     InvalidTime(String),
     /// An argument is a time at which no period begins.
-    #[error("no period begins at {time}; the one that holds it begins at {start}")]
+    #[error("no period begins at {time}; the period that contains this time begins at {start}")]
     NotAPeriodStart {
-        /// The argument.
+        /// Time that was given.
         time: String,
-        /// The start of the period that contains it.
+        /// Start of the period that contains `time`.
         start: String,
     },
     /// The argument of `--within` is not a duration.
     #[error("--within {text}: {reason}")]
     InvalidWithin {
-        /// The argument.
+        /// Text of the argument.
         text: String,
-        /// Why it is invalid.
+        /// Problem with the argument.
         reason: String,
     },
     /// The argument of `--counters` is not of the form `NAME=FILE`.
-    #[error("'{0}' is not NAME=FILE")]
+    #[error("--counters '{0}': expected NAME=FILE")]
     InvalidCounters(String),
-    /// There are neither clients' records nor counters to compare with.
-    #[error("there is nothing to reconcile with: --clients FILE or --counters NAME=FILE")]
+    /// Neither records of clients nor counters were given.
+    #[error("nothing to reconcile with: expected --clients FILE or --counters NAME=FILE")]
     NothingToReconcile,
 
     /// The store does not exist.
-    #[error("there is no store at {}: has 'ledger serve' ever run?", .0.display())]
+    #[error("store {} does not exist; 'ledger serve' creates it", .0.display())]
     StoreMissing(PathBuf),
     /// The store can't be opened.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot open {}: {source}", path.display())]
     StoreUnusable {
-        /// The store's file.
+        /// Path of the SQLite file.
         path: PathBuf,
-        /// Why it can't be opened.
+        /// Error of the store.
         source: store::StoreError,
     },
     /// The store can't be read or written.
     #[error(transparent)]
     Store(#[from] store::StoreError),
-    /// No statement matches.
-    #[error("there is no such statement: see 'query-aggregator ledger periods'")]
+    /// No period was closed yet, or the given period has no statement.
+    #[error("no such statement; 'query-aggregator ledger periods' lists all closed periods")]
     NoSuchStatement,
-    /// A receiver has not acknowledged a document in time.
-    #[error("document {document} is not acknowledged: {source}")]
+    /// A document was not delivered to all destinations within the time limit.
+    #[error("document {document} was not acknowledged in time: {source}")]
     NotAcknowledged {
-        /// The document's id.
+        /// Id of the document.
         document: String,
-        /// How the last attempt failed.
+        /// Error of the last attempt.
         source: DeliveryError,
     },
 
     /// A file or folder can't be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why it can't be read.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file is not CSV with the expected columns.
-    #[error("{}: {source}", path.display())]
+    /// A file can't be read, or is not CSV with the expected columns.
+    #[error("cannot read {} as CSV: {source}", path.display())]
     InvalidCsv {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of the CSV reader.
         source: csv::Error,
     },
     /// A file is not JSON.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot parse {} as JSON: {source}", path.display())]
     InvalidJson {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
 
-    /// The ledger differs from the clients' records or from counters.
-    #[error("{0} differences")]
+    /// The ledger differs from the records of clients or from counters. Contains the number of
+    /// differences.
+    #[error("reconciliation found {0} differences")]
     Differences(usize),
-    /// Verification has found faults.
-    #[error("{0} things are wrong")]
+    /// Verification has found this number of faults.
+    #[error("verification found {0} faults")]
     Faults(usize),
 
     /// Logging can't be started.
@@ -118,7 +119,7 @@
 }
 
 impl LedgerError {
-    /// The class of the error, which decides on the exit code.
+    /// Returns the class of the error, which determines the exit code.
     pub fn class(&self) -> ErrorClass {
         match self {
             LedgerError::Settings(_) | LedgerError::StoreNotNamed | LedgerError::NoExportTarget => {
--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -12,23 +12,24 @@
 
 const COLUMNS: [&str; 5] = ["document", "in_folder", "posted", "attempts", "error"];
 
-/// The maximum pause between two attempts, so that the limit of `--within` is not exceeded by much.
+/// Maximum delay between two attempts, so that the time limit of `--within` is not exceeded by
+/// much.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// The arguments of `ledger export`.
 #[derive(clap::Args)]
 pub struct ExportArguments {
-    /// List only
+    /// List all documents without sending any
     #[arg(long)]
     list: bool,
-    /// How long to try
+    /// Time limit for retries
     #[arg(long, default_value = "60s", value_name = "TIME")]
     within: String,
     #[command(flatten)]
     format: FormatArguments,
 }
 
-/// Sends the documents in the outbox, unless `--list` is given, and prints all documents.
+/// Sends the pending documents, unless `--list` is given, and prints all documents.
 pub fn run(context: &LedgerContext, arguments: &ExportArguments) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
     if !arguments.list {
@@ -58,7 +59,8 @@
     Ok(())
 }
 
-/// Retries with exponential backoff until the document is acknowledged or the deadline has passed.
+/// Sends a document. Retries with exponential backoff until the document is acknowledged or the
+/// deadline has passed.
 fn send_until_acknowledged(
     store: &Store,
     target: &ExportTarget,
--- a/crates/aggregator/src/cli/ledger/key.rs
+++ b/crates/aggregator/src/cli/ledger/key.rs
@@ -1,4 +1,4 @@
-//! `ledger key`: the key that an Idempotency-Key of a client has in the ledger.
+//! `ledger key`: prints the key in the ledger for an `Idempotency-Key` that a client sent.
 
 use super::LedgerError;
 use crate::cli::output;
@@ -7,7 +7,9 @@
 /// The arguments of `ledger key`.
 #[derive(clap::Args)]
 pub struct KeyArguments {
+    /// Class of the requests
     class: String,
+    /// Value of the Idempotency-Key header
     idempotency_key: String,
 }
 
--- a/crates/aggregator/src/cli/ledger/mod.rs
+++ b/crates/aggregator/src/cli/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! `query-aggregator ledger ...`: the settlement process, and commands that inspect, check and
-//! correct the ledger. One file per subcommand.
+//! `query-aggregator ledger ...`: the settlement process, and commands that inspect, verify and
+//! correct the ledger. One module per subcommand.
 
 mod context;
 mod correct;
@@ -25,29 +25,29 @@
 /// The subcommands of `ledger`.
 #[derive(Subcommand)]
 pub enum LedgerCommand {
-    /// Collect from the mixers, close periods and export, until told to end
+    /// Run the settlement: collect the logs of mixers, close periods and send documents
     Serve,
-    /// How far each mixer's records are in the ledger, and what waits to be sent
+    /// Print the progress of collection from each mixer, and the number of documents to send
     Status(FormatArguments),
-    /// The closed periods and their totals
+    /// Print the closed periods and their totals
     Periods(FormatArguments),
-    /// The lines of a statement; the last one if no period is named
+    /// Print the lines of a statement, by default of the last one
     Statement(statement::StatementArguments),
-    /// Enter a correction; of a closed period it becomes a credit or debit document
+    /// Enter a correction; for a closed period it becomes a credit or debit document
     Correct(correct::CorrectArguments),
-    /// Send what waits in the outbox now, or list all documents
+    /// Send the pending documents now, or list all documents
     Export(export::ExportArguments),
-    /// Set the ledger beside what clients recorded, and beside the mixers' counters
+    /// Compare the ledger with the records of clients and with the counters of mixers
     Reconcile(reconcile::ReconcileArguments),
-    /// Check statements, documents and totals against the records, and logs byte by byte
+    /// Check statements, documents and totals against the records, and usage logs byte by byte
     Verify(verify::VerifyArguments),
-    /// Print records: those in the store, or those of one mixer's log
+    /// Print the records in the store, or those of one mixer's usage log
     Dump(dump::DumpArguments),
-    /// The key under which the uses of an Idempotency-Key stand in the ledger
+    /// Print the key in the ledger for an Idempotency-Key of a client
     Key(key::KeyArguments),
 }
 
-/// Runs one subcommand.
+/// Runs a subcommand.
 pub fn run(files: &Files, command: LedgerCommand) -> Result<(), LedgerError> {
     let open = || LedgerContext::open(files);
     match command {
--- a/crates/aggregator/src/cli/ledger/periods.rs
+++ b/crates/aggregator/src/cli/ledger/periods.rs
@@ -1,4 +1,4 @@
-//! `ledger periods`: the closed periods and their totals.
+//! `ledger periods`: prints the closed periods and their totals.
 
 use super::{LedgerContext, LedgerError};
 use crate::cli::output::{OutputFormat, Report};
@@ -19,10 +19,10 @@
     "hash",
 ];
 
-/// Characters of a statement's hash that are shown.
+/// Number of digits of a statement's hash that are printed.
 const SHORT_HASH_LENGTH: usize = 12;
 
-/// Prints one row for each statement.
+/// Prints one row per statement.
 pub fn run(context: &LedgerContext, format: OutputFormat) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
     let mut report = Report::new(&COLUMNS);
@@ -53,13 +53,13 @@
     ]
 }
 
-/// The counts of the lines of the period itself.
+/// Returns the sum of the lines of the period itself.
 fn own_counts(statement: &Statement) -> UsageCounts {
     let lines = statement.lines.iter();
     sum_counts(lines.filter(|line| !line.is_adjustment))
 }
 
-/// The counts of the lines that adjust earlier periods.
+/// Returns the sum of the lines that adjust earlier periods.
 fn adjustment_counts(statement: &Statement) -> UsageCounts {
     let lines = statement.lines.iter();
     sum_counts(lines.filter(|line| line.is_adjustment))
--- a/crates/aggregator/src/cli/ledger/progress.rs
+++ b/crates/aggregator/src/cli/ledger/progress.rs
@@ -3,7 +3,7 @@
 use indicatif::{ProgressBar, ProgressDrawTarget};
 use std::io::IsTerminal;
 
-/// A progress bar on standard error, which is hidden unless standard error is a terminal.
+/// Creates a progress bar on standard error, which is hidden unless standard error is a terminal.
 pub fn bar(length: u64, message: &'static str) -> ProgressBar {
     let bar = ProgressBar::new(length).with_message(message);
     if !std::io::stderr().is_terminal() {
--- a/crates/aggregator/src/cli/ledger/reconcile.rs
+++ b/crates/aggregator/src/cli/ledger/reconcile.rs
@@ -1,4 +1,5 @@
-//! `ledger reconcile`: compares the ledger with clients' records and with aggregators' counters.
+//! `ledger reconcile`: compares the ledger with the records of clients and the counters of
+//! aggregators.
 
 use super::{LedgerContext, LedgerError};
 use crate::cli::output::{self, FormatArguments, OutputFormat, Report};
@@ -21,7 +22,7 @@
 
 const DIFFERENCE_COLUMNS: [&str; 7] = ["what", "tenant", "class", "at", "key", "ledger", "client"];
 
-/// The field of `/-/stats` with the number of records by kind.
+/// Field of `/-/stats` with the number of records by tenant and class.
 const RECORDED_FIELD: &str = "recorded_of";
 
 /// The arguments of `ledger reconcile`.
@@ -29,19 +30,22 @@
 pub struct ReconcileArguments {
     #[allow(
         clippy::doc_markdown,
-        reason = "printed by --help, where backticks are noise"
+        reason = "the text is printed by --help, which does not render Markdown"
     )]
-    /// CSV with the columns at_ms, tenant, class, outcome, tries, key
+    /// CSV file of requests, with the columns at_ms, tenant, class, outcome, tries, key
     #[arg(long, value_name = "FILE")]
     clients: Option<PathBuf>,
-    /// NAME=FILE: the answer of a mixer's /-/stats
+    /// File with the response of the /-/stats of the mixer NAME; may be repeated
     #[arg(long, value_name = "NAME=FILE")]
     counters: Vec<String>,
     #[command(flatten)]
     format: FormatArguments,
 }
 
-/// Prints the comparison; any difference is an error.
+/// Prints the comparison.
+///
+/// # Errors
+/// There are differences, nothing was given to compare with, or a file or the store can't be read.
 pub fn run(context: &LedgerContext, arguments: &ReconcileArguments) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
     if arguments.clients.is_none() && arguments.counters.is_empty() {
@@ -131,7 +135,9 @@
 struct CounterDifference {
     member: String,
     counter: String,
+    /// Number of records that the aggregator counted.
     counted: u64,
+    /// Number of records in the ledger.
     in_ledger: u64,
 }
 
@@ -144,7 +150,8 @@
     }
 }
 
-/// Compares the counters of one aggregator, `NAME=FILE`, with its latest run in the ledger.
+/// Compares the counters of one aggregator with its latest run in the ledger. `argument` has the
+/// form `NAME=FILE`.
 fn compare_with_counters(
     store: &Store,
     statuses: &[MemberStatus],
--- a/crates/aggregator/src/cli/ledger/serve.rs
+++ b/crates/aggregator/src/cli/ledger/serve.rs
@@ -1,4 +1,4 @@
-//! `ledger serve`: the settlement process.
+//! `ledger serve`: runs the settlement process.
 
 use super::context::{read_ledger_settings, LedgerContext};
 use super::LedgerError;
@@ -13,10 +13,10 @@
 use usage_ledger::settings::LedgerSettings;
 use usage_ledger::settlement::{self, SettlementSignal};
 
-/// Number of threads of the asynchronous runtime.
+/// Number of worker threads of the asynchronous runtime.
 const WORKER_THREADS: usize = 2;
 
-/// Runs the settlement until a signal requests the shutdown.
+/// Runs the settlement until it is shut down by SIGTERM or SIGINT.
 pub fn run(files: &Files) -> Result<(), LedgerError> {
     let settings = settings::read(files.settings.as_deref())?;
     let context = LedgerContext::new(read_ledger_settings(&settings)?)?;
@@ -39,7 +39,7 @@
     spawn_shutdown_handlers(&sender).map_err(LedgerError::Runtime)?;
     spawn_reload_handler(&sender, reloader).map_err(LedgerError::Runtime)?;
     let members = context.settings.members.len();
-    tracing::info!(store = %context.store_path.display(), members, "settlement starts");
+    tracing::info!(store = %context.store_path.display(), members, "starting settlement");
     settlement::serve(context.store_path, context.settings, receiver).await?;
     Ok(())
 }
@@ -72,28 +72,30 @@
                         .send(SettlementSignal::Reload(Box::new(settings)))
                         .await;
                 }
-                Err(error) => tracing::error!("the settings stay as they were: {error}"),
+                Err(error) => tracing::error!("reload failed, settings unchanged: {error}"),
             }
         }
     });
     Ok(())
 }
 
-/// The state at the start of the process, with which reloaded settings are compared.
+/// Reloads the settings file on SIGHUP.
 struct Reloader {
     files: Files,
+    /// Settings at the start of the process, with which reloaded settings are compared.
     settings: Settings,
     logging: Logging,
 }
 
 impl Reloader {
-    /// Validates the settings as a whole, then applies the log levels and returns the rest.
+    /// Reads and validates all settings, applies those for logging, and returns those of the
+    /// ledger.
     fn reload(&self) -> Result<LedgerSettings, ReloadError> {
         let settings = settings::read(self.files.settings.as_deref())?;
         let ledger_settings = read_ledger_settings(&settings)?;
         self.logging.reload(LogSettings::read(&settings)?)?;
         let restart = self.settings.needs_restart(&settings, &SCHEMA).join(", ");
-        tracing::info!(restart, "settings read again");
+        tracing::info!(restart, "settings reloaded");
         Ok(ledger_settings)
     }
 }
--- a/crates/aggregator/src/cli/ledger/statement.rs
+++ b/crates/aggregator/src/cli/ledger/statement.rs
@@ -1,4 +1,4 @@
-//! `ledger statement`: the lines of one statement.
+//! `ledger statement`: prints the lines of one statement.
 
 use super::{LedgerContext, LedgerError};
 use crate::cli::output::{self, FormatArguments, OutputError, OutputFormat, Report};
@@ -9,16 +9,17 @@
 /// The arguments of `ledger statement`.
 #[derive(clap::Args)]
 pub struct StatementArguments {
-    /// The start of the period, as `periods` shows it
+    /// Start of the period, in the form that `periods` prints
     period: Option<String>,
-    /// Only this tenant's lines
+    /// Print only the lines of this tenant; ignored for JSON
     #[arg(long)]
     tenant: Option<String>,
     #[command(flatten)]
     format: FormatArguments,
 }
 
-/// Prints the statement of a period, or the last one. JSON output has all tenants in any case.
+/// Prints the statement of a period, or the last statement. JSON output always contains all
+/// tenants.
 pub fn run(context: &LedgerContext, arguments: &StatementArguments) -> Result<(), LedgerError> {
     let statement = find(context, arguments.period.as_deref())?;
     let view = StatementView {
@@ -50,9 +51,10 @@
     found.ok_or(LedgerError::NoSuchStatement)
 }
 
-/// The part of a statement that is shown: all of it, or the part of one tenant.
+/// A statement, with a filter for the tenants whose lines are printed.
 struct StatementView<'a> {
     statement: &'a Statement,
+    /// Tenant whose lines are printed; `None` for all tenants.
     tenant: Option<&'a str>,
 }
 
@@ -115,7 +117,8 @@
         row
     }
 
-    /// The text after the table of lines: the period, incomplete members, and totals.
+    /// Returns the text that follows the table: the period, members with incomplete records, and
+    /// totals.
     fn summary(&self) -> String {
         let statement = self.statement;
         let mut text = format!(
--- a/crates/aggregator/src/cli/ledger/status.rs
+++ b/crates/aggregator/src/cli/ledger/status.rs
@@ -1,4 +1,5 @@
-//! `ledger status`: how far the logs of members have been collected, and what is still to be sent.
+//! `ledger status`: prints the state of the collection from each member, and the number of
+//! documents to send.
 
 use super::{LedgerContext, LedgerError};
 use crate::cli::output::{self, OutputFormat, Report};
@@ -19,7 +20,7 @@
     "damaged",
 ];
 
-/// Prints one row per member that is configured or has records, and a summary after a table.
+/// Prints one row per member that is configured or has records. A summary follows in table format.
 pub fn run(context: &LedgerContext, format: OutputFormat) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
     member_report(context, &store)?.print(format)?;
--- a/crates/aggregator/src/cli/ledger/verify.rs
+++ b/crates/aggregator/src/cli/ledger/verify.rs
@@ -1,4 +1,5 @@
-//! `ledger verify`: checks usage logs byte by byte, and the store against its own records.
+//! `ledger verify`: checks usage logs byte by byte, and the statements in the store against the
+//! records.
 
 use super::context::{read_ledger_settings, LedgerContext};
 use super::{progress, LedgerError};
@@ -13,22 +14,22 @@
 /// The arguments of `ledger verify`.
 #[derive(clap::Args)]
 pub struct VerifyArguments {
-    /// Folder of a mixer's usage log
+    /// Folder of a mixer's usage log to check; may be repeated
     #[arg(long, value_name = "FOLDER")]
     log: Vec<PathBuf>,
 }
 
-/// The number of checked items, and the faults that were found.
+/// Numbers of checked items, and the faults that were found.
 #[derive(Default)]
 struct Verification {
     segments: u64,
     entries: u64,
-    /// Statements, documents and periods of the store.
+    /// Number of checked statements, documents and periods of the store.
     ledger_items: u64,
     faults: Vec<Fault>,
 }
 
-/// A fault in a usage log or in the store.
+/// A fault in a usage log or in the store. The texts are part of the published output.
 #[derive(Debug, thiserror::Error)]
 enum Fault {
     #[error("{segment}: its header can't be read, at offset 0")]
@@ -41,9 +42,11 @@
     Store(#[from] VerificationFault),
 }
 
-/// Checks the given logs and the store. Any fault is an error.
+/// Checks the given logs and the store. Skips the store if logs are given and the settings name no
+/// store.
 ///
-/// The store is skipped if logs are given and the settings name no store.
+/// # Errors
+/// Faults were found, or a log or the store can't be read.
 pub fn run(files: &Files, arguments: &VerifyArguments) -> Result<(), LedgerError> {
     let mut verification = Verification::default();
     for directory in &arguments.log {
@@ -97,7 +100,7 @@
                 }),
             }
         }
-        // An aggregator may be writing to the last segment.
+        // Not a fault in the last segment: an aggregator may be writing to it.
         if read.end < bytes.len() && !is_last {
             self.faults.push(Fault::TruncatedRecord {
                 segment: name,
