--- a/crates/usage-ledger/src/join/bounds.rs
+++ b/crates/usage-ledger/src/join/bounds.rs
@@ -21,8 +21,8 @@
         from_ms..until_ms
     }
 
-    /// Returns how long after the end of a period records are still read to settle it, in
-    /// milliseconds.
+    /// Returns the time after the end of a period, in milliseconds, during which arriving records
+    /// are still read to settle the period.
     pub fn lookahead_ms(&self) -> i64 {
         self.horizon_ms
             .saturating_add(3 * self.skew_ms)
--- a/crates/usage-ledger/src/join/joiner.rs
+++ b/crates/usage-ledger/src/join/joiner.rs
@@ -98,8 +98,8 @@
         self.close_before(oldest_waiting_ms, emit);
     }
 
-    /// Calls `emit` with the logical requests that no record that arrived at or after `now_ms` can
-    /// join.
+    /// Calls `emit` with the logical requests that can't be joined by records that arrive at or
+    /// after `now_ms`.
     fn close_before(&mut self, now_ms: i64, emit: &mut impl FnMut(LogicalRequest)) {
         while let Some(entry) = self.deadlines.first_entry() {
             if entry.key().expires_at_ms >= now_ms {
--- a/crates/usage-ledger/src/join/record.rs
+++ b/crates/usage-ledger/src/join/record.rs
@@ -95,7 +95,7 @@
     pub parts: u32,
     /// Number of attempts on replicas in all zones.
     pub attempts: u32,
-    /// Number of attempts on replicas in another zone than the aggregator.
+    /// Number of attempts on replicas outside the aggregator's zone.
     pub cross_zone_attempts: u32,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
--- a/crates/usage-ledger/src/line_counts.rs
+++ b/crates/usage-ledger/src/line_counts.rs
@@ -17,13 +17,13 @@
 /// Counts of a period by tenant and class.
 pub type LineCounts = BTreeMap<LineKey, UsageCounts>;
 
-/// Returns the adjustments of a closed period: its current counts minus `stated`, its counts in all
+/// Returns the adjustments of a closed period: its current counts minus `billed`, its counts in all
 /// statements so far. Lines without a difference are left out.
-pub fn adjustments(current: &LineCounts, stated: &LineCounts) -> LineCounts {
-    let keys: BTreeSet<LineKey> = current.keys().chain(stated.keys()).copied().collect();
+pub fn adjustments(current: &LineCounts, billed: &LineCounts) -> LineCounts {
+    let keys: BTreeSet<LineKey> = current.keys().chain(billed.keys()).copied().collect();
     let counts = |lines: &LineCounts, key: &LineKey| lines.get(key).copied().unwrap_or_default();
     keys.into_iter()
-        .map(|key| (key, counts(current, &key) - counts(stated, &key)))
+        .map(|key| (key, counts(current, &key) - counts(billed, &key)))
         .filter(|(_, difference)| !difference.is_zero())
         .collect()
 }
--- a/crates/usage-ledger/src/rate.rs
+++ b/crates/usage-ledger/src/rate.rs
@@ -41,7 +41,7 @@
     pub parts: i64,
     /// Number of attempts on replicas in all zones.
     pub attempts: i64,
-    /// Number of attempts on replicas in another zone than the aggregator.
+    /// Number of attempts on replicas outside the aggregator's zone.
     #[serde(rename = "crossed")]
     pub cross_zone_attempts: i64,
     /// Number of logical requests with a retry that could have been joined to another request.
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -51,10 +51,9 @@
         let listen_address = values.address("listen");
         let Some(directory) = values.text("directory").map(PathBuf::from) else {
             return match listen_address {
-                Some(_) => Err(values.problem(
-                    "listen",
-                    "there is no log to collect without 'directory'",
-                )),
+                Some(_) => {
+                    Err(values.problem("listen", "there is no log to collect without 'directory'"))
+                }
                 None => Ok(None),
             };
         };
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -121,7 +121,7 @@
     }
 
     fn adjust(&self, earlier: &dirty::DirtyPeriod, current: &LineCounts) -> Result<Vec<LineRow>> {
-        let stated = lines::load_stated_usage(self.db, earlier.period)?;
+        let billed = lines::load_billed_usage(self.db, earlier.period)?;
         let adjust = |(key, counts)| {
             let price = self.price(&earlier.prices, key);
             let amount = current.get(&key);
@@ -131,11 +131,11 @@
                 is_adjustment: true,
                 key,
                 counts,
-                amount: amount - stated.amounts.get(&key).copied().unwrap_or_default(),
+                amount: amount - billed.amounts.get(&key).copied().unwrap_or_default(),
                 is_unpriced: price.is_none(),
             }
         };
-        let differences = adjustments(current, &stated.lines);
+        let differences = adjustments(current, &billed.lines);
         Ok(differences.into_iter().map(adjust).collect())
     }
 
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -17,7 +17,7 @@
     pub(super) prices: BTreeMap<String, Price>,
 }
 
-/// Marks the closed periods dirty whose settlement reads the late record that arrived at
+/// Marks as dirty the closed periods whose settlement reads a late record that arrived at
 /// `arrived_at_ms`.
 ///
 /// If no period contains `arrived_at_ms` and the record arrived before `closed_until_ms`, the end
--- a/crates/usage-ledger/src/store/ingest/batch.rs
+++ b/crates/usage-ledger/src/store/ingest/batch.rs
@@ -22,8 +22,8 @@
 }
 
 impl Store {
-    /// Stores a batch of the log of a member. Marks the closed periods dirty that the batch may
-    /// change. A batch without a header is ignored.
+    /// Stores a batch of the log of a member, and marks as dirty the closed periods that the batch
+    /// may change. A batch without a header is ignored.
     ///
     /// # Errors
     /// The store can't be written.
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -58,30 +58,30 @@
 
 /// Usage of a period, summed over all statements so far.
 #[derive(Default)]
-pub(super) struct StatedUsage {
+pub(super) struct BilledUsage {
     pub(super) lines: LineCounts,
     /// Billed amounts, in micro-units.
     pub(super) amounts: BTreeMap<LineKey, i64>,
 }
 
 /// Returns the usage of `period`, summed over all statements so far.
-pub(super) fn load_stated_usage(db: &Connection, period: Period) -> Result<StatedUsage> {
+pub(super) fn load_billed_usage(db: &Connection, period: Period) -> Result<BilledUsage> {
     let mut select = db.prepare(
         "SELECT tenant, class, sum(uses), sum(whole), sum(partial), sum(share), sum(refused), sum(failed), sum(gone),
            sum(tries), sum(parts), sum(attempts), sum(crossed), sum(ambiguous), sum(amount)
          FROM line WHERE period = ? GROUP BY tenant, class",
     )?;
     let mut rows = select.query([period.start_ms])?;
-    let mut stated = StatedUsage::default();
+    let mut billed = BilledUsage::default();
     while let Some(row) = rows.next()? {
         let key = LineKey {
             tenant_id: row.get(0)?,
             class_id: row.get(1)?,
         };
-        stated.lines.insert(key, read_counts(row)?);
-        stated.amounts.insert(key, row.get(14)?);
+        billed.lines.insert(key, read_counts(row)?);
+        billed.amounts.insert(key, row.get(14)?);
     }
-    Ok(stated)
+    Ok(billed)
 }
 
 /// Reads the counts of a row, which follow the two columns of the key.
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -50,8 +50,8 @@
     Ok(tails.collect::<rusqlite::Result<_>>()?)
 }
 
-/// Marks the closed periods dirty whose settlement reads records of a tail that has changed between
-/// `before` and `after`. Retries may now join other requests than before.
+/// Marks as dirty the closed periods whose settlement reads records of a tail that has changed
+/// between `before` and `after`, since retries may now join other requests.
 pub(super) fn mark_changed_tails(
     db: &Connection,
     before: &UncertainTails,
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -189,8 +189,8 @@
         names: &HashMap<u32, String>,
     ) -> Result<()> {
         let settled = carry_over::settle(&self.store.db, period, bounds)?;
-        let stated = lines::load_stated_usage(&self.store.db, period)?;
-        for (key, counts) in adjustments(&settled.lines, &stated.lines) {
+        let billed = lines::load_billed_usage(&self.store.db, period)?;
+        for (key, counts) in adjustments(&settled.lines, &billed.lines) {
             self.add_fault(VerificationFault::RecordsDiffer {
                 period: period.name(),
                 tenant: names.get(&key.tenant_id).cloned(),
--- a/crates/usage-ledger/src/writer/error.rs
+++ b/crates/usage-ledger/src/writer/error.rs
@@ -32,7 +32,7 @@
 /// An error that prevents records from being written.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AppendError {
-    /// No write was attempted, because the last write failed less than the retry interval ago.
+    /// No write was attempted, because the last batch was lost less than the retry interval ago.
     #[error("no write attempted: the retry interval after a failed write is not over")]
     Backoff,
     /// Another segment would exceed the size limit of the log (`usage.keep` in the settings).
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -16,8 +16,8 @@
 
 /// Maximum number of entries in one write.
 const MAX_BATCH_ENTRIES: usize = 1024;
-/// Minimum time between a failed write and the next attempt. Records that arrive in between are
-/// counted as lost.
+/// Pause after a failed write. Records that arrive during the pause are counted as lost without an
+/// attempt to write them.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum time that the thread waits for an entry before it polls the queue again.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -52,7 +52,7 @@
     open: Option<OpenSegment>,
     publish_written: watch::Sender<u64>,
     counters: Arc<WriterCounters>,
-    /// Time at which the last write failed; `None` if it succeeded.
+    /// Time at which the last batch was lost; `None` if it was written.
     failed_at: Option<Instant>,
 }
 
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -207,11 +207,11 @@
             let lines = expected.entry(first.arrived_at_ms.div_euclid(PERIOD_MS)).or_default();
             lines.entry(key).or_default().add(&request);
         }
-        let mut carried = CarryOver::default();
+        let mut carry_over = CarryOver::default();
         for n in 0..4 {
-            let (lines, next) = settle(&records, period(n), &carried);
+            let (lines, next) = settle(&records, period(n), &carry_over);
             prop_assert_eq!(lines, expected.remove(&n).unwrap_or_default(), "wrong counts in period {}", n);
-            carried = next;
+            carry_over = next;
         }
         prop_assert!(expected.is_empty());
     }
@@ -222,20 +222,20 @@
     fn adjustments_account_for_late_records(records in arbitrary_records(), late in any::<u64>()) {
         let is_early = |record: &&UsageRecord| late >> (record.sequence % 64) & 1 == 0;
         let early: Vec<UsageRecord> = records.iter().filter(is_early).copied().collect();
-        let mut stated: Vec<LineCounts> = Vec::new();
-        let mut carried = CarryOver::default();
+        let mut billed: Vec<LineCounts> = Vec::new();
+        let mut carry_over = CarryOver::default();
         for n in 0..4 {
-            let (lines, next) = settle(&early, period(n), &carried);
-            stated.push(lines);
-            carried = next;
+            let (lines, next) = settle(&early, period(n), &carry_over);
+            billed.push(lines);
+            carry_over = next;
         }
-        let mut carried = CarryOver::default();
-        for (n, stated) in (0..4).zip(&stated) {
-            let (current, next) = settle(&records, period(n), &carried);
-            let adjusted = adjustments(&current, stated);
-            let both = stated.values().chain(adjusted.values()).copied();
+        let mut carry_over = CarryOver::default();
+        for (n, billed) in (0..4).zip(&billed) {
+            let (current, next) = settle(&records, period(n), &carry_over);
+            let adjusted = adjustments(&current, billed);
+            let both = billed.values().chain(adjusted.values()).copied();
             prop_assert_eq!(total(both), total(current.values().copied()));
-            carried = next;
+            carry_over = next;
         }
     }
 }
--- a/crates/usage-ledger/tests/store/delivery.rs
+++ b/crates/usage-ledger/tests/store/delivery.rs
@@ -81,18 +81,18 @@
 }
 
 /// Returns the sum of the counts in all statements.
-fn stated(harness: &StoreHarness) -> UsageCounts {
-    let mut stated = UsageCounts::default();
+fn billed_counts(harness: &StoreHarness) -> UsageCounts {
+    let mut billed = UsageCounts::default();
     for stored in harness.store.statements().unwrap() {
         for line in &stored.statement.lines {
-            stated += line.counts;
+            billed += line.counts;
         }
     }
-    stated
+    billed
 }
 
 /// Returns the counts of all records, joined at once.
-fn joined(harness: &StoreHarness) -> UsageCounts {
+fn joined_counts(harness: &StoreHarness) -> UsageCounts {
     let mut counts = UsageCounts::default();
     let mut joiner = Joiner::new(BOUNDS);
     for record in harness.store.records(i64::MIN, i64::MAX).unwrap() {
@@ -132,8 +132,8 @@
         // One more period, whose statement adjusts the last one.
         harness.close(4, &[]);
         harness.assert_verified();
-        let stated = stated(&harness);
-        prop_assert_eq!(stated, joined(&harness));
-        prop_assert_eq!(stated.records, random_records.len() as i64);
+        let billed = billed_counts(&harness);
+        prop_assert_eq!(billed, joined_counts(&harness));
+        prop_assert_eq!(billed.records, random_records.len() as i64);
     }
 }
