--- a/crates/core/src/config/policy_settings.rs
+++ b/crates/core/src/config/policy_settings.rs
@@ -28,7 +28,7 @@
         cells_per_shard: values.positive_u32("extra.reach")?,
         max_parts_per_call: values.optional("extra.bundle_max")?,
         aggregators: values.positive_u32("replicas_of_me")?,
-        tick: values.positive("tick_ns")?,
+        min_batch_interval: values.positive("tick_ns")?,
         max_attempts: values.optional("limits.max_attempts")?,
         cancellation_allowed: values.or_default("limits.cancelling")?,
         retries_marked: values.or_default("callers.marks_retry")?,
--- a/crates/core/src/engine/actions.rs
+++ b/crates/core/src/engine/actions.rs
@@ -32,14 +32,14 @@
             Action::SendAttempt {
                 part,
                 replica,
-                until,
+                times_out_at,
                 latest_start,
             } => {
                 let request = AttemptRequest {
                     part,
                     replica,
                     // The policy uses 0 for the deadline of the query.
-                    times_out_at: Some(until).filter(|until| *until > 0),
+                    times_out_at: Some(times_out_at).filter(|time| *time > 0),
                     latest_start,
                 };
                 self.start_attempt(now, request);
--- a/crates/core/src/engine/queries.rs
+++ b/crates/core/src/engine/queries.rs
@@ -109,7 +109,7 @@
             class: request.class,
             tenant: request.tenant,
             client_timeout,
-            work: request.parts.iter().map(|part| part.work).sum(),
+            expected_work: request.parts.iter().map(|part| part.work).sum(),
             is_retry: request.is_retry,
         }));
         let mut parts = Vec::with_capacity(request.parts.len());
--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -12,7 +12,7 @@
         /// The replica to send it to.
         replica: ReplicaId,
         /// The attempt times out then; 0 stands for the deadline of its query.
-        until: Nanos,
+        times_out_at: Nanos,
         /// The attempt is dropped if it has not been sent by then.
         latest_start: Option<Nanos>,
     },
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -80,7 +80,7 @@
     /// The time until the client's timeout.
     pub client_timeout: Nanos,
     /// The work that the query is expected to take.
-    pub work: Option<Nanos>,
+    pub expected_work: Option<Nanos>,
     /// The client has marked it as a retry.
     pub is_retry: bool,
 }
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -74,7 +74,7 @@
     /// The number of aggregators, this one included.
     pub aggregators: u32,
     /// Least time between two batches of events.
-    pub tick: Nanos,
+    pub min_batch_interval: Nanos,
     /// The most attempts for a part.
     pub max_attempts: Option<u32>,
     /// Attempts may be cancelled.
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -57,7 +57,7 @@
         self.output.push(Action::SendAttempt {
             part: part.id,
             replica,
-            until,
+            times_out_at: until,
             latest_start,
         });
         true
--- a/crates/policy/src/policy/timer.rs
+++ b/crates/policy/src/policy/timer.rs
@@ -15,7 +15,7 @@
     pub fn new(settings: &PolicySettings, objective: f64) -> BatchTimer {
         let period = objective as Nanos / tuning::PERIODS_PER_OBJECTIVE;
         BatchTimer {
-            period: period.max(2 * settings.tick).max(1),
+            period: period.max(2 * settings.min_batch_interval).max(1),
             fires_at: None,
         }
     }
--- a/crates/policy/src/state/query.rs
+++ b/crates/policy/src/state/query.rs
@@ -99,7 +99,7 @@
         now: Nanos,
     ) -> QueryState {
         let deadline = now + received.client_timeout;
-        let full_objective = now + class.objective_for(received.work);
+        let full_objective = now + class.objective_for(received.expected_work);
         let objective = full_objective.saturating_sub(spent);
         let arrived_late = objective <= now;
         let is_short = received.client_timeout < class.latency_objective;
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -217,8 +217,8 @@
     );
     let until = |actions: &[Action]| {
         actions.iter().find_map(|a| {
-            if let Action::SendAttempt { until, .. } = a {
-                Some(*until)
+            if let Action::SendAttempt { times_out_at, .. } = a {
+                Some(*times_out_at)
             } else {
                 None
             }
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -104,7 +104,7 @@
         cross_zone_price: if random.bool() { 0.01 } else { 0.0 },
         max_parts_per_call: [None, Some(1), Some(4)][random.usize(..3)],
         aggregators: [1, 3, 300][random.usize(..3)],
-        tick: random.u64(1..10) * MS,
+        min_batch_interval: random.u64(1..10) * MS,
         max_attempts: [None, Some(2), Some(3)][random.usize(..3)],
         cancellation_allowed: random.bool(),
         retries_marked: random.bool(),
@@ -304,7 +304,7 @@
             class: class as u16,
             tenant: self.random.u32(..3),
             client_timeout,
-            work: self.random.bool().then(|| self.random.u64(..40) * MS),
+            expected_work: self.random.bool().then(|| self.random.u64(..40) * MS),
             is_retry,
         }));
         self.queries.insert(
@@ -364,9 +364,9 @@
             Action::SendAttempt {
                 part,
                 replica,
-                until,
+                times_out_at,
                 ..
-            } => self.attempt(*part, *replica, *until),
+            } => self.attempt(*part, *replica, *times_out_at),
             Action::CancelAttempt { part, attempt } => {
                 let Some(key) = self.attempts.remove(&(*part, *attempt)) else {
                     return;
@@ -511,9 +511,15 @@
             Action::SendAttempt {
                 part,
                 replica,
-                until,
+                times_out_at,
                 latest_start,
-            } => [1, *part, replica.0, *until, latest_start.unwrap_or(none)],
+            } => [
+                1,
+                *part,
+                replica.0,
+                *times_out_at,
+                latest_start.unwrap_or(none),
+            ],
             Action::CancelAttempt { part, attempt } => [2, *part, u64::from(*attempt), 0, 0],
             Action::Answer { query, complete } => [3, *query, u64::from(*complete), 0, 0],
             Action::Reject { query, retry_after } => [4, *query, retry_after.unwrap_or(none), 0, 0],
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -29,7 +29,7 @@
         cells_per_shard: 1,
         max_parts_per_call: Some(16),
         aggregators: 2,
-        tick: 5 * MS,
+        min_batch_interval: 5 * MS,
         max_attempts: Some(4),
         cancellation_allowed: true,
         hedging_allowed: true,
@@ -122,7 +122,7 @@
             class,
             tenant: 0,
             client_timeout,
-            work: None,
+            expected_work: None,
             is_retry,
         })];
         for (i, weight) in weights.iter().enumerate() {
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -129,7 +129,7 @@
         class: record.u16(CLASS),
         tenant: record.u32(TENANT),
         client_timeout: record.u64(CLIENT_TIMEOUT),
-        work: (flags & FLAG_HAS_WORK != 0).then_some(work),
+        expected_work: (flags & FLAG_HAS_WORK != 0).then_some(work),
         is_retry: flags & FLAG_IS_RETRY != 0,
     }
 }
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -60,12 +60,12 @@
             Action::SendAttempt {
                 part,
                 replica,
-                until,
+                times_out_at,
                 ..
             } => new_record(kind::SEND_ATTEMPT)
                 .u64(*part)
                 .replica(*replica)
-                .u64(*until),
+                .u64(*times_out_at),
             Action::Reject { query, retry_after } => new_record(kind::REJECT)
                 .u64(*query)
                 .u64(retry_after.unwrap_or(NO_RETRY_AFTER)),
