--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -2,75 +2,77 @@
 
 use super::{Nanos, ReplicaId, RequestId};
 
-/// One request of the policy. The actions of a batch are executed in order, at the batch's time.
+/// One request of the policy. The caller executes the actions of a batch in order, at the time of
+/// the batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a part to a replica.
     SendAttempt {
-        /// The part.
+        /// Part to send.
         part: RequestId,
-        /// The replica to send it to.
+        /// Replica to send the part to.
         replica: ReplicaId,
-        /// The attempt times out then; 0 stands for the deadline of its query.
+        /// Time at which the attempt times out; 0 stands for the deadline of the query.
         times_out_at: Nanos,
-        /// The attempt is dropped if it has not been sent by then.
+        /// Time after which the attempt must not be sent any more; `None` if it may be sent until
+        /// it times out.
         latest_start: Option<Nanos>,
     },
     /// Cancel an attempt in flight.
     CancelAttempt {
-        /// The part that is attempted.
+        /// Part that is attempted.
         part: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt among those at the part, from 0.
         attempt: u8,
     },
     /// Answer a query from the results so far.
     Answer {
-        /// The query.
+        /// Query to answer.
         query: RequestId,
-        /// The answer is to be marked as complete.
+        /// Whether to mark the answer as complete.
         complete: bool,
     },
-    /// Reject a query: a retry by the client is harmless.
+    /// Reject a query in such a way that the client knows that a retry is harmless.
     Reject {
-        /// The query.
+        /// Query to reject.
         query: RequestId,
-        /// The client should wait this long before a retry.
+        /// Time that the client should wait before a retry; `None` leaves it to the client.
         retry_after: Option<Nanos>,
     },
-    /// End a query whose parts may have been executed, so that a retry may do harm.
+    /// End a query whose parts may have been executed, so that a retry by the client may do harm.
     Fail {
-        /// The query.
+        /// Query to end.
         query: RequestId,
     },
-    /// Request an [`super::Event::TimerFired`] after this time.
+    /// Request an [`Event::TimerFired`](super::Event::TimerFired).
     SetTimer {
-        /// The timer's token.
+        /// Token to return in the event.
         token: u64,
-        /// The time until it fires.
+        /// Time until the timer fires.
         after: Nanos,
     },
     /// Watch the endpoint list, or stop watching it.
     WatchEndpoints {
-        /// Whether to watch.
+        /// Whether to watch the list.
         enabled: bool,
     },
     /// Read the whole endpoint list once.
     FetchEndpoints,
-    /// Send a replica a health check.
+    /// Send a health check to a replica.
     CheckHealth {
-        /// The replica.
+        /// Replica to check.
         replica: ReplicaId,
     },
     /// Close the idle connections to a replica.
     CloseIdleConnections {
-        /// The replica.
+        /// Replica whose connections are closed.
         replica: ReplicaId,
     },
-    /// Send bytes to one other aggregator, or to all.
+    /// Send a gossip message to one other aggregator or to all.
     SendGossip {
-        /// The receiver, by number; all where there is none.
+        /// Number of the receiving aggregator; `None` for all.
         to: Option<u32>,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
     /// Write a line to the log.
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -5,135 +5,135 @@
 /// The state of a replica on the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// It accepts requests.
+    /// The replica accepts requests.
     #[default]
     Ready,
-    /// It finishes its requests and accepts no new ones.
+    /// The replica completes the requests that it has and accepts no new ones.
     Draining,
-    /// It is no longer available.
+    /// The replica is no longer available.
     Gone,
 }
 
 /// One line of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaEntry {
-    /// The replica that the line is about.
+    /// Replica that the line describes.
     pub replica: ReplicaId,
-    /// Its placement cell.
+    /// Placement cell of the replica.
     pub cell: u16,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: u16,
-    /// When it last started; 0 means long ago.
+    /// Time of the replica's last start; 0 if it started long ago.
     pub started: Nanos,
-    /// Its state.
+    /// State of the replica.
     pub state: ReplicaState,
 }
 
-/// What an update of the endpoint list carries.
+/// Kind of an update of the endpoint list, which determines the meaning of its lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// Changed lines only.
+    /// The lines that have changed.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as cached before a restart; it may be stale.
+    /// The complete list as cached before a restart, which may be stale.
     Cached,
-    /// A poll or a watch failed; there are no lines.
+    /// No lines, since a poll or a watch failed.
     Unavailable,
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The part was executed and its result returned.
+    /// The part was executed and its result was returned.
     Success,
-    /// The replica reports an error; the part may have been executed.
+    /// The replica returned an error; the part may have been executed.
     Error,
     /// The replica is saturated and rejected the part without executing it.
     Rejected,
-    /// No reply in time; the part may have been executed.
+    /// The replica did not reply in time; the part may have been executed.
     TimedOut,
-    /// No connection; the part was not executed.
+    /// No connection was established; the part was not executed.
     Unreachable,
     /// The connection was lost; the part may have been executed.
     ConnectionLost,
-    /// Cancelled by us; the part may have been executed.
+    /// The aggregator cancelled the attempt; the part may have been executed.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent; the part was not executed.
     NotSent,
 }
 
-/// The load that a replica reports of itself, in the order that the operator defines.
+/// Load values that a replica reports about itself, in an order that the operator defines.
 pub type LoadReport = Vec<f32>;
 
-/// A query that has been received; its parts follow in the same batch, with the same `group`.
+/// A query that has been received. Its parts follow in the same batch, with the same `group`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryReceived {
-    /// The query.
+    /// Identifier of the query.
     pub id: RequestId,
-    /// Joins the query and its parts.
+    /// Group that the query shares with its parts.
     pub group: u32,
-    /// Index into the settings' classes.
+    /// Index into [`PolicySettings::classes`](super::PolicySettings::classes).
     pub class: u16,
-    /// The tenant, by number.
+    /// Number of the tenant.
     pub tenant: u32,
-    /// The time until the client's timeout.
+    /// Time from now until the client times out.
     pub client_timeout: Nanos,
-    /// The work that the query is expected to take.
+    /// Execution time that the query is expected to take; `None` if it is unknown.
     pub expected_work: Option<Nanos>,
-    /// The client has marked it as a retry.
+    /// Whether the client has marked the query as a retry.
     pub is_retry: bool,
 }
 
 /// A part of the query with the same `group`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartReceived {
-    /// The part.
+    /// Identifier of the part.
     pub id: RequestId,
-    /// Joins the part and its query.
+    /// Group that the part shares with its query.
     pub group: u32,
-    /// The shard that the part is about.
+    /// Shard that the part queries.
     pub shard: u32,
-    /// Its share of its step's weight.
+    /// Share of the weight of the query's current step.
     pub weight: f64,
 }
 
-/// The end of an attempt. Attempts of a part count from 0 in the order sent.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnded {
-    /// The part that was attempted.
+    /// Part that was attempted.
     pub part: RequestId,
-    /// The number of the attempt.
+    /// Number of the attempt among those at the part, from 0 in the order sent.
     pub attempt: u8,
-    /// The replica that it was sent to.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The load report that came with it.
+    /// Load report that the replica sent with its reply; empty if there is none.
     pub report: LoadReport,
 }
 
 /// The end of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthCheckEnded {
-    /// The replica that was checked.
+    /// Replica that was checked.
     pub replica: ReplicaId,
-    /// How the check ended.
+    /// Outcome of the check.
     pub outcome: AttemptOutcome,
-    /// How long it took.
+    /// Time from the start of the check to its end.
     pub latency: Nanos,
-    /// The load report that came with it.
+    /// Load report that the replica sent with its reply; empty if there is none.
     pub report: LoadReport,
 }
 
-/// One thing that happened. Events of one batch happened in their order.
+/// One event. The events of a batch occurred in the order in which they are passed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list has changed, or could not be read.
+    /// The endpoint list has changed, or a poll or watch of it has failed.
     EndpointsUpdated {
-        /// What `entries` are.
+        /// Kind of the update.
         kind: EndpointUpdateKind,
-        /// Lines of the list.
+        /// Lines of the list that the update contains.
         entries: Vec<ReplicaEntry>,
     },
     /// A query has been received.
@@ -144,35 +144,35 @@
     AttemptEnded(AttemptEnded),
     /// A streamed response has started.
     ResponseStarted {
-        /// The part that was attempted.
+        /// Part that was attempted.
         part: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt among those at the part, from 0.
         attempt: u8,
-        /// The replica that responds.
+        /// Replica that responds.
         replica: ReplicaId,
     },
-    /// The client has closed its connection; the query is over.
+    /// The client of a query has disconnected, which ends the query without an answer.
     ClientDisconnected {
-        /// The query.
+        /// Identifier of the query.
         id: RequestId,
     },
-    /// The process shuts down: every open query has to end by `answer_by`.
+    /// The process shuts down, and every open query must end by `answer_by`.
     ShutdownRequested {
-        /// The latest time for an answer.
+        /// Deadline for all answers.
         answer_by: Nanos,
     },
-    /// A timer set by [`super::Action::SetTimer`] has fired.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) has fired.
     TimerFired {
-        /// The timer's token.
+        /// Token passed to `SetTimer`.
         token: u64,
     },
     /// A health check has ended.
     HealthCheckEnded(HealthCheckEnded),
-    /// A message of another aggregator has been received.
+    /// A gossip message from another aggregator has been received.
     GossipReceived {
-        /// The sender, by number.
+        /// Number of the sending aggregator.
         from: u32,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/policy/src/api/mod.rs
+++ b/crates/policy/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The policy's interface: its settings, the events it receives and the actions it requests.
+//! The interface of the policy: its settings, the events that it receives and the actions that it
+//! requests.
 //!
-//! Nothing here decides anything. Times are nanoseconds of the caller's clock, which may start
-//! anywhere and never runs backwards.
+//! Times are nanoseconds of the caller's clock, which may have any origin and must be monotonic.
 
 mod action;
 mod event;
@@ -14,12 +14,12 @@
 };
 pub use settings::{Idempotency, PolicySettings, QueryClass, RetryBudget};
 
-/// Nanoseconds, as a point on the caller's clock or as a length of time.
+/// A point in time on the caller's clock or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// The identifier of a query or of a part; an identifier is never used again.
+/// Identifier of a query or a part. Identifiers are never reused.
 pub type RequestId = u64;
 
-/// The identifier of a replica, by whatever number its owner uses for it.
+/// Identifier of a replica. The caller assigns the number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u64);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! Every decision about queries and their parts: admission, replica selection, retries, hedging,
-//! and when to answer or to reject. [`Policy::handle`] takes events and returns actions; there is
-//! no I/O and no clock.
+//! The decisions of the query aggregator: admission, replica selection, retries, hedging, and when
+//! to answer or reject a query. [`Policy::handle`] takes events and returns actions, without I/O or
+//! a clock.
 //!
-//! [`api`] has the events, the actions and the settings. `policy` has a file for each decision,
-//! with the state that it owns; `state` has the records of queries and replicas, and `stats`
+//! [`api`] defines the events, actions and settings. `policy` has one file per decision, including
+//! the state of that decision. `state` defines the records of queries and replicas, and `stats`
 //! generic statistics.
 
 pub mod api;
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -1,9 +1,9 @@
-//! Admission: which queries are rejected before any part is sent. Later ends are decided in
-//! [`super::completion`].
+//! Admission: rejects queries before any of their parts is sent. [`super::completion`] decides when
+//! an admitted query ends.
 //!
-//! The design leaves rejections to us. A query that can't be answered within its latency objective
-//! only delays others, so it is rejected; [`Rejection`] lists the conditions in the order in which
-//! they are checked. The last one is in [`super::permits`].
+//! The design does not specify rejections. A query that cannot be answered within its latency
+//! objective only delays others, so it is rejected. [`Rejection`] lists the conditions in the order
+//! in which they are checked; the last one is checked in [`super::permits`].
 
 use super::context::Context;
 use super::tuning;
@@ -11,32 +11,32 @@
 use crate::state::{PartState, QueryState, REACHABLE_TOLERANCE};
 use crate::stats::Ewma;
 
-/// Why a query is rejected at once.
+/// Reason to reject a query on arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Its latency objective had passed when it was received, and a late answer has no value.
+    /// The latency objective had passed on arrival, and a late answer has no value.
     Expired,
-    /// Its client's timeout is shorter than the latency objective, and it is a retry: it has no
-    /// more time than the attempt that failed.
+    /// The query is a retry and its client timeout is shorter than the latency objective, so it has
+    /// no more time than the client's attempt that failed.
     ShortClientTimeout,
-    /// Less time is left than an answer takes on average.
+    /// The time left is shorter than the mean latency of an answer.
     TooLittleTime,
-    /// Too few shards can respond in time for the class's minimum coverage.
+    /// Too few shards can respond in time to reach the class's minimum coverage.
     InsufficientCoverage,
-    /// Its class has no permit left; see [`super::permits`].
+    /// The class has no permit left; see [`super::permits`].
     NoPermit,
 }
 
 /// Checks whether queries can meet their latency objectives.
 #[derive(Debug, Default)]
 pub struct Admission {
-    /// The mean value of a part over recent queries.
+    /// Mean value of a part over recent queries.
     mean_value_per_part: Ewma,
 }
 
 impl Admission {
-    /// Checks a query whose parts are known, before the first is sent. Drops the parts that can't
-    /// be answered in time, where the class allows that.
+    /// Checks a query whose parts are known, before any of them is sent. If the class takes partial
+    /// answers, drops the parts that cannot be answered in time.
     pub fn check(&mut self, query: &mut QueryState, context: &Context) -> Result<(), Rejection> {
         let class = context.class(query.class);
         let max_wait_share = tuning::REJECT_SHARE * self.value_factor(query, class);
@@ -55,8 +55,8 @@
         drop_slow_parts(query, class, max_wait, context)
     }
 
-    /// The value of one of the query's parts as a multiple of the mean, within a range. Parts of
-    /// greater value may wait in longer queues.
+    /// Returns the value of one part of the query as a multiple of the mean, limited to
+    /// [`tuning::VALUE_FACTOR_RANGE`]. Parts of greater value may wait in longer queues.
     fn value_factor(&mut self, query: &QueryState, class: &QueryClass) -> f64 {
         let weight = class.priority_weight.unwrap_or(1.0);
         let value_per_part = weight / query.parts.len().max(1) as f64;
@@ -68,15 +68,16 @@
     }
 }
 
-/// The mean latency of an answer, ns. It is bounded by the objective: otherwise, after a period of
-/// high latency, all queries would be rejected and no new measurement could end this.
+/// Returns the mean latency of an answer, ns, limited to a share of the latency objective. Without
+/// the limit, a period of high latency would be followed by the rejection of all queries, and no
+/// new measurement could end that.
 fn mean_latency(class: &QueryClass, context: &Context) -> f64 {
     let longest = tuning::REJECT_SHARE * class.latency_objective as f64;
     context.latency.mean().unwrap_or(0.0).min(longest)
 }
 
-/// Drops the parts that have to wait for longer than `max_wait`, ns, if the class takes partial
-/// answers and the others suffice for its minimum coverage.
+/// Drops the parts whose expected wait exceeds `max_wait`, ns, if the class takes partial answers.
+/// Returns an error if the other parts do not reach minimum coverage.
 fn drop_slow_parts(
     query: &mut QueryState,
     class: &QueryClass,
@@ -98,7 +99,8 @@
     Ok(())
 }
 
-/// The least time after which one of the replicas that hold its shard would return the part, ns.
+/// Returns the shortest expected wait for a part at the replicas that hold its shard, ns. Saturated
+/// replicas are ignored; the wait is infinite if no other replica holds the shard.
 fn shortest_wait(part: &PartState, context: &Context) -> f64 {
     let holders = context.replicas.holders(&context.settings, part.shard);
     let available = holders.filter(|replica| context.now >= replica.saturated_until);
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -1,5 +1,5 @@
-//! The end of an attempt, and everything that it changes: `record_end_at_replica` lists what
-//! concerns replicas and `record_end_at_part` what concerns queries, one step a line.
+//! Handles the end of an attempt: `record_end_at_replica` updates the measurements of replicas and
+//! connections, `record_end_at_part` those of parts and queries.
 
 use super::context::Context;
 use super::{tuning, Policy};
@@ -11,16 +11,16 @@
 
 impl Policy {
     pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded) {
-        let id = AttemptKey {
+        let key = AttemptKey {
             part: ended.part,
             number: ended.attempt,
         };
-        let Some(attempt) = self.in_flight.remove(&id) else {
+        let Some(attempt) = self.in_flight.remove(&key) else {
             return;
         };
-        let is_missed = self.is_missed(&attempt, ended.outcome);
+        let is_missed = self.indicates_missing_capacity(&attempt, ended.outcome);
         self.record_end_at_replica(attempt, ended.outcome);
-        self.record_end_at_part(id, ended.outcome, is_missed);
+        self.record_end_at_part(key, ended.outcome, is_missed);
     }
 
     pub(super) fn on_health_check_ended(&mut self, ended: &HealthCheckEnded) {
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Handles a response that does not end an attempt.
+    /// Handles a response that does not end an attempt: the start of a streamed one, or the answer
+    /// to a health check.
     pub(super) fn on_response(&mut self, id: ReplicaId) {
         let now = self.context.now;
         if let Some(replica) = self.context.replicas.get_mut(id) {
@@ -46,10 +47,14 @@
         }
     }
 
-    /// Whether the attempt shows missing capacity. A failed connection does where the replica
-    /// responded lately or attempts are limited by a budget; elsewhere it may just be slow, and
-    /// dropping light parts would not help.
-    fn is_missed(&self, attempt: &InFlightAttempt, outcome: AttemptOutcome) -> bool {
+    /// Returns whether the end of the attempt indicates missing capacity. A rejection does. A
+    /// failed connection does if the replica responded recently or a retry budget limits attempts;
+    /// otherwise connecting may just be slow, and dropping light parts would not help.
+    fn indicates_missing_capacity(
+        &self,
+        attempt: &InFlightAttempt,
+        outcome: AttemptOutcome,
+    ) -> bool {
         let Context { now, latency, .. } = &self.context;
         let is_recent = |response: Nanos| latency.staleness(*now, response) < 1.0;
         let replica = self.context.replicas.get(attempt.replica);
@@ -58,7 +63,7 @@
         outcome == Rejected || outcome == Unreachable && is_capacity_lost
     }
 
-    /// Updates the replica's record and every measurement of replicas.
+    /// Updates the replica's record and all measurements of replicas.
     fn record_end_at_replica(&mut self, attempt: InFlightAttempt, outcome: AttemptOutcome) {
         let Some(replica) = self.context.replicas.get(attempt.replica) else {
             return;
@@ -82,12 +87,12 @@
             .on_attempt_end(&end, replica, &mut self.output);
     }
 
-    /// Updates the part's record and every measurement of parts.
-    fn record_end_at_part(&mut self, id: AttemptKey, outcome: AttemptOutcome, is_missed: bool) {
-        let Some(part) = self.queries.part_mut(id.part) else {
+    /// Updates the part's record and all measurements of parts.
+    fn record_end_at_part(&mut self, key: AttemptKey, outcome: AttemptOutcome, is_missed: bool) {
+        let Some(part) = self.queries.part_mut(key.part) else {
             return;
         };
-        if let Some(winner) = part.end_attempt(id.number, outcome) {
+        if let Some(winner) = part.end_attempt(key.number, outcome) {
             self.hedging.record_race(winner);
         }
         if part.is_answered || is_missed {
@@ -96,23 +101,23 @@
     }
 }
 
-/// What follows from the end of an attempt for the record of its replica.
+/// Changes to the record of a replica that follow from the end of an attempt.
 #[derive(Debug)]
 struct ReplicaUpdate {
     end: AttemptEnd,
-    /// There was no result, which raises the smoothed latency. An attempt that we cancelled counts
-    /// as a failure only if it was overdue and the replica had not responded since it was sent.
+    /// Whether the attempt counts as a failure of the replica. A cancelled attempt does only if it
+    /// was overdue and the replica had not responded since the attempt was sent.
     is_failure: bool,
-    /// The replica's smoothed latency so far, ns.
+    /// Smoothed latency of the replica before the end of the attempt, ns.
     smoothed_latency: f64,
-    /// The sample for the smoothed latency, ns. A failure counts as much as a late answer.
+    /// Sample for the smoothed latency, ns. For a failure, it is at least that of a late answer.
     latency_sample: f64,
-    /// How long the replica counts as saturated if it rejected the attempt.
+    /// Time for which the replica counts as saturated if it rejected the attempt.
     saturation_time: Nanos,
 }
 
 impl ReplicaUpdate {
-    /// Judges the end of an attempt by what was known of the replica before it.
+    /// Evaluates the end of an attempt against the replica's record before that end.
     fn new(end: AttemptEnd, replica: &ReplicaRecord, context: &Context) -> ReplicaUpdate {
         let now = context.now;
         let latency = end.latency();
@@ -135,7 +140,7 @@
         }
     }
 
-    /// A replica that rejected an attempt counts as saturated.
+    /// Marks the replica as saturated if it rejected the attempt.
     fn mark_saturated(&self, replica: &mut ReplicaRecord) {
         if self.end.outcome == Rejected {
             replica.saturated_until = self.end.ended + self.saturation_time;
@@ -161,14 +166,15 @@
         replica.record_latency(self.end.ended, smoothed, sample, weight);
     }
 
-    /// Without a response, the connection may be lost.
+    /// Records the connection of a failed attempt without a response as possibly lost.
     fn record_lost_connection(&self, replica: &mut ReplicaRecord) {
         if self.is_failure && !matches!(self.end.outcome, Error | Rejected | NotSent) {
             replica.lost_connections.push(self.end.connection);
         }
     }
 
-    /// Returns the connections of the attempts that were lost before this response, if it is one.
+    /// Records a response if the attempt ended with one. Returns the connections of the attempts
+    /// that were lost since the response before it.
     fn record_response(&self, replica: &mut ReplicaRecord) -> Vec<ConnectionUse> {
         if self.end.is_response() {
             replica.record_response(self.end.ended)
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Sending attempts: the first one of a part, retries of failed ones and hedged requests.
+//! Sends attempts: the first attempt at each part, retries and hedged requests.
 
 use super::replica_selection::ReplicaSelector;
 use super::{tuning, Policy};
@@ -8,8 +8,8 @@
 };
 
 impl Policy {
-    /// Records parts of the running step that are late, cancels attempts that are no longer needed,
-    /// and sends retries and hedged requests.
+    /// Records late parts of the current step, cancels attempts that are no longer needed, and
+    /// sends retries and hedged requests.
     pub(super) fn advance_attempts(&mut self, query: &mut QueryState) {
         let now = self.context.now;
         let counts = query.step_counts();
@@ -37,16 +37,17 @@
         }
     }
 
-    /// Sends a part to the best replica that may have it; false where there is none.
+    /// Sends a part to the best available replica. Returns `false` if the attempt is not allowed or
+    /// no replica is available.
     pub(super) fn send_attempt(&mut self, query: &mut QueryState, index: usize) -> bool {
         let class = query.class;
-        let until = if self.accepts_late_answer(class) {
+        let times_out_at = if self.accepts_late_answer(class) {
             query.deadline
         } else {
             query.objective
         };
         let part = &mut query.parts[index];
-        if until <= self.context.now || !self.may_attempt(part, class) {
+        if times_out_at <= self.context.now || !self.may_attempt(part, class) {
             return false;
         }
         let Some(replica) = self.select_replica(part) else {
@@ -57,13 +58,13 @@
         self.output.push(Action::SendAttempt {
             part: part.id,
             replica,
-            times_out_at: until,
+            times_out_at,
             latest_start,
         });
         true
     }
 
-    /// Sends a failed part again. The first retry is sent at once; later ones wait, so that a brief
+    /// Retries a failed part. The first retry is sent at once; later ones wait, so that a brief
     /// outage does not use up all attempts.
     fn retry(&mut self, query: &mut QueryState, index: usize) {
         let attempts = &query.parts[index].attempts;
@@ -76,9 +77,14 @@
         }
     }
 
-    /// Whether the last attempt is slow, this is confirmed by the rest of the query or by a replica
-    /// that has not responded since, another replica is likely to be faster, and the hedging budget
-    /// allows it. What holds for every further attempt is checked in `may_attempt`.
+    /// Returns whether to hedge the last attempt at a part. All of these conditions must be met:
+    /// - The attempt is slow.
+    /// - Most of the query's parts are answered, or the attempt's replica has not responded since
+    ///   the attempt was sent.
+    /// - Another replica is likely to be faster.
+    /// - The hedging budget allows one more hedged request.
+    ///
+    /// `may_attempt` checks the conditions that apply to every further attempt.
     fn should_hedge(
         &mut self,
         query: &QueryState,
@@ -107,7 +113,8 @@
         expected < age && self.hedging.allows_hedge(&self.retry_limiter, open_parts)
     }
 
-    /// Sends a hedged request. The replica of the attempt before it did not respond in time.
+    /// Sends a hedged request, and records that the replica of the previous attempt did not respond
+    /// in time.
     fn hedge(&mut self, query: &mut QueryState, index: usize) {
         let Some(last) = query.parts[index].attempts.last().cloned() else {
             return;
@@ -122,7 +129,8 @@
         }
     }
 
-    /// Whether one more attempt, beside those in flight, is allowed and within the budget.
+    /// Returns whether one more attempt, in addition to those in flight, is allowed and within the
+    /// retry budget.
     fn may_attempt(&self, part: &PartState, class: usize) -> bool {
         let now = self.context.now;
         let class = self.context.class(class);
@@ -141,19 +149,19 @@
         selector.select(part, &mut self.random)
     }
 
-    /// Records an attempt at a part that is sent now.
+    /// Records an attempt that is sent now.
     fn record_attempt(&mut self, part: &mut PartState, id: ReplicaId) {
         let now = self.context.now;
         let connection = self.connection_for(id);
         if !part.attempts.is_empty() {
             self.retry_limiter.record_retry(now);
         }
-        let attempt = AttemptKey {
+        let key = AttemptKey {
             part: part.id,
             number: part.attempts.len() as u8,
         };
         let in_flight = InFlightAttempt::new(id, now, connection);
-        self.in_flight.insert(attempt, in_flight);
+        self.in_flight.insert(key, in_flight);
         part.attempts.push(AttemptRecord::new(id, now));
         let oldest = self.slow_start.window_start(now);
         if let Some(replica) = self.context.replicas.get_mut(id) {
@@ -161,8 +169,8 @@
         }
     }
 
-    /// The connection for an attempt that is sent now. Parts of one call share it; if it is to be
-    /// renewed, idle connections are closed first.
+    /// Returns the kind of connection that an attempt sent now will use. Parts of one call share a
+    /// connection. If the connection is to be renewed, idle connections are closed first.
     fn connection_for(&mut self, id: ReplicaId) -> ConnectionUse {
         let now = self.context.now;
         let Some(replica) = self.context.replicas.get_mut(id) else {
--- a/crates/policy/src/policy/client_timeouts.rs
+++ b/crates/policy/src/policy/client_timeouts.rs
@@ -1,5 +1,5 @@
-//! Estimates from client timeouts how much of its latency objective a query has spent on earlier
-//! attempts of its client.
+//! Estimates, from client timeouts, how much of a query's latency objective its client has spent on
+//! earlier attempts.
 
 use super::tuning;
 use crate::api::{Nanos, QueryClass, QueryReceived};
@@ -13,15 +13,16 @@
     tenant: u32,
 }
 
-/// The timeout that the majority of first attempts have, by class and tenant.
+/// Client timeout of the majority of first attempts, by class and tenant.
 #[derive(Debug, Default)]
 pub struct ClientTimeouts {
     majorities: BTreeMap<ClientGroup, MajorityVote>,
 }
 
 impl ClientTimeouts {
-    /// How much of its latency objective a retry has spent before it was received: its client
-    /// timeout ends with the deadline of the client's first attempt. 0 for a first attempt.
+    /// Returns how much of its latency objective a client's retry had spent before it was received,
+    /// and 0 for a first attempt. The timeout of a retry is assumed to end at the deadline of the
+    /// client's first attempt, so it is shorter than the timeout of the majority.
     pub fn time_spent_by_earlier_attempts(
         &mut self,
         received: &QueryReceived,
@@ -29,7 +30,7 @@
         retries_marked: bool,
     ) -> Nanos {
         let timeout = received.client_timeout;
-        let tolerance = class.latency_objective / tuning::TIMEOUT_TOLERANCE;
+        let tolerance = class.latency_objective / tuning::TIMEOUT_TOLERANCE_DIVISOR;
         let are_similar = |a: Nanos, b: Nanos| a.abs_diff(b) <= tolerance;
         let group = ClientGroup {
             class: received.class,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The number of records held.
+    /// Returns the number of client groups for which a majority is tracked.
     pub fn len(&self) -> usize {
         self.majorities.len()
     }
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -1,9 +1,11 @@
-//! Completion: when a query is answered, completely or in part, rejected or failed.
+//! Completion: decides when a query ends, and whether with a complete answer, a partial answer, a
+//! rejection or a failure.
 //!
-//! Invariant: each query ends once, before its client's timeout, and at once when it can't be
-//! answered any more. An answer rests on the class's minimum coverage, and is marked complete only
-//! if it is. A rejection states that a retry by the client is harmless, so it is used only where
-//! that is so.
+//! Invariants:
+//! - Each query ends once, before its client timeout, and as soon as it can no longer be answered.
+//! - An answer has the class's minimum coverage, and is marked complete only if it is complete.
+//! - A rejection tells the client that a retry is harmless, so a query is rejected only if that is
+//!   true.
 
 use super::admission::Rejection;
 use super::context::Context;
@@ -11,24 +13,22 @@
 use crate::api::{Action, Nanos, RequestId};
 use crate::state::{PartState, QueryState, StepSums};
 
-/// What happens to an open query in the running batch.
+/// Decision about an open query in the current batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueryDecision {
-    /// It is answered from the results so far.
-    Answer {
-        /// The answer is complete.
-        is_complete: bool,
-    },
-    /// It ends without an answer.
+    /// Answer the query from the results so far.
+    Answer { is_complete: bool },
+    /// End the query without an answer.
     RejectOrFail,
-    /// It goes on; its attempts may be retried or hedged.
+    /// Keep the query open and retry or hedge its attempts.
     AdvanceAttempts,
-    /// It goes on, and nothing is sent for it.
+    /// Keep the query open and send no attempts for it.
     Wait,
 }
 
 impl Policy {
-    /// Starts a step of a query: sends its parts, heaviest first, unless the query is rejected.
+    /// Starts a step of a query: sends the step's parts, heaviest first, unless the query is
+    /// rejected.
     pub(super) fn start_step(&mut self, id: RequestId) {
         let Some(mut query) = self.queries.take(id) else {
             return;
@@ -49,7 +49,7 @@
         self.queries.put_back(query);
     }
 
-    /// Ends a query if it is time to; otherwise advances its attempts.
+    /// Ends a query if it is due to end, and advances its attempts otherwise.
     pub(super) fn advance(&mut self, id: RequestId) {
         let Some(mut query) = self.queries.take(id) else {
             return;
@@ -63,8 +63,8 @@
         self.queries.put_back(query);
     }
 
-    /// Has every open query end by `answer_by`, with the answer that it has by then, if that is
-    /// sufficient.
+    /// Moves the deadline of every open query to `answer_by` or earlier. A query with a sufficient
+    /// answer by then is answered.
     pub(super) fn shorten_deadlines(&mut self, answer_by: Nanos) {
         for id in self.queries.ids() {
             if let Some(mut query) = self.queries.take(id) {
@@ -78,13 +78,13 @@
         let Some(query) = self.queries.take(id) else {
             return;
         };
-        self.permits.give_back(&query, 0.0, &self.queries);
+        self.permits.release(&query, 0.0, &self.queries);
         self.discard(query);
     }
 
-    /// Whether an answer after the latency objective is worth its work. It is not while permits are
-    /// short: parts that wait at saturated replicas until the deadline would hold permits that
-    /// other queries need to be answered in time.
+    /// Returns whether a query of this class may be answered after its latency objective. It may
+    /// not while permits limit the class: parts that wait at saturated replicas until the deadline
+    /// would hold permits that other queries need to be answered in time.
     pub(super) fn accepts_late_answer(&self, class: usize) -> bool {
         self.context.class(class).late_value > 0.0 && !self.permits.is_limited(class)
     }
@@ -108,8 +108,8 @@
         }
         let is_query_of_death = is_query_of_death(query);
         let is_idle = query.attempts().all(|attempt| !attempt.is_in_flight);
-        let is_unanswerable = sums.is_out_of_reach(query, class) || is_query_of_death && is_idle;
-        if is_unanswerable || self.context.now >= self.last_useful_moment(query) {
+        let is_unanswerable = sums.is_unreachable(query, class) || is_query_of_death && is_idle;
+        if is_unanswerable || self.context.now >= self.latest_answer_time(query) {
             return QueryDecision::RejectOrFail;
         }
         let objective = self.context.shortest_objective;
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Whether a part without a result may still get one: an attempt is in flight or may be sent.
+    /// Returns whether a part without a result may still get one, from an attempt in flight or from
+    /// one that may still be sent.
     fn may_be_answered(&self, part: &PartState, query: &QueryState) -> bool {
         if part.has_attempt_in_flight() {
             return true;
@@ -140,9 +141,11 @@
         has_budget && limiter.may_repeat(part, class, *now) && holders.next().is_some()
     }
 
-    /// Whether to give a sufficient answer now. That is when no further result can be returned, or
-    /// just before the objective; earlier if a second step follows; just before the deadline if a
-    /// late complete answer has more value.
+    /// Returns whether to send a sufficient answer now. It is sent when no further result can
+    /// arrive, and at the latest:
+    /// - just before the deadline if a late complete answer would have more value,
+    /// - halfway to the latency objective if a second step follows,
+    /// - just before the latency objective otherwise.
     fn is_time_to_answer(&self, query: &QueryState, sums: &StepSums) -> bool {
         let class = self.context.class(query.class);
         let value = class.partial_value * sums.answered_weight / class.completeness_threshold;
@@ -155,8 +158,8 @@
         sums.all_answered || !sums.any_open || self.context.now >= end
     }
 
-    /// The time from which on no answer is of value, or none can be given in time.
-    fn last_useful_moment(&self, query: &QueryState) -> Nanos {
+    /// Returns the time from which on an answer has no value or would miss the deadline.
+    fn latest_answer_time(&self, query: &QueryState) -> Nanos {
         let before_deadline = self.timer.safely_before(query.deadline);
         if self.accepts_late_answer(query.class) {
             return before_deadline;
@@ -182,11 +185,12 @@
         } else {
             -tuning::PERMIT_PENALTY
         };
-        self.permits.give_back(&query, change, &self.queries);
+        self.permits.release(&query, change, &self.queries);
         self.queries.forget(&query);
     }
 
-    /// Ends a query without an answer: rejects it where a retry is harmless, fails it otherwise.
+    /// Ends a query without an answer: rejects it if a retry by the client is harmless, and fails
+    /// it otherwise.
     fn reject_or_fail(&mut self, query: QueryState) {
         let now = self.context.now;
         let max_retry_after = self.context.settings.max_retry_after;
@@ -204,12 +208,12 @@
             self.permits
                 .on_lost_to_saturation(now, &query, &self.queries);
         } else {
-            self.permits.give_back(&query, 0.0, &self.queries);
+            self.permits.release(&query, 0.0, &self.queries);
         }
         self.discard(query);
     }
 
-    /// Forgets a query that has ended, and cancels its attempts.
+    /// Cancels the attempts of a query that has ended, and removes its records.
     fn discard(&mut self, mut query: QueryState) {
         let cancellation_allowed = self.context.settings.cancellation_allowed;
         query.cancel_attempts(cancellation_allowed, self.output.actions());
@@ -217,9 +221,9 @@
     }
 }
 
-/// Whether the query appears to crash the replicas that execute it (a query of death): several
-/// replicas lost their connections and no part was answered. Its attempts wait before they are
-/// retried, so that a query which met failing replicas by chance can still be answered.
+/// Returns whether the query appears to crash the replicas that execute it (a query of death):
+/// connections to several replicas were lost and no part is answered. Retries of such a query are
+/// delayed, so that a query that was sent to failing replicas by chance can still be answered.
 fn is_query_of_death(query: &QueryState) -> bool {
     let is_answered = query.parts.iter().any(|part| part.is_answered);
     !is_answered && query.replicas_with_lost_connections() >= tuning::QUERY_OF_DEATH_REPLICAS
--- a/crates/policy/src/policy/connection_renewal.rs
+++ b/crates/policy/src/policy/connection_renewal.rs
@@ -1,9 +1,9 @@
-//! Renewal of connections that were idle for long. A device on the path may have dropped such a
+//! Renewal of long-idle connections. A device on the network path may have dropped such a
 //! connection without notice; an attempt on it is lost although the replica is healthy.
 //!
-//! Invariant: renewal runs only while attempts on such connections are lost clearly more often than
-//! on others. It ends where it does not help: an unresponsive replica, a network partition or a
-//! slow network affects all connections alike.
+//! Invariant: connections are renewed only while attempts on long-idle connections are lost clearly
+//! more often than on others. Renewal ends if it does not help, since an unresponsive replica, a
+//! network partition or a slow network affects all connections alike.
 
 use super::output::BatchOutput;
 use super::tuning;
@@ -11,28 +11,28 @@
 use crate::state::{AttemptEnd, ConnectionUse, ReplicaRecord};
 use crate::stats::blend;
 
-/// Losses by kind of connection, and whether connections are renewed.
+/// Tracks lost attempts by kind of connection, and decides when connections are renewed.
 #[derive(Debug)]
 pub struct ConnectionRenewal {
-    /// Time without use after which a connection counts as idle for long; 0 if no idle timeout is
-    /// stated.
+    /// Time without use after which a connection counts as long idle; 0 if the settings have no
+    /// idle timeout.
     long_idle_time: Nanos,
-    /// How long connections are renewed, or are not renewed again.
+    /// Duration of one renewal, and of the pause after a renewal that did not help.
     duration: Nanos,
-    /// Share of attempts lost on connections in recent use.
+    /// Share of attempts lost on recently used connections.
     recent_loss: f64,
-    /// Share of attempts lost on connections that were idle for long.
+    /// Share of attempts lost on long-idle connections.
     long_idle_loss: f64,
-    /// Share of attempts lost on connections that were renewed.
+    /// Share of attempts lost on renewed connections.
     renewed_loss: f64,
-    /// Renewal may not start again before this.
+    /// Earliest time at which renewal may start again.
     allowed_from: Nanos,
-    /// Connections are renewed until then.
-    until: Nanos,
+    /// Time at which the current renewal ends; in the past if there is none.
+    renewing_until: Nanos,
 }
 
 impl ConnectionRenewal {
-    /// No losses. `objective` is the shortest latency objective of a class, ns.
+    /// Creates a tracker without losses. `objective` is the shortest latency objective, ns.
     pub fn new(settings: &PolicySettings, objective: f64) -> ConnectionRenewal {
         let long_idle_time = tuning::LONG_IDLE_SHARE * settings.idle_timeout as f64;
         ConnectionRenewal {
@@ -42,12 +42,12 @@
             long_idle_loss: 0.0,
             renewed_loss: 0.0,
             allowed_from: 0,
-            until: 0,
+            renewing_until: 0,
         }
     }
 
-    /// The connection for an attempt that starts a call to the replica now. Where it is
-    /// [`ConnectionUse::Renewed`], the idle connections have to be closed first.
+    /// Returns the kind of connection that a call to the replica would use now. For
+    /// [`ConnectionUse::Renewed`], the caller must close the idle connections first.
     pub fn connection_for_call(&self, now: Nanos, replica: &ReplicaRecord) -> ConnectionUse {
         if self.long_idle_time == 0 {
             return ConnectionUse::RecentlyUsed;
@@ -55,14 +55,14 @@
         let is_idle = replica.outstanding.is_empty() && replica.last_response > 0;
         if !is_idle || now - replica.last_response <= self.long_idle_time {
             ConnectionUse::RecentlyUsed
-        } else if now >= self.until {
+        } else if now >= self.renewing_until {
             ConnectionUse::LongIdle
         } else {
             ConnectionUse::Renewed
         }
     }
 
-    /// Counts the connections lost before this response, and that of an attempt that was answered.
+    /// Counts the `lost` connections, and the connection of the attempt if it ended with a result.
     pub fn on_attempt_end(
         &mut self,
         end: &AttemptEnd,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Counts connections on which attempts were lost. Called only after the replica has responded
-    /// again: until then the replica itself may be at fault.
+    /// Counts connections on which attempts were lost. The replica must have responded since:
+    /// before that, the replica itself may be the cause.
     pub fn record_losses(
         &mut self,
         now: Nanos,
@@ -97,31 +97,35 @@
         output: &mut BatchOutput,
     ) {
         let loss = self.loss_mut(connection);
-        *loss = blend(*loss, f64::from(u8::from(is_lost)), tuning::LOSS_WEIGHT);
-        let is_renewing = now < self.until;
+        *loss = blend(
+            *loss,
+            f64::from(u8::from(is_lost)),
+            tuning::CONNECTION_LOSS_WEIGHT,
+        );
+        let is_renewing = now < self.renewing_until;
         let may_start = connection == ConnectionUse::LongIdle && now >= self.allowed_from;
         let end = now + self.duration;
         if is_renewing && self.is_ineffective() {
             self.allowed_from = end;
-            self.until = 0;
-        } else if may_start && self.is_idle_loss_high() {
+            self.renewing_until = 0;
+        } else if may_start && self.is_long_idle_loss_high() {
             self.allowed_from = end;
-            self.until = end;
+            self.renewing_until = end;
             self.renewed_loss = 0.0;
-            output.log("attempts are lost on idle connections: they are renewed");
+            output.log("attempts lost on long-idle connections: renewing idle connections");
         }
     }
 
-    /// Whether renewed connections lose nearly as many attempts as idle ones.
+    /// Returns whether renewed connections lose nearly as many attempts as long-idle ones.
     fn is_ineffective(&self) -> bool {
-        let similar = tuning::MAX_SIMILAR_LOSS_RATIO * self.long_idle_loss;
-        self.renewed_loss > similar.max(tuning::LOSS_THRESHOLD)
+        let similar = tuning::MIN_SIMILAR_LOSS_RATIO * self.long_idle_loss;
+        self.renewed_loss > similar.max(tuning::CONNECTION_LOSS_THRESHOLD)
     }
 
-    /// Whether idle connections lose clearly more attempts than those in recent use.
-    fn is_idle_loss_high(&self) -> bool {
-        let similar = self.recent_loss / tuning::MAX_SIMILAR_LOSS_RATIO;
-        self.long_idle_loss > similar.max(tuning::LOSS_THRESHOLD)
+    /// Returns whether long-idle connections lose clearly more attempts than recently used ones.
+    fn is_long_idle_loss_high(&self) -> bool {
+        let similar = self.recent_loss / tuning::MIN_SIMILAR_LOSS_RATIO;
+        self.long_idle_loss > similar.max(tuning::CONNECTION_LOSS_THRESHOLD)
     }
 
     fn loss_mut(&mut self, connection: ConnectionUse) -> &mut f64 {
--- a/crates/policy/src/policy/context.rs
+++ b/crates/policy/src/policy/context.rs
@@ -1,26 +1,26 @@
-//! What every decision may read. Only [`Policy`](super::Policy) changes it.
+//! State that all decisions read and only [`Policy`](super::Policy) changes.
 
 use super::fleet_latency::FleetLatency;
 use crate::api::{Nanos, PolicySettings, QueryClass};
 use crate::state::KnownReplicas;
 
-/// The time, the settings, and the replicas with their latency.
+/// The current time, the settings, and the replicas with their latency.
 #[derive(Debug)]
 pub struct Context {
-    /// The time of the running batch.
+    /// Time of the current batch.
     pub now: Nanos,
-    /// What the operator has stated.
+    /// Settings of the deployment, which do not change.
     pub settings: PolicySettings,
-    /// The shortest latency objective of a class, ns.
+    /// Shortest latency objective of all classes, ns.
     pub shortest_objective: f64,
-    /// The replicas.
+    /// Replicas on the endpoint list, and removed ones that are still tracked.
     pub replicas: KnownReplicas,
-    /// Latency over all replicas.
+    /// Latency statistics over all replicas.
     pub latency: FleetLatency,
 }
 
 impl Context {
-    /// The context before the first batch.
+    /// Creates the context of a policy that has not handled any batch.
     pub fn new(settings: PolicySettings) -> Context {
         let shortest_objective = settings.shortest_objective() as f64;
         Context {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A class by its index.
+    /// Returns the class with this index, which must exist.
     pub fn class(&self, index: usize) -> &QueryClass {
         &self.settings.classes[index]
     }
--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -1,10 +1,10 @@
-//! The weight cutoff: light parts are dropped under overload, in classes with partial answers.
+//! The weight cutoff: drops light parts under overload, in classes with partial answers.
 //!
 //! Design: "A fresh aggregator starts it at zero, sending every part. [...] the cutoff climbs one
 //! step toward one eighth, never past the weight that keeps the class's floor of parts sent,
 //! lightest parts dropped first. It sinks after a few quiet seconds."
 //!
-//! Invariant: the cutoff is zero without overload, and is applied once to a query.
+//! Invariant: the cutoff is zero without overload, and is applied to each query once.
 
 use super::output::BatchOutput;
 use super::tuning;
@@ -12,27 +12,27 @@
 use crate::state::{PartState, QueryState};
 use crate::stats::SlidingWindow;
 
-/// The weight cutoff, and the overload signal that moves it.
+/// The weight cutoff, and the overload signal that controls it.
 #[derive(Debug)]
 pub struct WeightCutoff {
-    /// Least time between two steps up, ns.
-    min_climb_interval: f64,
-    /// Parts lighter than this may be dropped.
+    /// Minimum time between two increases, ns.
+    min_increase_interval: f64,
+    /// Parts with a smaller weight may be dropped.
     value: f64,
-    /// When the value last changed.
+    /// Time of the last change of `value`.
     changed: Nanos,
-    /// When the signal last showed overload.
+    /// Time at which the signal last indicated overload.
     last_overload: Nanos,
-    /// Recent parts, each with whether it missed its latency objective or was rejected.
+    /// Recent parts; `true` for each one that was late or rejected.
     parts: SlidingWindow<bool>,
 }
 
 impl WeightCutoff {
-    /// A cutoff of zero. `objective` is the shortest latency objective of a class, ns.
+    /// Creates a cutoff of zero. `objective` is the shortest latency objective, ns.
     pub fn new(objective: f64) -> WeightCutoff {
         WeightCutoff {
-            // The design's second between two steps up, at objectives of two seconds.
-            min_climb_interval: objective / 2.0,
+            // One second at an objective of two seconds, as the design specifies.
+            min_increase_interval: objective / 2.0,
             value: 0.0,
             changed: 0,
             last_overload: 0,
@@ -40,16 +40,16 @@
         }
     }
 
-    /// Adds a part to the overload signal, once.
+    /// Adds a part to the overload signal, unless it has been added before.
     pub fn record(&mut self, now: Nanos, part: &mut PartState, is_missed: bool) {
         if !std::mem::replace(&mut part.is_counted, true) {
             self.parts.push(now, is_missed);
         }
     }
 
-    /// Moves the cutoff by the overload signal of the last window. It climbs by as many steps as
-    /// the signal is times its threshold: among many aggregators each gets few samples, and the
-    /// next reliable signal is seconds away.
+    /// Adjusts the cutoff to the overload signal of the last window. An increase is one step, times
+    /// the ratio of the signal to its threshold: in a large fleet an aggregator gets few samples,
+    /// so its next reliable signal is seconds away.
     pub fn update(&mut self, now: Nanos, output: &mut BatchOutput) {
         self.parts
             .expire(now.saturating_sub(tuning::OVERLOAD_WINDOW));
@@ -62,9 +62,9 @@
         }
         let unchanged = now.saturating_sub(self.changed);
         let quiet = now.saturating_sub(self.last_overload);
-        if is_overloaded && unchanged as f64 >= self.min_climb_interval {
-            let climb = tuning::CUTOFF_STEP * (missed / threshold).max(1.0);
-            let value = (self.value + climb).min(tuning::CUTOFF_CEILING);
+        if is_overloaded && unchanged as f64 >= self.min_increase_interval {
+            let increase = tuning::CUTOFF_STEP * (missed / threshold).max(1.0);
+            let value = (self.value + increase).min(tuning::CUTOFF_CEILING);
             self.set(now, value, output);
         } else if unchanged >= tuning::OVERLOAD_WINDOW && quiet >= tuning::CUTOFF_QUIET_TIME {
             let value = (self.value - tuning::CUTOFF_STEP).max(0.0);
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Drops the query's parts below the cutoff, lightest first. The weight dropped is limited: as
-    /// a share of what minimum coverage does not need, it is the cutoff's share of its ceiling.
+    /// Drops the query's parts whose weight is below the cutoff, lightest first. Of the weight that
+    /// minimum coverage does not need, it drops at most the cutoff's share of its ceiling.
     pub fn drop_light_parts(&self, query: &mut QueryState, class: &QueryClass) {
         let cutoff = self.value;
         if cutoff <= 0.0 || class.minimum_coverage >= 1.0 {
@@ -95,15 +95,15 @@
     }
 
     fn set(&mut self, now: Nanos, value: f64, output: &mut BatchOutput) {
-        let before = std::mem::replace(&mut self.value, value);
-        if value == before {
+        let previous = std::mem::replace(&mut self.value, value);
+        if value == previous {
             return;
         }
         self.changed = now;
-        if before == 0.0 {
-            output.log("cutoff off zero: light parts are dropped");
+        if previous == 0.0 {
+            output.log("weight cutoff raised above zero: dropping light parts");
         } else if value == 0.0 {
-            output.log("cutoff back at zero");
+            output.log("weight cutoff lowered to zero: sending all parts");
         }
     }
 }
--- a/crates/policy/src/policy/endpoint_poller.rs
+++ b/crates/policy/src/policy/endpoint_poller.rs
@@ -1,32 +1,32 @@
-//! When the endpoint list is polled, or watched again.
+//! Schedules polls of the endpoint list, and watches after one has failed.
 //!
-//! Invariant: a failed call is followed by another within the time in which a change counts as
-//! notified. A polled list is one service for all aggregators. If each repeated a failed call at
-//! once, the load would keep most of them from an answer, so each waits with exponential backoff
-//! and jitter.
+//! Invariant: a failed call is repeated within the time in which a change counts as notified. A
+//! polled list is one service for all aggregators. If each of them repeated a failed poll at once,
+//! the load would prevent most polls from being answered, so each aggregator waits with exponential
+//! backoff and jitter.
 
 use super::tuning;
 use crate::api::{Nanos, PolicySettings};
 use crate::stats::{exponential_backoff, uniform};
 use std::ops::Range;
 
-/// When the next poll or watch of the endpoint list is due.
+/// Schedule of the next poll or watch of the endpoint list.
 #[derive(Debug)]
 pub struct EndpointPoller {
-    /// The list has to be polled; otherwise it is pushed.
+    /// Whether the list is polled and not pushed.
     is_polled: bool,
-    /// The time by which a call may be late, ns.
+    /// Longest time that a call may be delayed, ns.
     max_delay: f64,
-    /// The time of the first batch; 0 before it.
+    /// Time of the first batch; 0 before it.
     started: Nanos,
-    /// When to poll or watch again; none while a watch is open.
+    /// Time of the next call; `None` while a call is open.
     due: Option<Nanos>,
-    /// Consecutive failures.
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl EndpointPoller {
-    /// A poller before its first batch. `fade_time` is that of measurements, ns.
+    /// Creates a poller that has not run. `fade_time` is the time in which measurements of replicas
+    /// fade, ns.
     pub fn new(settings: &PolicySettings, fade_time: f64) -> EndpointPoller {
         let is_polled = settings.endpoint_list_polled;
         let max_delay = if is_polled {
@@ -39,16 +39,16 @@
             max_delay,
             started: 0,
             due: None,
-            failures: 0,
+            consecutive_failures: 0,
         }
     }
 
-    /// When the next call is due; none while a watch is open.
+    /// Returns the time of the next call, or `None` while a call is open.
     pub fn due(&self) -> Option<Nanos> {
         self.due
     }
 
-    /// Whether to call now; the call is no longer due then. First polls are spread over time, since
+    /// Returns whether a call is due, and marks it as made. First polls are spread over time, since
     /// many processes start together.
     pub fn take_due(&mut self, now: Nanos, random: &mut fastrand::Rng) -> bool {
         if self.started == 0 {
@@ -65,30 +65,30 @@
         is_due
     }
 
-    /// Nothing is due after an update.
+    /// Cancels the scheduled call and resets the backoff after an update.
     pub fn on_update(&mut self) {
         self.due = None;
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// Schedules the call after one that failed.
+    /// Schedules the next call after a failed one, unless a call is scheduled already.
     pub fn on_failure(&mut self, now: Nanos, random: &mut fastrand::Rng) {
         if self.due.is_some() {
             return;
         }
         let range = if self.is_polled {
             let (base, max) = (tuning::BASE_POLL_BACKOFF, tuning::MAX_POLL_BACKOFF);
-            let backoff = exponential_backoff(base, max, self.failures);
+            let backoff = exponential_backoff(base, max, self.consecutive_failures);
             let jitter = tuning::POLL_JITTER;
             jitter.start * backoff..jitter.end * backoff
         } else {
             tuning::WATCH_BACKOFF
         };
         self.due = Some(now + self.random_delay(range, random));
-        self.failures += 1;
+        self.consecutive_failures += 1;
     }
 
-    /// A random delay, in this range of shares of the greatest delay.
+    /// Returns a random delay whose share of `max_delay` is in the range `shares`.
     fn random_delay(&self, shares: Range<f64>, random: &mut fastrand::Rng) -> Nanos {
         (self.max_delay * uniform(random, shares)) as Nanos
     }
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Every decision of a policy, one concern to a file. [`Policy`] dispatches the events, runs the
-//! phases of a batch in their order, and owns the state of each decision.
+//! The decisions of the policy, one concern per file. [`Policy`] dispatches events, runs the phases
+//! of each batch in order, and owns the state of every decision.
 //!
-//! Invariant: the same settings, seed and batches of events give the same actions.
+//! Invariant: the same settings, seed and batches of events produce the same actions.
 
 mod admission;
 mod attempt_end;
@@ -43,37 +43,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use timer::BatchTimer;
 
-/// The decisions of one aggregator, and all state that they rest on.
+/// The decisions of one aggregator and their state.
 #[derive(Debug)]
 pub struct Policy {
-    /// What every decision may read.
     context: Context,
-    /// The queries that have not ended.
     queries: OpenQueries,
-    /// The attempts that have not ended.
+    /// Attempts that have not ended. The query of an attempt may have ended before it.
     in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
-    // Which queries are admitted, and with which parts.
+    // Admission of queries and their parts.
     client_timeouts: ClientTimeouts,
     admission: Admission,
     permits: ClassPermits,
     cutoff: WeightCutoff,
-    // Which attempts are sent.
+    // Further attempts at a part.
     retry_limiter: RetryLimiter,
     hedging: HedgingBudget,
-    // Which replicas they are sent to, and on which connections.
+    // Replicas and the connections to them.
     outliers: OutlierDetector,
     slow_start: SlowStart,
     renewal: ConnectionRenewal,
     endpoint_poller: EndpointPoller,
     timer: BatchTimer,
-    /// The generator of every random choice.
+    /// Source of all random choices.
     random: fastrand::Rng,
-    /// What the running batch results in.
+    /// Actions and log lines of the current batch.
     output: BatchOutput,
 }
 
 impl Policy {
-    /// A policy that has received nothing yet. The seed distinguishes it from other processes.
+    /// Creates a policy that knows no replicas and no queries. Processes should use different
+    /// seeds, so that their random choices differ.
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         let context = Context::new(settings);
         let settings = &context.settings;
@@ -98,20 +97,20 @@
         }
     }
 
-    /// Handles the events of a batch, in order, at the time `now`, and appends the actions that
-    /// result to `actions`. Queries are admitted after all events, so that their parts are known;
-    /// then every open query is answered, rejected or advanced.
+    /// Handles a batch of events at the time `now`, in order, and appends the resulting actions to
+    /// `actions`. New queries are admitted after all events have been handled, when their parts
+    /// are known. After that, every open query is ended or advanced.
     pub fn handle(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         self.context.now = now;
-        self.slow_start.start(now);
+        self.slow_start.record_start(now);
         self.poll_endpoints();
-        let mut new_queries = BTreeSet::new();
+        let mut queries_to_start = BTreeSet::new();
         for event in events {
-            self.on_event(event, &mut new_queries);
+            self.on_event(event, &mut queries_to_start);
         }
         self.retry_limiter.expire(now);
         self.cutoff.update(now, &mut self.output);
-        for id in new_queries {
+        for id in queries_to_start {
             self.start_step(id);
         }
         for id in self.queries.ids() {
@@ -122,7 +121,7 @@
         self.output.move_to(actions, timer);
     }
 
-    /// The number of records held, of every kind whose number changes with the load.
+    /// Returns the number of records held, over all kinds whose number depends on the load.
     pub fn retained_records(&self) -> usize {
         self.queries.record_count()
             + self.in_flight.len()
@@ -131,16 +130,16 @@
             + self.context.replicas.len()
     }
 
-    fn on_event(&mut self, event: &Event, new_queries: &mut BTreeSet<RequestId>) {
+    fn on_event(&mut self, event: &Event, queries_to_start: &mut BTreeSet<RequestId>) {
         match event {
             Event::EndpointsUpdated { kind, entries } => self.on_endpoints_updated(*kind, entries),
             Event::QueryReceived(query) => self.on_query_received(query),
-            Event::PartReceived(part) => new_queries.extend(self.on_part_received(part)),
+            Event::PartReceived(part) => queries_to_start.extend(self.on_part_received(part)),
             Event::AttemptEnded(ended) => self.on_attempt_ended(ended),
             Event::ResponseStarted { replica, .. } => self.on_response(*replica),
             Event::HealthCheckEnded(ended) => self.on_health_check_ended(ended),
             Event::ClientDisconnected { id } => {
-                new_queries.remove(id);
+                queries_to_start.remove(id);
                 self.on_client_disconnected(*id);
             }
             Event::ShutdownRequested { answer_by } => self.shorten_deadlines(*answer_by),
@@ -163,7 +162,8 @@
             .insert(QueryState::new(received, class, spent, *now));
     }
 
-    /// Returns the query that the part belongs to; none if there is no such query.
+    /// Adds a part to its query. Returns the identifier of the query, or `None` if no query is open
+    /// in the part's group.
     fn on_part_received(&mut self, received: &PartReceived) -> Option<RequestId> {
         self.retry_limiter.record_received(self.context.now);
         let part = PartState::new(received);
@@ -189,13 +189,14 @@
             }
         }
         self.context.replicas.apply(kind, entries);
-        // New replicas have new identifiers: without this, records would accumulate.
+        // A replica that is replaced gets a new identifier, so old records would accumulate.
         let fade_time = self.context.latency.fade_time() as Nanos;
         let oldest = now.saturating_sub(fade_time);
         self.context.replicas.forget_gone(oldest);
     }
 
-    /// Sets the timer. Without an open query, only the endpoint list is due.
+    /// Sets the timer for the next batch. While no query is open, only a call for the endpoint list
+    /// needs it.
     fn set_timer(&mut self) -> Option<Action> {
         let now = self.context.now;
         let next = if self.queries.is_empty() {
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -1,9 +1,11 @@
-//! Outlier detection: a replica that does not respond is ejected, so that replica selection prefers
-//! others. It still gets an attempt that no other replica may get. When the ejection time has
-//! passed it is selected again for one call at a time, until it responds.
+//! Outlier detection: ejects replicas that do not respond, so that replica selection prefers
+//! others. An ejected replica still gets an attempt if no other replica is available for it. After
+//! the ejection time, a replica gets one call at a time until it responds.
 //!
-//! Invariant: any response ends an ejection (`ReplicaRecord::record_response`); the failure stays
-//! in the smoothed latency for a while. The design leaves health to us.
+//! Invariant: any response ends an ejection (`ReplicaRecord::record_response`). The failure remains
+//! in the smoothed latency for a while.
+//!
+//! The design does not specify how the health of replicas is determined.
 
 use super::context::Context;
 use super::output::BatchOutput;
@@ -12,26 +14,25 @@
 use crate::state::{AttemptEnd, ReplicaRecord};
 use crate::stats::exponential_backoff;
 
-/// Ejection times, and when replicas get health checks.
+/// Ejects replicas, and decides when they get health checks.
 #[derive(Debug)]
 pub struct OutlierDetector {
-    /// The first ejection time, ns. It doubles with each consecutive failure.
+    /// First ejection time, ns. It doubles with each consecutive failure.
     base_ejection: f64,
-    /// The longest ejection time, ns.
+    /// Longest ejection time, ns.
     max_ejection: f64,
     health_checks_allowed: bool,
-    /// An outlier was found since the last round of health checks.
+    /// Whether a replica was ejected since the last decision about health checks.
     outlier_found: bool,
-    /// When the last round of health checks was.
+    /// Time of the last round of health checks.
     last_round: Nanos,
 }
 
 impl OutlierDetector {
-    /// A detector before the first failure. `objective` is the shortest latency objective of a
-    /// class, ns.
+    /// Creates a detector without outliers. `objective` is the shortest latency objective, ns.
     pub fn new(health_checks_allowed: bool, objective: f64) -> OutlierDetector {
         OutlierDetector {
-            base_ejection: tuning::EJECTION_OBJECTIVES * objective,
+            base_ejection: tuning::BASE_EJECTION_OBJECTIVES * objective,
             max_ejection: tuning::MAX_EJECTION_OBJECTIVES * objective,
             health_checks_allowed,
             outlier_found: false,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Ejects the replica of an attempt that ended without a response.
+    /// Ejects the replica of an attempt if the attempt ended without a response.
     pub fn on_attempt_end(
         &mut self,
         end: &AttemptEnd,
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Ejects a replica that did not respond to an attempt that was sent at `sent`, unless it has
-    /// responded since or is ejected already.
+    /// Ejects a replica that did not respond to an attempt sent at the time `sent`, unless the
+    /// replica has responded since then or is ejected already.
     pub fn on_no_response(
         &mut self,
         now: Nanos,
@@ -68,15 +69,16 @@
         replica.eject(now + ejection as Nanos);
         if !std::mem::replace(&mut self.outlier_found, true) {
             let id = replica.id.0;
-            output.log(format!("replica {id:x} is an outlier: it is silent"));
+            output.log(format!("replica {id:x} ejected as an outlier: no response"));
         }
     }
 
-    /// Requests a health check of each idle replica without recent activity, if many replicas are
-    /// outliers: others may have failed too, and this way no query has to wait for them.
+    /// If many replicas are outliers, requests a health check of each idle replica without recent
+    /// activity. Such a replica may have failed too; the check detects that before a query has to
+    /// wait for it.
     pub fn check_health(&mut self, context: &Context, output: &mut BatchOutput) {
-        let is_time = context.latency.staleness(context.now, self.last_round) >= 1.0;
-        let is_due = self.health_checks_allowed && is_time;
+        let has_interval_passed = context.latency.staleness(context.now, self.last_round) >= 1.0;
+        let is_due = self.health_checks_allowed && has_interval_passed;
         if !is_due || !std::mem::take(&mut self.outlier_found) {
             return;
         }
@@ -96,8 +98,8 @@
     }
 }
 
-/// Whether other replicas are preferred: it does not respond (for longer than `max_silence`, ns),
-/// is saturated or ejected, or is an outlier with a call in flight.
+/// Returns whether other replicas are preferred to this one: it has not responded for longer than
+/// `max_silence` (ns), is saturated or ejected, or is an outlier with a call in flight.
 pub fn is_avoided(replica: &ReplicaRecord, now: Nanos, max_silence: f64) -> bool {
     let is_silent = replica.time_without_response(now) as f64 > max_silence;
     let is_ejected = now < replica.ejected_until || !replica.outstanding.is_empty();
--- a/crates/policy/src/policy/output.rs
+++ b/crates/policy/src/policy/output.rs
@@ -1,8 +1,8 @@
-//! What a batch of events results in.
+//! The output of one batch of events.
 
 use crate::api::Action;
 
-/// The actions of the running batch, and its log lines, which follow the actions.
+/// Actions and log lines of the current batch. The log lines follow the actions.
 #[derive(Debug, Default)]
 pub struct BatchOutput {
     actions: Vec<Action>,
@@ -10,22 +10,22 @@
 }
 
 impl BatchOutput {
-    /// Adds an action.
+    /// Appends an action.
     pub fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Adds a line for the log.
+    /// Appends a log line.
     pub fn log(&mut self, line: impl Into<String>) {
         self.log_lines.push(line.into());
     }
 
-    /// The actions so far, to add to them.
+    /// Returns the list of actions, for callers that append several.
     pub fn actions(&mut self) -> &mut Vec<Action> {
         &mut self.actions
     }
 
-    /// Moves everything to `actions`: the actions, the log lines, and the new timer, if any.
+    /// Moves the actions and log lines to the end of `actions`, followed by `timer` if it is set.
     pub fn move_to(&mut self, actions: &mut Vec<Action>, timer: Option<Action>) {
         actions.append(&mut self.actions);
         actions.extend(self.log_lines.drain(..).map(Action::Log));
--- a/crates/policy/src/policy/permits.rs
+++ b/crates/policy/src/policy/permits.rs
@@ -1,11 +1,11 @@
 //! Permits: a limit on the open queries of a class that loses queries to saturated replicas.
 //!
-//! A query that loses a part to saturated replicas has all its other parts executed for nothing,
-//! which keeps their replicas saturated. So from the first such loss on a class has permits, and
-//! those of lost queries are not returned. Answers in time raise the number of permits again.
+//! If a query loses one part to saturated replicas, the work on its other parts is wasted and keeps
+//! their replicas saturated. From the first such loss on, the class is limited by permits. The
+//! permit of a lost query is not returned; answers in time add permits.
 //!
-//! Invariant: of a class without permits, one query is admitted now and then; otherwise the end of
-//! the overload would not be noticed.
+//! Invariant: a class without permits still admits one query from time to time. Otherwise the end
+//! of the overload would go unnoticed.
 
 use super::tuning;
 use crate::api::Nanos;
@@ -13,21 +13,21 @@
 use crate::stats::TokenBucket;
 use std::collections::BTreeMap;
 
-/// The permits of each class that is limited.
+/// Permits of the classes that are limited.
 #[derive(Debug, Default)]
 pub struct ClassPermits {
-    /// By the class's index.
+    /// Keyed by the index of the class.
     permits: BTreeMap<usize, TokenBucket>,
 }
 
 impl ClassPermits {
-    /// Whether the class is limited.
+    /// Returns whether the number of open queries of this class is limited.
     pub fn is_limited(&self, class: usize) -> bool {
         self.permits.contains_key(&class)
     }
 
-    /// Takes a permit for the query. Returns whether it may be admitted; in a class that is not
-    /// limited it may.
+    /// Takes a permit for the query and returns whether the query may be admitted. A class that is
+    /// not limited admits every query.
     pub fn try_take(&mut self, now: Nanos, query: &mut QueryState) -> bool {
         let Some(permits) = self.permits.get_mut(&query.class) else {
             return true;
@@ -36,8 +36,9 @@
         query.has_permit
     }
 
-    /// Handles the end of a query that lost a part to saturated replicas: its permit is not
-    /// returned. `open` are the other queries.
+    /// Limits the class of a query that lost a part to saturated replicas. If the class is limited
+    /// already, it loses one permit: that of the query is not returned, or another one is removed
+    /// if the query has none. `open` holds the remaining open queries.
     pub fn on_lost_to_saturation(&mut self, now: Nanos, query: &QueryState, open: &OpenQueries) {
         match self.permits.get_mut(&query.class) {
             None => {
@@ -50,9 +51,9 @@
         }
     }
 
-    /// Returns the permit of a query that has ended, and changes the number of permits by `change`.
-    /// A class with many permits is no longer limited. `open` are the other queries.
-    pub fn give_back(&mut self, query: &QueryState, change: f64, open: &OpenQueries) {
+    /// Releases the permit of a query that has ended and adds `change` permits. The limit is lifted
+    /// once the class has many spare permits. `open` holds the remaining open queries.
+    pub fn release(&mut self, query: &QueryState, change: f64, open: &OpenQueries) {
         let Some(permits) = self.permits.get_mut(&query.class) else {
             return;
         };
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -1,11 +1,12 @@
-//! Replica selection.
+//! Replica selection: chooses the replica for each attempt.
 //!
 //! Design: "Each part goes to the replica with least smoothed latency times its own outstanding
 //! parts plus one, counted by call where parts share calls; latency starts at a tenth of the aim,
 //! unheard servers count as average."
 //!
-//! Invariant: replicas to avoid come last, and those that the part was sent to after others;
-//! nothing goes to one that is not ready or has no slow-start allowance left.
+//! Invariant: avoided replicas are selected only if there are no others, and among equally avoided
+//! ones, those that the part was sent to before come last. No attempt goes to a replica that is not
+//! ready or has no slow-start allowance left.
 
 use super::context::Context;
 use super::outlier::is_avoided;
@@ -14,23 +15,27 @@
 use crate::api::ReplicaId;
 use crate::state::{PartState, ReplicaRecord};
 
-/// What replicas are compared by, in this order; the least is selected.
+/// Sort key of a replica. Fields are compared in order, and the replica with the least rank is
+/// selected.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
     avoidance: u32,
+    /// Expected latency with the penalty for another zone, ns.
     cost: f64,
+    /// Whether the attempt would start a call and not share one that is sent now.
     opens_call: bool,
+    /// Random number.
     tie_breaker: u32,
 }
 
-/// Selects replicas in the running batch.
+/// Selects replicas in the current batch.
 pub struct ReplicaSelector<'a> {
     context: &'a Context,
     slow_start: &'a SlowStart,
 }
 
 impl<'a> ReplicaSelector<'a> {
-    /// A selector for the state as it is now.
+    /// Creates a selector that reads the current state.
     pub fn new(context: &'a Context, slow_start: &'a SlowStart) -> ReplicaSelector<'a> {
         ReplicaSelector {
             context,
@@ -38,7 +43,8 @@
         }
     }
 
-    /// The best replica for one more attempt at the part; none where no replica may have it.
+    /// Returns the best replica for one more attempt at the part, or `None` if no replica is
+    /// available.
     pub fn select(&self, part: &PartState, random: &mut fastrand::Rng) -> Option<ReplicaId> {
         let context = self.context;
         let max_silence = context.latency.hedging_delay(context.shortest_objective);
@@ -56,15 +62,16 @@
                 opens_call: !replica.outstanding.has_call_of(context.now),
                 tie_breaker: random.u32(..),
             };
-            if best.is_none_or(|(least, _)| rank < least) {
+            if best.is_none_or(|(best_rank, _)| rank < best_rank) {
                 best = Some((rank, id));
             }
         }
         best.map(|(_, id)| id)
     }
 
-    /// The expected latency of one more part, with a penalty for another zone, ns. The time without
-    /// a response counts as latency, so that an unresponsive replica is slow at once.
+    /// Returns the expected latency of one more part, plus a penalty for another zone, ns. The time
+    /// without a response counts as latency, so that an unresponsive replica becomes expensive at
+    /// once.
     fn cost(&self, replica: &ReplicaRecord) -> f64 {
         let Context { now, settings, .. } = self.context;
         let is_remote = f64::from(u8::from(replica.zone != settings.zone));
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -1,21 +1,23 @@
-//! Whether a part may be attempted again.
+//! Limits on retries.
 //!
-//! Invariant: a part has at most `max_attempts` attempts; one that may have been executed is not
-//! repeated if its class is not idempotent, and with an idempotency key only within its window; no
-//! attempt is sent beyond the retry budget.
+//! Invariants:
+//! - A part has at most `max_attempts` attempts.
+//! - A part that may have been executed is not repeated if its class is not idempotent. With an
+//!   idempotency key, it is repeated only within the idempotency window.
+//! - No attempt is sent beyond the retry budget.
 
 use super::tuning;
 use crate::api::{Nanos, PolicySettings, QueryClass, RetryBudget};
 use crate::state::PartState;
 use crate::stats::SlidingWindow;
 
-/// The limits on retries, and what was received and retried lately.
+/// The limits on retries, with recent counts of queries, parts and retries.
 #[derive(Debug)]
 pub struct RetryLimiter {
     max_attempts: usize,
-    /// Retries are not limited by a budget where there is none.
+    /// Retry budget; `None` if retries are not limited by a budget.
     budget: Option<RetryBudget>,
-    /// How long entries are held.
+    /// Time for which the entries of the sliding windows are kept.
     window: Nanos,
     /// Queries and parts received.
     received: SlidingWindow<()>,
@@ -24,7 +26,7 @@
 }
 
 impl RetryLimiter {
-    /// A limiter before the first query.
+    /// Creates a limiter that has counted nothing.
     pub fn new(settings: &PolicySettings) -> RetryLimiter {
         let budget = settings.retry_budget.clone();
         let budget_window = budget.as_ref().map_or(0, |budget| budget.window);
@@ -47,31 +49,31 @@
         self.retries.push(now, ());
     }
 
-    /// Drops what no longer counts.
+    /// Drops the entries that are older than the window.
     pub fn expire(&mut self, now: Nanos) {
         let oldest = now.saturating_sub(self.window);
         self.received.expire(oldest);
         self.retries.expire(oldest);
     }
 
-    /// The number of queries and parts received lately.
+    /// Returns the number of queries and parts received within the window.
     pub fn recently_received(&self) -> usize {
         self.received.len()
     }
 
-    /// The number of retries and hedged requests sent lately.
+    /// Returns the number of retries and hedged requests sent within the window.
     pub fn recently_retried(&self) -> usize {
         self.retries.len()
     }
 
-    /// Whether one more attempt now is within the limit of attempts, and can't have the part
-    /// executed twice where that matters.
+    /// Returns whether one more attempt now is within the limit of attempts and does no harm if the
+    /// part is executed twice.
     pub fn may_repeat(&self, part: &PartState, class: &QueryClass, now: Nanos) -> bool {
         part.attempts.len() < self.max_attempts && part.is_safe_to_repeat(class, now)
     }
 
-    /// Whether a retry at `at` is within the budget. Classes with partial answers may use only a
-    /// share of it.
+    /// Returns whether a retry at the time `at` is within the budget. Classes with partial answers
+    /// may use only [`tuning::PARTIAL_BUDGET_SHARE`] of it.
     pub fn has_budget(&self, class: &QueryClass, at: Nanos) -> bool {
         let Some(budget) = &self.budget else {
             return true;
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -1,10 +1,11 @@
-//! Slow start: how many parts a replica that is warming up may be sent.
+//! Slow start: limits the parts that are sent to a replica that is warming up.
 //!
-//! Aim: the sum over all aggregators stays below what overloads such a replica. The aggregators do
-//! not communicate, so this holds in expectation and not as a hard limit. Each aggregator bases its
-//! allowance on the results that a replica returns to it on average; the number of parts sent would
-//! be no measure while all replicas warm up. Dozens of aggregators with one part each would still
-//! overload it, so an allowance is rounded up or down at random, anew in each overload window.
+//! The parts sent by all aggregators together should not overload such a replica. Aggregators do
+//! not coordinate, so this holds in expectation and is not a hard limit. Each aggregator derives
+//! its allowance from the mean number of results that a replica returns to it. The number of parts
+//! sent would not be usable for this while all replicas are warming up. Dozens of aggregators with
+//! one part each would still overload the replica, so each allowance is rounded up or down at
+//! random, again in each overload window.
 
 use super::context::Context;
 use super::tuning;
@@ -12,37 +13,37 @@
 use crate::state::{AttemptEnd, KnownReplicas, ReplicaRecord};
 use crate::stats::DecayingCounter;
 
-/// The limits that the operator states for a replica that is warming up.
+/// Capacity of a replica that is warming up, from the settings.
 #[derive(Clone, Copy, Debug)]
 struct WarmUpLimits {
-    /// Share of its capacity that a replica has when it starts.
+    /// Share of its full capacity that a replica has when it starts.
     initial_capacity: f64,
-    /// Multiple of its present capacity above which it fails.
+    /// Multiple of its current capacity above which the replica fails.
     overload_multiple: f64,
 }
 
-/// The results that replicas returned lately, and the allowance that follows from them.
+/// Counts results of replicas and derives the allowance of replicas that are warming up.
 #[derive(Debug)]
 pub struct SlowStart {
-    /// No allowance is needed where this is not stated.
+    /// `None` if the settings do not limit replicas that are warming up.
     limits: Option<WarmUpLimits>,
     warm_up_time: Nanos,
-    /// The window of the operator's limit.
+    /// Time over which a replica tolerates `overload_multiple`.
     overload_window: Nanos,
-    /// This aggregator's share of one part.
+    /// Share of one part, if all aggregators share it equally.
     fair_share: f64,
-    /// Nanoseconds over which results are counted.
+    /// Time over which results are counted, ns.
     memory: f64,
-    /// Distinguishes this process from others.
+    /// Seed of the random rounding, which differs between processes.
     seed: u64,
-    /// The time of the first batch; 0 before it.
+    /// Time of the first batch; 0 before it.
     started: Nanos,
-    /// Results returned to this aggregator, over `memory`.
+    /// Results returned to this aggregator, decaying over `memory`.
     results: DecayingCounter,
 }
 
 impl SlowStart {
-    /// Slow start before the first result.
+    /// Creates the state of a policy that has received no results.
     pub fn new(settings: &PolicySettings, seed: u64) -> SlowStart {
         let limits = settings.initial_capacity.zip(settings.overload_multiple);
         SlowStart {
@@ -60,21 +61,21 @@
         }
     }
 
-    /// Notes the time of the first batch.
-    pub fn start(&mut self, now: Nanos) {
+    /// Records the time of the first batch; later calls have no effect.
+    pub fn record_start(&mut self, now: Nanos) {
         if self.started == 0 {
             self.started = now;
         }
     }
 
-    /// Counts a result of any replica.
+    /// Counts the attempt if it ended with a result.
     pub fn on_attempt_end(&mut self, end: &AttemptEnd) {
         if end.is_success() {
             self.results.increment(end.ended, self.memory);
         }
     }
 
-    /// Whether the replica may be sent one more part now.
+    /// Returns whether the replica may be sent one more part now.
     pub fn has_allowance(&self, replica: &ReplicaRecord, context: &Context) -> bool {
         let Some(allowance) = self.allowance(replica, context) else {
             return true;
@@ -85,12 +86,14 @@
         (recent as f64) < allowance
     }
 
-    /// Parts sent to a replica before this no longer count.
+    /// Returns the start of the current overload window. Parts sent before it do not count against
+    /// the allowance.
     pub fn window_start(&self, now: Nanos) -> Nanos {
         now.saturating_sub(self.overload_window)
     }
 
-    /// The parts that a replica may be sent in any overload window; none where there is no limit.
+    /// Returns the number of parts that a replica may be sent in any overload window, or `None` if
+    /// there is no limit.
     fn allowance(&self, replica: &ReplicaRecord, context: &Context) -> Option<f64> {
         let limits = self.limits?;
         let age = context.now.saturating_sub(replica.started);
@@ -107,11 +110,11 @@
         Some((allowance.max(self.fair_share) + rounding).floor())
     }
 
-    /// The results that one replica returns to this aggregator in a window on average.
+    /// Returns the mean number of results that one replica returns to this aggregator in a window.
     fn mean_results(&self, now: Nanos, window: Nanos, replicas: &KnownReplicas) -> f64 {
         let ready = replicas.ready().count().max(1);
-        let running = (now - self.started).max(window) as f64;
-        let counted = self.memory.min(running);
-        self.results.value() / ready as f64 * window as f64 / counted
+        let uptime = (now - self.started).max(window) as f64;
+        let counted_time = self.memory.min(uptime);
+        self.results.value() / ready as f64 * window as f64 / counted_time
     }
 }
--- a/crates/policy/src/policy/timer.rs
+++ b/crates/policy/src/policy/timer.rs
@@ -1,9 +1,9 @@
-//! When the next batch without events runs.
+//! The timer, which runs a batch when no event arrives.
 
 use super::tuning;
 use crate::api::{Action, Nanos, PolicySettings};
 
-/// The timer of the policy. While a query is open it fires every period.
+/// The timer of a policy. While a query is open, it fires once per period.
 #[derive(Debug)]
 pub struct BatchTimer {
     period: Nanos,
@@ -11,26 +11,26 @@
 }
 
 impl BatchTimer {
-    /// A timer that is not set. `objective` is the shortest latency objective of a class, ns.
+    /// Creates a timer that is not set. `objective` is the shortest latency objective, ns.
     pub fn new(settings: &PolicySettings, objective: f64) -> BatchTimer {
-        let period = objective as Nanos / tuning::PERIODS_PER_OBJECTIVE;
+        let period = objective as Nanos / tuning::TIMER_PERIODS_PER_OBJECTIVE;
         BatchTimer {
             period: period.max(2 * settings.min_batch_interval).max(1),
             fires_at: None,
         }
     }
 
-    /// The time between two batches while a query is open.
+    /// Returns the time between two firings while a query is open.
     pub fn period(&self) -> Nanos {
         self.period
     }
 
-    /// A few periods before `at`, so that a batch runs before a time that must not be missed.
+    /// Returns a time a few periods before `at`, so that a batch runs between the two.
     pub fn safely_before(&self, at: Nanos) -> Nanos {
-        at.saturating_sub(tuning::SPARE_PERIODS * self.period)
+        at.saturating_sub(tuning::SPARE_TIMER_PERIODS * self.period)
     }
 
-    /// Sets the timer to fire at `at`. Returns no action where it fires by then already.
+    /// Sets the timer to fire at `at`. Returns `None` if it is already set to fire by then.
     pub fn set(&mut self, now: Nanos, at: Nanos) -> Option<Action> {
         let fires_by_then = |fires_at: Nanos| fires_at > now && fires_at <= at;
         if self.fires_at.is_some_and(fires_by_then) {
--- a/crates/policy/src/state/attempt.rs
+++ b/crates/policy/src/state/attempt.rs
@@ -1,23 +1,24 @@
-//! Attempts at parts: what their parts keep of them, those in flight, and their ends.
+//! Records of attempts: the history of a part, attempts in flight, and their ends.
 
 use super::ConnectionUse;
 use crate::api::{AttemptOutcome, Nanos, ReplicaId, RequestId};
 
-/// One attempt at a part, as its part keeps it.
+/// One attempt in the history of a part.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
-    /// The replica that it was sent to.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent: Nanos,
-    /// It has neither ended nor been cancelled.
+    /// Whether the attempt has neither ended nor been cancelled.
     pub is_in_flight: bool,
-    /// How it ended; none before its end, also if its cancellation was requested.
+    /// Outcome of the attempt; `None` until it ends. A cancelled attempt ends after the request to
+    /// cancel it.
     outcome: Option<AttemptOutcome>,
 }
 
 impl AttemptRecord {
-    /// An attempt that is sent now.
+    /// Creates the record of an attempt that is sent now.
     pub fn new(replica: ReplicaId, now: Nanos) -> AttemptRecord {
         AttemptRecord {
             replica,
@@ -33,45 +34,46 @@
         self.outcome = Some(outcome);
     }
 
-    /// Whether its connection was lost.
+    /// Returns whether the attempt failed because its connection was lost.
     pub fn is_connection_lost(&self) -> bool {
         self.outcome == Some(AttemptOutcome::ConnectionLost)
     }
 
-    /// Whether a saturated replica rejected it.
+    /// Returns whether a saturated replica rejected the attempt.
     pub fn is_rejected(&self) -> bool {
         self.outcome == Some(AttemptOutcome::Rejected)
     }
 
-    /// Whether the part may have been executed.
+    /// Returns whether the replica may have executed the part, which is assumed until the attempt
+    /// ends.
     pub fn may_be_executed(&self) -> bool {
         use AttemptOutcome::{NotSent, Rejected, Unreachable};
         !matches!(self.outcome, Some(Rejected | Unreachable | NotSent))
     }
 }
 
-/// Identifies an attempt: its part and its number, from 0 in the order sent.
+/// Identifies an attempt by its part and its position in the order sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
-    /// The part.
+    /// Part that is attempted.
     pub part: RequestId,
-    /// The number of the attempt.
+    /// Number of the attempt among those at the same part, from 0.
     pub number: u8,
 }
 
-/// An attempt that has not ended; it may outlive its query.
+/// An attempt that has not ended. It may outlive its query.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
-    /// The replica that it was sent to.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent: Nanos,
-    /// The connection that it was sent on.
+    /// Kind of connection that the attempt was sent on.
     pub connection: ConnectionUse,
 }
 
 impl InFlightAttempt {
-    /// An attempt that was sent then.
+    /// Creates the record of an attempt that was sent at the time `sent`.
     pub fn new(replica: ReplicaId, sent: Nanos, connection: ConnectionUse) -> InFlightAttempt {
         InFlightAttempt {
             replica,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The attempt's end.
+    /// Ends the attempt with this outcome at the time `now`.
     pub fn end(self, outcome: AttemptOutcome, now: Nanos) -> AttemptEnd {
         AttemptEnd {
             outcome,
@@ -92,39 +94,39 @@
     }
 }
 
-/// The end of an attempt or of a health check at a replica.
+/// The end of an attempt or of a health check.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The replica that it was sent to.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// The connection that it was sent on.
+    /// Kind of connection that the attempt was sent on.
     pub connection: ConnectionUse,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent: Nanos,
-    /// When it ended.
+    /// Time at which the attempt ended.
     pub ended: Nanos,
 }
 
 impl AttemptEnd {
-    /// The time from its start to its end, ns.
+    /// Returns the time from the start of the attempt to its end, ns.
     pub fn latency(&self) -> f64 {
         (self.ended - self.sent) as f64
     }
 
-    /// Whether a result was returned.
+    /// Returns whether the replica returned a result.
     pub fn is_success(&self) -> bool {
         self.outcome == AttemptOutcome::Success
     }
 
-    /// Whether the replica responded, with or without a result.
+    /// Returns whether the replica responded, with or without a result.
     pub fn is_response(&self) -> bool {
         use AttemptOutcome::{Error, Rejected, Success};
         matches!(self.outcome, Success | Error | Rejected)
     }
 
-    /// Whether the replica did not respond, or not in time.
+    /// Returns whether the replica failed to respond, or to respond in time.
     pub fn is_without_response(&self) -> bool {
         use AttemptOutcome::{ConnectionLost, TimedOut, Unreachable};
         matches!(self.outcome, Unreachable | ConnectionLost | TimedOut)
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! Records of replicas, queries, parts and attempts: data and its bookkeeping, no decisions. The
-//! decisions that change them are in `crate::policy`.
+//! Records of replicas, queries, parts and attempts. They only hold data and keep it consistent;
+//! `crate::policy` makes the decisions.
 
 mod attempt;
 mod open_queries;
--- a/crates/policy/src/state/open_queries.rs
+++ b/crates/policy/src/state/open_queries.rs
@@ -1,81 +1,85 @@
-//! The queries that have not ended.
+//! The collection of open queries, which are those that have not ended.
 
 use super::{PartState, QueryState};
 use crate::api::RequestId;
 use std::collections::BTreeMap;
 
-/// The open queries, found by their own identifier, their group or one of their parts.
+/// The open queries, indexed by identifier, by group and by part.
 #[derive(Debug, Default)]
 pub struct OpenQueries {
     queries: BTreeMap<RequestId, QueryState>,
-    groups: BTreeMap<u32, RequestId>,
-    owners: BTreeMap<RequestId, RequestId>,
+    /// Query of each group.
+    query_of_group: BTreeMap<u32, RequestId>,
+    /// Query of each part.
+    query_of_part: BTreeMap<RequestId, RequestId>,
 }
 
 impl OpenQueries {
     /// Adds a query that has been received.
     pub fn insert(&mut self, query: QueryState) {
-        self.groups.insert(query.group, query.id);
+        self.query_of_group.insert(query.group, query.id);
         self.queries.insert(query.id, query);
     }
 
-    /// Adds a part to the query of its group and returns that query's identifier.
+    /// Adds a part to the query of its group. Returns the query's identifier, or `None` if no query
+    /// is open in the group.
     pub fn insert_part(&mut self, group: u32, mut part: PartState) -> Option<RequestId> {
-        let owner = *self.groups.get(&group)?;
-        let query = self.queries.get_mut(&owner)?;
+        let query_id = *self.query_of_group.get(&group)?;
+        let query = self.queries.get_mut(&query_id)?;
         part.step = query.step;
-        self.owners.insert(part.id, owner);
+        self.query_of_part.insert(part.id, query_id);
         query.parts.push(part);
-        Some(owner)
+        Some(query_id)
     }
 
-    /// The part with this identifier.
+    /// Returns the part with this identifier if its query is open.
     pub fn part_mut(&mut self, id: RequestId) -> Option<&mut PartState> {
-        let query = self.queries.get_mut(self.owners.get(&id)?)?;
+        let query = self.queries.get_mut(self.query_of_part.get(&id)?)?;
         query.parts.iter_mut().find(|part| part.id == id)
     }
 
-    /// Removes a query to change it; see [`OpenQueries::put_back`]. Its group and parts stay known.
+    /// Takes a query out in order to change it. The indices of its group and parts remain until
+    /// [`OpenQueries::forget`] is called; [`OpenQueries::put_back`] returns the query.
     pub fn take(&mut self, id: RequestId) -> Option<QueryState> {
         self.queries.remove(&id)
     }
 
-    /// Puts a query back that was taken.
+    /// Puts back a query that was taken with [`OpenQueries::take`].
     pub fn put_back(&mut self, query: QueryState) {
         self.queries.insert(query.id, query);
     }
 
-    /// Forgets the group and the parts of a query that was taken.
+    /// Removes the indices of a query that was taken and has ended.
     pub fn forget(&mut self, query: &QueryState) {
-        self.groups.remove(&query.group);
+        self.query_of_group.remove(&query.group);
         for part in &query.parts {
-            self.owners.remove(&part.id);
+            self.query_of_part.remove(&part.id);
         }
     }
 
-    /// The identifiers of all queries, in order.
+    /// Returns the identifiers of all queries, in ascending order.
     pub fn ids(&self) -> Vec<RequestId> {
         self.queries.keys().copied().collect()
     }
 
-    /// Whether no query is open.
+    /// Returns whether no query is open.
     pub fn is_empty(&self) -> bool {
         self.queries.is_empty()
     }
 
-    /// The number of queries of a class, without those taken.
+    /// Returns the number of queries of a class, excluding a query that is currently taken.
     pub fn count_of_class(&self, class: usize) -> usize {
         let of_class = |query: &&QueryState| query.class == class;
         self.queries.values().filter(of_class).count()
     }
 
-    /// The number of parts of open queries.
+    /// Returns the number of parts of open queries.
     pub fn part_count(&self) -> usize {
-        self.owners.len()
+        self.query_of_part.len()
     }
 
-    /// The number of records held.
+    /// Returns the number of queries and index entries held.
     pub fn record_count(&self) -> usize {
-        self.queries.len() + self.groups.len() + self.owners.len()
+        self.queries.len() + self.query_of_group.len() + self.query_of_part.len()
     }
 }
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -1,42 +1,43 @@
-//! Parts of queries.
+//! The record of a part and its attempts.
 
 use super::AttemptRecord;
 use crate::api::{
     Action, AttemptOutcome, Idempotency, Nanos, PartReceived, QueryClass, ReplicaId, RequestId,
 };
 
-/// Which of several attempts in flight at one part was answered first.
+/// Which of several concurrent attempts at one part was answered first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RaceWinner {
-    /// The first.
+    /// The earliest attempt that was in flight.
     First,
-    /// A later one.
+    /// An attempt that was sent after the earliest one in flight.
     Later,
 }
 
 /// One part of a query.
 #[derive(Debug, Default)]
 pub struct PartState {
-    /// Its identifier.
+    /// Identifier of the part.
     pub id: RequestId,
-    /// The shard that it is about.
+    /// Shard that the part queries.
     pub shard: u32,
-    /// Its share of its step's weight.
+    /// Share of the weight of the step, at least 0.
     pub weight: f64,
-    /// The step that it belongs to, from 1.
+    /// Step of the query that the part belongs to, from 1.
     pub step: u8,
-    /// A result has been returned.
+    /// Whether a result has been returned.
     pub is_answered: bool,
-    /// It is left out of the answer.
+    /// Whether the part is left out of the answer on purpose.
     pub is_dropped: bool,
-    /// It has been counted in the overload signal.
+    /// Whether the part has been counted in the overload signal.
     pub is_counted: bool,
-    /// The attempts so far.
+    /// Attempts sent so far, in the order sent.
     pub attempts: Vec<AttemptRecord>,
 }
 
 impl PartState {
-    /// A part that has been received. A weight that is not a finite number counts as 0.
+    /// Creates the record of a part that has been received. A weight that is negative or not finite
+    /// counts as 0.
     pub fn new(received: &PartReceived) -> PartState {
         let weight = if received.weight.is_finite() {
             received.weight.max(0.0)
@@ -51,34 +52,34 @@
         }
     }
 
-    /// Whether an attempt has not ended.
+    /// Returns whether any attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
 
-    /// Whether an attempt at this replica has not ended.
+    /// Returns whether an attempt at this replica is in flight.
     pub fn is_in_flight_at(&self, replica: ReplicaId) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.is_in_flight && attempt.replica == replica)
     }
 
-    /// Whether an attempt was sent to this replica.
+    /// Returns whether any attempt was sent to this replica.
     pub fn was_sent_to(&self, replica: ReplicaId) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.replica == replica)
     }
 
-    /// The first attempt that may have been executed.
+    /// Returns the first attempt that may have been executed, if there is one.
     pub fn first_executed(&self) -> Option<&AttemptRecord> {
         self.attempts
             .iter()
             .find(|attempt| attempt.may_be_executed())
     }
 
-    /// Records how the attempt with this number ended. Returns the winner if it was answered first
-    /// of several attempts in flight.
+    /// Records the outcome of the attempt with this number. If this answers the part while other
+    /// attempts are in flight, returns which attempt won.
     pub fn end_attempt(&mut self, number: u8, outcome: AttemptOutcome) -> Option<RaceWinner> {
         let number = usize::from(number);
         if let Some(attempt) = self.attempts.get_mut(number) {
@@ -100,7 +101,7 @@
         Some(winner)
     }
 
-    /// Ends the attempts in flight and requests their cancellation, if that is allowed.
+    /// Marks all attempts as no longer in flight, and requests their cancellation if `allowed`.
     pub fn cancel_attempts(&mut self, allowed: bool, actions: &mut Vec<Action>) {
         let part = self.id;
         for (attempt, record) in (0..).zip(&mut self.attempts) {
@@ -111,15 +112,16 @@
         }
     }
 
-    /// Until when the leaf server drops a repeated attempt as a duplicate; none where no attempt
-    /// may have been executed or the class has no idempotency keys.
+    /// Returns the time until which the leaf server drops a repeated attempt as a duplicate, or
+    /// `None` if no attempt may have been executed or the class has no idempotency keys.
     pub fn idempotency_expiry(&self, class: &QueryClass) -> Option<Nanos> {
         let has_window = class.idempotency == Idempotency::IdempotentWithKey;
         let first = self.first_executed().filter(|_| has_window)?;
         Some(first.sent + class.idempotency_window)
     }
 
-    /// Whether one more attempt at `at` does no harm, even if an earlier one has been executed.
+    /// Returns whether one more attempt at the time `at` does no harm, even if an earlier one has
+    /// been executed.
     pub fn is_safe_to_repeat(&self, class: &QueryClass, at: Nanos) -> bool {
         match class.idempotency {
             Idempotency::Idempotent => true,
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Whether a saturated replica rejected it and no other answered.
+    /// Returns whether a saturated replica rejected an attempt and no replica answered the part.
     pub fn is_lost_to_saturation(&self) -> bool {
         !self.is_answered && self.attempts.iter().any(AttemptRecord::is_rejected)
     }
--- a/crates/policy/src/state/query.rs
+++ b/crates/policy/src/state/query.rs
@@ -1,71 +1,72 @@
-//! Queries: their times, their running step and their parts.
+//! The record of a query: its deadlines, its current step and its parts.
 
 use super::{AttemptRecord, PartState};
 use crate::api::{Action, Nanos, QueryClass, QueryReceived, ReplicaId, RequestId};
 use std::collections::BTreeSet;
 
-/// Rounding error of a sum of weights, in deciding whether an answer may be given.
+/// Tolerance for rounding errors when the weight answered is compared with a minimum.
 const ANSWERED_TOLERANCE: f64 = 1e-6;
-/// Rounding error of a sum of weights, in deciding whether a minimum can still be reached.
+/// Tolerance for rounding errors when the weight that can still be reached is compared with a
+/// minimum.
 pub const REACHABLE_TOLERANCE: f64 = 1e-4;
 
 /// A query that has not ended.
 #[derive(Debug, Default)]
 pub struct QueryState {
-    /// Its identifier.
+    /// Identifier of the query.
     pub id: RequestId,
-    /// Joins the query and its parts.
+    /// Group that the query shares with its parts.
     pub group: u32,
-    /// Index into the settings' classes.
+    /// Index into [`PolicySettings::classes`](crate::api::PolicySettings::classes).
     pub class: usize,
-    /// When it was received.
+    /// Time at which the query was received.
     pub arrived: Nanos,
-    /// Its latency objective, as a point in time; its deadline, if the objective had passed.
+    /// Time at which the latency objective ends; the deadline if the query arrived late.
     pub objective: Nanos,
-    /// When the client's timeout ends.
+    /// Time at which the client timeout ends.
     pub deadline: Nanos,
-    /// It is a retry by a client whose timeout is shorter than the latency objective.
+    /// Whether the query is a retry whose client timeout is shorter than the latency objective.
     pub has_short_timeout: bool,
-    /// The latency objective had passed when it was received.
+    /// Whether the latency objective had passed when the query was received.
     pub arrived_late: bool,
-    /// It has taken a permit of its class.
+    /// Whether the query holds a permit of its class.
     pub has_permit: bool,
-    /// The step that is running, from 1.
+    /// Current step, from 1.
     pub step: u8,
-    /// When that step started.
+    /// Time at which the current step started.
     pub step_started: Nanos,
-    /// The answers to earlier steps, if there are any, were complete.
+    /// Whether the answers to all earlier steps were complete; `true` in the first step.
     pub earlier_steps_complete: bool,
-    /// Its parts, in the order received.
+    /// Parts of all steps, in the order received.
     pub parts: Vec<PartState>,
 }
 
-/// Counts of the parts of the running step.
+/// Numbers of parts of the current step.
 #[derive(Clone, Copy, Debug)]
 pub struct StepCounts {
-    /// The parts that are not dropped.
+    /// Number of parts that are not dropped.
     pub wanted: usize,
-    /// Those of them that are answered.
+    /// Number of parts that are not dropped and are answered.
     pub answered: usize,
 }
 
-/// Sums over the parts of the running step; weights are shares of the step's weight.
+/// Sums over the parts of the current step. Weights are shares of the step's weight.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepSums {
-    /// The step has parts.
+    /// Whether the step has any parts.
     pub has_parts: bool,
-    /// All parts are answered.
+    /// Whether all parts are answered.
     pub all_answered: bool,
-    /// Weight of the parts answered.
+    /// Weight of the parts that are answered.
     pub answered_weight: f64,
-    /// Parts may still be answered.
+    /// Whether any part may still be answered.
     pub any_open: bool,
     /// Weight of the parts that may still be answered.
     pub open_weight: f64,
 }
 
 impl StepSums {
-    /// Whether the answer would be complete.
+    /// Returns whether an answer from the results so far would be complete.
     pub fn is_complete(&self, query: &QueryState, class: &QueryClass) -> bool {
         let answered_weight = self.answered_weight + ANSWERED_TOLERANCE;
         let has_threshold = answered_weight >= class.completeness_threshold;
@@ -74,15 +75,16 @@
         self.has_parts && (is_threshold_enough || are_all_complete)
     }
 
-    /// Whether an incomplete answer may be given.
+    /// Returns whether the results so far suffice for a partial answer.
     pub fn is_sufficient(&self, query: &QueryState, class: &QueryClass) -> bool {
         let minimum = class.minimum_of_step(query.step);
         let has_minimum = self.answered_weight + ANSWERED_TOLERANCE >= minimum;
         self.answered_weight > 0.0 && has_minimum
     }
 
-    /// Whether the minimum can't be reached any more.
-    pub fn is_out_of_reach(&self, query: &QueryState, class: &QueryClass) -> bool {
+    /// Returns whether the minimum weight of an answer can no longer be reached. This is `false`
+    /// while the step has no parts.
+    pub fn is_unreachable(&self, query: &QueryState, class: &QueryClass) -> bool {
         let minimum = class.minimum_of_step(query.step);
         let reachable = self.answered_weight + self.open_weight + REACHABLE_TOLERANCE;
         self.has_parts && (!self.any_open || reachable < minimum)
@@ -90,8 +92,8 @@
 }
 
 impl QueryState {
-    /// A query that is received now. Of its latency objective, `spent` has passed in earlier
-    /// attempts of its client.
+    /// Creates the record of a query that is received now. `spent` is the part of the latency
+    /// objective that the client has used for earlier attempts.
     pub fn new(
         received: &QueryReceived,
         class: &QueryClass,
@@ -123,27 +125,28 @@
         }
     }
 
-    /// Starts the second step.
+    /// Starts the second step, whose parts are received later.
     pub fn start_second_step(&mut self, now: Nanos, first_step_complete: bool) {
         self.step = 2;
         self.step_started = now;
         self.earlier_steps_complete = first_step_complete;
     }
 
-    /// Ends all attempts in flight; see [`PartState::cancel_attempts`].
+    /// Cancels the attempts in flight at all parts; see [`PartState::cancel_attempts`].
     pub fn cancel_attempts(&mut self, allowed: bool, actions: &mut Vec<Action>) {
         for part in &mut self.parts {
             part.cancel_attempts(allowed, actions);
         }
     }
 
-    /// Whether a retry by the client at `at` does no harm, even if parts have been executed.
+    /// Returns whether a retry by the client at the time `at` does no harm, even if parts have been
+    /// executed.
     pub fn is_safe_to_repeat(&self, class: &QueryClass, at: Nanos) -> bool {
         let mut parts = self.parts.iter();
         parts.all(|part| part.is_safe_to_repeat(class, at))
     }
 
-    /// The number of replicas at which attempts lost their connections.
+    /// Returns the number of replicas to which connections were lost during attempts of this query.
     pub fn replicas_with_lost_connections(&self) -> usize {
         let lost = self
             .attempts()
@@ -152,13 +155,14 @@
         replicas.len()
     }
 
-    /// Moves the deadline to an earlier time, and the latency objective with it.
+    /// Lowers the deadline to at most `deadline`, and the latency objective to at most the new
+    /// deadline.
     pub fn shorten_deadline(&mut self, deadline: Nanos) {
         self.deadline = self.deadline.min(deadline);
         self.objective = self.objective.min(self.deadline);
     }
 
-    /// Counts of the parts of the running step, without those dropped.
+    /// Counts the parts of the current step that are not dropped.
     pub fn step_counts(&self) -> StepCounts {
         let wanted = self.step_parts().filter(|part| !part.is_dropped);
         let answered = wanted.clone().filter(|part| part.is_answered);
@@ -168,8 +172,8 @@
         }
     }
 
-    /// Sums over the parts of the running step. `is_open` states whether a part without a result
-    /// may still be answered.
+    /// Sums up the parts of the current step. `is_open` returns whether a part without a result may
+    /// still be answered.
     pub fn step_sums(&self, is_open: impl Fn(&PartState) -> bool) -> StepSums {
         let answered = self.step_parts().filter(|part| part.is_answered);
         let wanted = self
@@ -186,7 +190,7 @@
         }
     }
 
-    /// The indices of its parts, lightest first.
+    /// Returns the indices of all parts, lightest first.
     pub fn lightest_first(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.parts.len()).collect();
         let weight = |index: &usize| self.parts[*index].weight;
@@ -194,12 +198,12 @@
         order
     }
 
-    /// The parts of the running step.
+    /// Returns the parts of the current step.
     pub fn step_parts(&self) -> impl Iterator<Item = &PartState> + Clone {
         self.parts.iter().filter(|part| part.step == self.step)
     }
 
-    /// All attempts at its parts.
+    /// Returns the attempts at all parts.
     pub fn attempts(&self) -> impl Iterator<Item = &AttemptRecord> {
         self.parts.iter().flat_map(|part| &part.attempts)
     }
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas: their state on the endpoint list and what has been measured.
+//! Records of replicas: their state on the endpoint list and their measurements.
 
 use crate::api::{
     EndpointUpdateKind, Nanos, PolicySettings, ReplicaEntry, ReplicaId, ReplicaState,
@@ -6,74 +6,76 @@
 use crate::stats::{blend, Ewma, SlidingWindow};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How the connection of an attempt was used before the attempt.
+/// Use of an attempt's connection before the attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// Used recently, or its use is not known.
+    /// The connection was used recently, or its use is unknown.
     #[default]
     RecentlyUsed,
-    /// Without use for long: a device on the path may have dropped it without notice.
+    /// The connection was idle for long. A device on the network path may have dropped it without
+    /// notice.
     LongIdle,
-    /// Newly opened in place of one without use for long.
+    /// The connection is new and replaces a long-idle one.
     Renewed,
 }
 
-/// A replica as this aggregator knows it.
+/// A replica, with the measurements of this aggregator.
 #[derive(Debug, Default)]
 pub struct ReplicaRecord {
-    /// Its identifier.
+    /// Identifier of the replica.
     pub id: ReplicaId,
-    /// Its placement cell.
+    /// Placement cell of the replica.
     pub cell: u16,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: u16,
-    /// When it last started; 0 means long ago.
+    /// Time of the last start; 0 if the replica started long ago.
     pub started: Nanos,
-    /// Its state on the endpoint list.
+    /// State on the endpoint list.
     pub state: ReplicaState,
-    /// Smoothed latency, ns; none before the first measurement.
+    /// Smoothed latency, ns; `None` before the first measurement.
     pub latency: Option<f64>,
-    /// When `latency` last changed.
+    /// Time at which `latency` last changed.
     pub latency_updated: Nanos,
-    /// When it last responded in any way; 0 before the first response.
+    /// Time of the last response of any kind; 0 before the first one.
     pub last_response: Nanos,
-    /// Smoothed time between two results while it had work of ours, ns.
+    /// Smoothed time between two results while calls of this aggregator were in flight, ns.
     pub result_interval: Ewma,
-    /// When the last result was received.
+    /// Time of the last result; 0 before the first one.
     pub last_result: Nanos,
-    /// The connection of the last attempt.
+    /// Kind of connection that the last call was sent on.
     pub connection: ConnectionUse,
-    /// The connections of the attempts lost since its last response.
+    /// Kinds of connections of the attempts lost since the last response.
     pub lost_connections: Vec<ConnectionUse>,
-    /// The calls of this aggregator that are in flight.
+    /// Calls of this aggregator that are in flight.
     pub outstanding: OutstandingCalls,
-    /// Ejections since its last response.
+    /// Number of ejections since the last response.
     pub consecutive_failures: u32,
-    /// It has been ejected and has not responded since.
+    /// Whether the replica has been ejected and has not responded since.
     pub is_outlier: bool,
-    /// Other replicas are preferred until then, since it is ejected.
+    /// End of the current ejection, until which other replicas are preferred.
     pub ejected_until: Nanos,
-    /// Other replicas are preferred until then, since it rejected a part.
+    /// Time until which other replicas are preferred because this one rejected a part.
     pub saturated_until: Nanos,
-    /// Parts sent to it in the last overload window.
+    /// Parts sent to the replica in the last overload window.
     pub recent_parts: SlidingWindow<()>,
 }
 
 impl ReplicaRecord {
-    /// How long the oldest call in flight has been without any response of the replica; 0 without a
-    /// call.
+    /// Returns how long the oldest call in flight has been waiting without any response of the
+    /// replica, or 0 if no call is in flight.
     pub fn time_without_response(&self, now: Nanos) -> Nanos {
         let oldest = self.outstanding.oldest();
         oldest.map_or(0, |sent| now - sent.max(self.last_response))
     }
 
-    /// The number of calls in flight; see [`OutstandingCalls::count`].
+    /// Returns the number of calls in flight; see [`OutstandingCalls::count`].
     pub fn open_calls(&self, now: Nanos, max_parts: u32) -> f64 {
         f64::from(self.outstanding.count(now, max_parts))
     }
 
-    /// The expected time until one more part is answered, ns: the parts in flight times the time
-    /// between two results. Without a result, that time fades over `fade_time`, ns.
+    /// Returns the expected time until one more part is answered, ns. This is the number of parts
+    /// in flight, that part included, times the interval between results. While no result arrives,
+    /// the interval fades over `fade_time`, ns.
     pub fn expected_wait(&self, now: Nanos, fade_time: f64) -> f64 {
         let since_result = now.saturating_sub(self.last_result) as f64;
         let fading = (-(since_result / fade_time)).exp();
@@ -82,19 +84,20 @@
         queued.max(self.time_without_response(now) as f64)
     }
 
-    /// When it last responded or was measured.
+    /// Returns the time of the last response or latency measurement.
     pub fn last_activity(&self) -> Nanos {
         self.last_response.max(self.latency_updated)
     }
 
-    /// Records that a part is sent now; parts sent before `oldest` are no longer recent.
+    /// Records a part that is sent now. Parts sent before `oldest` are no longer recent.
     pub fn record_part(&mut self, now: Nanos, oldest: Nanos) {
         self.outstanding.add_part(now);
         self.recent_parts.push(now, ());
         self.recent_parts.expire(oldest);
     }
 
-    /// Records a result of a call that was sent then.
+    /// Records a result of a call that was sent at the time `sent`. `weight` is the weight of the
+    /// new interval in the average.
     pub fn record_result(&mut self, sent: Nanos, now: Nanos, weight: f64) {
         let oldest = self.outstanding.oldest().unwrap_or(sent);
         let interval = (now - self.last_result.max(oldest)) as f64;
@@ -102,7 +105,7 @@
         self.last_result = now;
     }
 
-    /// Records a sample of the latency, which was `smoothed` so far.
+    /// Records a latency sample. `smoothed` is the smoothed latency before it.
     pub fn record_latency(&mut self, now: Nanos, smoothed: f64, sample: f64, weight: f64) {
         self.latency = Some(blend(smoothed, sample, weight));
         self.latency_updated = now;
@@ -118,14 +121,14 @@
         std::mem::take(&mut self.lost_connections)
     }
 
-    /// Records that it did not respond and is ejected.
+    /// Ejects the replica until the time `until`.
     pub fn eject(&mut self, until: Nanos) {
         self.consecutive_failures += 1;
         self.is_outlier = true;
         self.ejected_until = until;
     }
 
-    /// Forgets what was measured before a restart.
+    /// Resets the measurements that were made before a restart.
     fn restart(&mut self, started: Nanos) {
         self.started = started;
         self.latency = None;
@@ -135,54 +138,56 @@
     }
 }
 
-/// The calls to one replica that are in flight, by the time each was sent, with the number of its
-/// parts without a result.
+/// The calls to one replica that are in flight.
 #[derive(Debug, Default)]
 pub struct OutstandingCalls {
-    calls: BTreeMap<Nanos, u32>,
+    /// Number of parts in flight, by the time at which they were sent.
+    parts_by_send_time: BTreeMap<Nanos, u32>,
 }
 
 impl OutstandingCalls {
     /// Adds a part to the call that is sent now.
     pub fn add_part(&mut self, now: Nanos) {
-        *self.calls.entry(now).or_insert(0) += 1;
+        *self.parts_by_send_time.entry(now).or_insert(0) += 1;
     }
 
-    /// Removes a part of the call that was sent then.
+    /// Removes a part of the call that was sent at the time `sent`.
     pub fn remove_part(&mut self, sent: Nanos) {
-        let Some(parts) = self.calls.get_mut(&sent) else {
+        let Some(parts) = self.parts_by_send_time.get_mut(&sent) else {
             return;
         };
         *parts -= 1;
         if *parts == 0 {
-            self.calls.remove(&sent);
+            self.parts_by_send_time.remove(&sent);
         }
     }
 
-    /// Whether no call is in flight.
+    /// Returns whether no call is in flight.
     pub fn is_empty(&self) -> bool {
-        self.calls.is_empty()
+        self.parts_by_send_time.is_empty()
     }
 
-    /// Whether a call is sent now.
+    /// Returns whether a call is sent at the time `now`.
     pub fn has_call_of(&self, now: Nanos) -> bool {
-        self.calls.contains_key(&now)
+        self.parts_by_send_time.contains_key(&now)
     }
 
-    /// When the oldest call was sent.
+    /// Returns the time at which the oldest call was sent, or `None` if no call is in flight.
     pub fn oldest(&self) -> Option<Nanos> {
-        self.calls.first_key_value().map(|(sent, _)| *sent)
+        self.parts_by_send_time
+            .first_key_value()
+            .map(|(sent, _)| *sent)
     }
 
-    /// The number of parts in flight.
+    /// Returns the number of parts in flight.
     pub fn parts(&self) -> u32 {
-        self.calls.values().sum()
+        self.parts_by_send_time.values().sum()
     }
 
-    /// The number of calls in flight, where a call has at most `max_parts` parts. A call that is
-    /// sent now and can take one more part is not counted.
+    /// Returns the number of calls in flight if each call has at most `max_parts` parts. A call
+    /// that is sent at the time `now` and can take one more part is not counted.
     pub fn count(&self, now: Nanos, max_parts: u32) -> u32 {
-        let calls = self.calls.iter().map(|(sent, parts)| {
+        let calls = self.parts_by_send_time.iter().map(|(sent, parts)| {
             if *sent == now {
                 parts / max_parts
             } else {
@@ -193,35 +198,35 @@
     }
 }
 
-/// All replicas that are known.
+/// All replicas that are on the endpoint list, or were and are still tracked.
 #[derive(Debug, Default)]
 pub struct KnownReplicas {
     replicas: BTreeMap<ReplicaId, ReplicaRecord>,
 }
 
 impl KnownReplicas {
-    /// The number of replicas known, those gone included.
+    /// Returns the number of replicas, including those that are gone.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// A replica by its identifier.
+    /// Returns the replica with this identifier.
     pub fn get(&self, id: ReplicaId) -> Option<&ReplicaRecord> {
         self.replicas.get(&id)
     }
 
-    /// A replica by its identifier, to change it.
+    /// Returns the replica with this identifier, mutably.
     pub fn get_mut(&mut self, id: ReplicaId) -> Option<&mut ReplicaRecord> {
         self.replicas.get_mut(&id)
     }
 
-    /// The replicas that are ready, in order of their identifiers.
+    /// Returns the replicas that are ready, in the order of their identifiers.
     pub fn ready(&self) -> impl Iterator<Item = &ReplicaRecord> {
         let replicas = self.replicas.values();
         replicas.filter(|replica| replica.state == ReplicaState::Ready)
     }
 
-    /// The ready replicas that hold a shard, by the placement that the settings state.
+    /// Returns the ready replicas that hold a shard according to the placement in the settings.
     pub fn holders(
         &self,
         settings: &PolicySettings,
@@ -233,13 +238,13 @@
             .filter(move |replica| distance(replica.cell) < per_shard)
     }
 
-    /// Applies an update of the endpoint list. The measurements of a replica that has restarted are
-    /// reset.
+    /// Applies an update of the endpoint list. Resets the measurements of replicas that have
+    /// restarted.
     pub fn apply(&mut self, kind: EndpointUpdateKind, entries: &[ReplicaEntry]) {
         if kind != EndpointUpdateKind::Delta {
-            let on_list: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.replica).collect();
+            let listed: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.replica).collect();
             for (id, replica) in &mut self.replicas {
-                if !on_list.contains(id) {
+                if !listed.contains(id) {
                     replica.state = ReplicaState::Gone;
                 }
             }
@@ -260,8 +265,8 @@
         }
     }
 
-    /// Forgets the replicas that are gone, have no call of this aggregator in flight, and whose
-    /// measurements are not newer than `oldest`.
+    /// Removes the replicas that are gone, have no call in flight, and whose latency was last
+    /// measured at the time `oldest` or before.
     pub fn forget_gone(&mut self, oldest: Nanos) {
         self.replicas.retain(|_, replica| {
             replica.state != ReplicaState::Gone
--- a/crates/policy/src/stats.rs
+++ b/crates/policy/src/stats.rs
@@ -1,21 +1,22 @@
-//! Generic statistics: averages, windows, counters and a token bucket. Weights, lengths and limits
-//! are the caller's.
+//! Generic statistics: averages, windows, counters and a token bucket. The caller provides all
+//! weights, lengths and limits.
 
 use crate::api::Nanos;
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// Moves `old` towards `sample` by this share of the way.
+/// Returns the weighted mean of `old` and `sample`, in which `sample` has the weight `weight`, from
+/// 0 to 1.
 pub fn blend(old: f64, sample: f64, weight: f64) -> f64 {
     old + weight * (sample - old)
 }
 
-/// `base`, doubled for each failure in a row, and `max` at most.
+/// Returns `base`, doubled for each consecutive failure and limited to `max`.
 pub fn exponential_backoff(base: f64, max: f64, failures: u32) -> f64 {
     (base * f64::from(1u32 << failures.min(16))).min(max)
 }
 
-/// A random number in the range.
+/// Returns a uniformly distributed random number in `range`.
 pub fn uniform(random: &mut fastrand::Rng, range: Range<f64>) -> f64 {
     range.start + (range.end - range.start) * random.f64()
 }
@@ -27,13 +28,13 @@
 }
 
 impl Ewma {
-    /// The average; none before the first sample.
+    /// Returns the average, or `None` before the first sample.
     pub fn value(&self) -> Option<f64> {
         self.value
     }
 
-    /// Adds a sample, which counts by `weight`, and returns the average. A first sample is the
-    /// average.
+    /// Adds a sample with this weight, from 0 to 1, and returns the new average. The average starts
+    /// at the first sample.
     pub fn add(&mut self, sample: f64, weight: f64) -> f64 {
         let average = blend(self.value.unwrap_or(sample), sample, weight);
         self.value = Some(average);
@@ -41,7 +42,7 @@
     }
 }
 
-/// A moving average and the moving average of the deviation from it.
+/// A moving average, and the moving average of the absolute deviation from it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MeanDeviation {
     mean: Ewma,
@@ -49,17 +50,17 @@
 }
 
 impl MeanDeviation {
-    /// The mean; none before the first sample.
+    /// Returns the mean, or `None` before the first sample.
     pub fn mean(&self) -> Option<f64> {
         self.mean.value()
     }
 
-    /// The mean deviation.
+    /// Returns the mean absolute deviation.
     pub fn deviation(&self) -> f64 {
         self.deviation
     }
 
-    /// Adds a sample, which counts by `weight`.
+    /// Adds a sample with this weight, from 0 to 1.
     pub fn add(&mut self, sample: f64, weight: f64) {
         let mean = self.mean.value().unwrap_or(sample);
         self.deviation = blend(self.deviation, (sample - mean).abs(), weight);
@@ -67,7 +68,7 @@
     }
 }
 
-/// Values with the time of each, in order of time, of which old ones are dropped.
+/// Values with their times, in the order of time. Old values expire.
 #[derive(Clone, Debug)]
 pub struct SlidingWindow<T> {
     entries: VecDeque<(Nanos, T)>,
@@ -82,29 +83,29 @@
 }
 
 impl<T> SlidingWindow<T> {
-    /// Adds a value; `at` is not before that of the last one.
+    /// Adds a value. `at` must not be earlier than the time of the last value.
     pub fn push(&mut self, at: Nanos, value: T) {
         self.entries.push_back((at, value));
     }
 
-    /// Drops what is older than `oldest`.
+    /// Removes the values from before `oldest`.
     pub fn expire(&mut self, oldest: Nanos) {
         while self.entries.front().is_some_and(|(at, _)| *at < oldest) {
             self.entries.pop_front();
         }
     }
 
-    /// The number of values held.
+    /// Returns the number of values that have not expired.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The number of values at or after `since`.
+    /// Returns the number of values at or after `since`.
     pub fn count_since(&self, since: Nanos) -> usize {
         self.entries.iter().filter(|(at, _)| *at >= since).count()
     }
 
-    /// The number of values that meet the condition.
+    /// Returns the number of values that meet the condition.
     pub fn count_where(&self, condition: impl Fn(&T) -> bool) -> usize {
         self.entries
             .iter()
@@ -113,7 +114,7 @@
     }
 }
 
-/// A count in which each unit decays exponentially.
+/// A counter whose value decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCounter {
     value: f64,
@@ -121,12 +122,12 @@
 }
 
 impl DecayingCounter {
-    /// The count as of the last increment.
+    /// Returns the value as of the last increment.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Counts one more; after `memory` nanoseconds, a unit counts 1 / e.
+    /// Adds one. The value decays to 1 / e of itself in `memory` nanoseconds.
     pub fn increment(&mut self, now: Nanos, memory: f64) {
         let remaining = (-((now - self.updated) as f64) / memory).exp();
         self.value = self.value * remaining + 1.0;
@@ -134,7 +135,7 @@
     }
 }
 
-/// A count of tokens. An empty bucket refills slowly, up to one token.
+/// A token bucket that refills up to one token. Further tokens are added by the caller.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -142,7 +143,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket with so many tokens.
+    /// Creates a bucket with this number of tokens.
     pub fn new(now: Nanos, tokens: f64) -> TokenBucket {
         TokenBucket {
             tokens,
@@ -150,7 +151,7 @@
         }
     }
 
-    /// The tokens in the bucket.
+    /// Returns the number of tokens in the bucket.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
@@ -160,8 +161,8 @@
         self.tokens = tokens.max(0.0);
     }
 
-    /// Takes one token, if there is at least one. A bucket with less than one gains one in
-    /// `refill_time` nanoseconds.
+    /// Takes one token if there is one, and returns whether it did. A bucket with less than one
+    /// token refills at a rate of one token per `refill_time` nanoseconds.
     pub fn try_take(&mut self, now: Nanos, refill_time: f64) -> bool {
         let refilled = self.tokens + (now - self.refilled) as f64 / refill_time;
         self.tokens = self.tokens.max(refilled.min(1.0));
@@ -174,7 +175,7 @@
     }
 }
 
-/// The majority value of a stream of values, by the Boyer-Moore vote.
+/// The majority value of a stream of values, by the Boyer-Moore majority vote.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MajorityVote {
     candidate: u64,
@@ -182,13 +183,13 @@
 }
 
 impl MajorityVote {
-    /// The value that leads; none while no value does.
+    /// Returns the leading value, or `None` while no value leads.
     pub fn leader(&self) -> Option<u64> {
         (self.lead > 0).then_some(self.candidate)
     }
 
-    /// Counts a value for the leader, if the two `agree`, or against it. The lead is `max_lead` at
-    /// most, so that a change of the majority has effect soon.
+    /// Counts a value for the leading value if the two `agree`, and against it otherwise. The lead
+    /// is limited to `max_lead`, so that a change of the majority takes effect soon.
     pub fn vote(&mut self, value: u64, max_lead: u32, agree: impl Fn(u64, u64) -> bool) {
         if self.lead == 0 {
             *self = MajorityVote {
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: rejections under overload, the permits of a class, and clients with short timeouts.
+//! Tests of admission: rejections under overload, permits, and clients with short timeouts.
 
 mod support;
 
@@ -15,8 +15,8 @@
 fn a_query_that_cannot_meet_its_objective_is_rejected_with_retry_after() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 1);
     harness.serve_query(0, 300);
-    for i in 0..20 {
-        harness.query(400 + i, 0, &[1.0]);
+    for offset_ms in 0..20 {
+        harness.query(400 + offset_ms, 0, &[1.0]);
     }
     let (query, actions) = harness.query(450, 0, &[1.0]);
     assert!(actions.contains(&Action::Reject {
@@ -43,10 +43,10 @@
             },
         ],
     );
-    let hot = harness.query(0, 0, &[1.0]).0;
-    harness.end_attempt(300, hot + 1, 0, ReplicaId(1), AttemptOutcome::Success);
-    for i in 0..20 {
-        harness.query(400 + i, 0, &[1.0]);
+    let first = harness.query(0, 0, &[1.0]).0;
+    harness.end_attempt(300, first + 1, 0, ReplicaId(1), AttemptOutcome::Success);
+    for offset_ms in 0..20 {
+        harness.query(400 + offset_ms, 0, &[1.0]);
     }
     let (id, actions) = harness.query(450, 0, &[0.4, 0.6]);
     assert_eq!(sent_attempts(&actions), [(id + 2, ReplicaId(2))]);
@@ -73,29 +73,30 @@
     let answered = harness.run_timers(10, 1850);
     assert!(
         final_actions(&answered).is_empty(),
-        "no query ends before its objective"
+        "expected no query to end before its objective"
     );
 }
 
-/// One tenant's clients time out early and retry at once. Another tenant's queries do not count as
-/// retries for that.
+/// Clients of one tenant have short timeouts and retry at once. Queries with longer timeouts, such
+/// as those of another tenant, must not count as retries because of that. First attempts with short
+/// timeouts must not count as retries either.
 #[test]
-fn one_tenants_short_timeouts_do_not_affect_anothers() {
+fn short_timeouts_of_some_clients_do_not_affect_first_attempts() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
     for i in 0..10 {
         harness.query_with_timeout(i * 10, 0, &[1.0], 800 * MS);
     }
-    let (_, sound) = harness.query_with_timeout(200, 0, &[1.0], 6000 * MS);
-    assert!(!final_actions(&sound).contains(&"rejected"));
+    let (_, long) = harness.query_with_timeout(200, 0, &[1.0], 6000 * MS);
+    assert!(!final_actions(&long).contains(&"rejected"));
     let (_, short) = harness.query_with_timeout(210, 0, &[1.0], 700 * MS);
     assert!(
         !final_actions(&short).contains(&"rejected"),
-        "a first attempt has spent none of its time"
+        "expected a first attempt to have its whole objective left"
     );
 }
 
-/// Clients that time out before a part is answered on average and retry at once: their work would
-/// only delay other queries.
+/// The timeout of these clients is shorter than the mean latency, and they retry at once. Work on
+/// their queries would only delay other queries.
 #[test]
 fn a_client_with_less_time_than_the_mean_latency_is_rejected() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
@@ -104,23 +105,23 @@
     }
     let (_, short) = harness.query_with_timeout(10_000, 0, &[1.0], 300 * MS);
     assert_eq!(final_actions(&short), ["rejected"]);
-    let (_, patient) = harness.query_with_timeout(10_010, 0, &[1.0], 600 * MS);
-    assert_eq!(sent_attempts(&patient).len(), 1);
+    let (_, long) = harness.query_with_timeout(10_010, 0, &[1.0], 600 * MS);
+    assert_eq!(sent_attempts(&long).len(), 1);
 }
 
 /// With few queries, an overload that was measured seconds ago must not cause rejections now.
 #[test]
-fn a_past_overload_rejects_nothing() {
+fn a_past_overload_causes_no_rejection() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 1);
     harness.serve_query(0, 1500);
-    let (_, at_once) = harness.query(1510, 0, &[1.0]);
-    assert_eq!(final_actions(&at_once), ["rejected"]);
+    let (_, during) = harness.query(1510, 0, &[1.0]);
+    assert_eq!(final_actions(&during), ["rejected"]);
     let (_, later) = harness.query(6000, 0, &[1.0]);
     assert_eq!(sent_attempts(&later).len(), 1);
 }
 
-/// Many retries whose client timeout ends before the objective: they have no more time than the
-/// attempt that failed.
+/// A retry whose client timeout ends before the objective has no more time than the attempt that
+/// failed.
 #[test]
 fn a_retry_is_rejected_only_if_its_timeout_is_short() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
@@ -130,22 +131,23 @@
     assert!(sent_attempts(&short).is_empty() && final_actions(&short).contains(&"rejected"));
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
     harness.send_query(0, 0, &[1.0], 2500 * MS, false);
-    let (_, patient) = harness.send_query(910, 0, &[1.0], 2500 * MS, true);
-    assert!(!final_actions(&patient).contains(&"rejected"));
+    let (_, long) = harness.send_query(910, 0, &[1.0], 2500 * MS, true);
+    assert!(!final_actions(&long).contains(&"rejected"));
 }
 
-/// Sends twenty queries a second of three parts, each of which ends after 10 ms, the first part of
-/// a query with the outcome `first`. Returns the number of queries admitted in each second.
+/// Sends twenty queries per second with three parts each. Each attempt ends after 10 ms: at the
+/// first part of a query with `first_part_outcome`, at other parts with success. Returns the number
+/// of queries admitted in each second.
 fn admitted_by_second(
     harness: &mut PolicyHarness,
     seconds: std::ops::Range<u64>,
-    first: AttemptOutcome,
+    first_part_outcome: AttemptOutcome,
 ) -> Vec<usize> {
     let mut admitted = Vec::new();
     for second in seconds {
         let mut count = 0;
-        for i in 0..20 {
-            let ms = second * 1000 + i * 50;
+        for index in 0..20 {
+            let ms = second * 1000 + index * 50;
             let (id, mut actions) = harness.query(ms, 0, &[0.4, 0.3, 0.3]);
             count += usize::from(!sent_attempts(&actions).is_empty());
             let mut attempts = std::collections::BTreeMap::new();
@@ -157,7 +159,7 @@
                         *attempt,
                         replica,
                         if part == id + 1 {
-                            first
+                            first_part_outcome
                         } else {
                             AttemptOutcome::Success
                         },
@@ -173,51 +175,62 @@
     admitted
 }
 
-/// A query that loses one part to saturated replicas has its other parts executed for nothing.
-/// Without a limit, the queries of an overload would keep each other from being answered.
+/// If a query loses one part to saturated replicas, the work on its other parts is wasted. Without
+/// a limit on admission, queries would prevent each other from being answered during an overload.
 #[test]
 fn queries_lost_to_saturated_replicas_limit_admission_until_some_succeed() {
-    let quick = PolicySettings {
+    let limited = PolicySettings {
         max_attempts: Some(2),
         ..settings(vec![class(400, 1.0)])
     };
-    let mut harness = PolicyHarness::new(quick.clone(), 3);
+    let mut harness = PolicyHarness::new(limited.clone(), 3);
     assert_eq!(
         admitted_by_second(&mut harness, 0..3, AttemptOutcome::Success),
         [20; 3]
     );
-    let full = admitted_by_second(&mut harness, 3..15, AttemptOutcome::Rejected);
-    assert!(full[1..].iter().sum::<usize>() <= 12, "{full:?}");
+    let overloaded = admitted_by_second(&mut harness, 3..15, AttemptOutcome::Rejected);
+    assert!(
+        overloaded[1..].iter().sum::<usize>() <= 12,
+        "expected at most 12 queries admitted after the first second: {overloaded:?}"
+    );
     assert!(
-        full.windows(4).all(|four| four.iter().sum::<usize>() > 0),
-        "some queries are admitted at all times: {full:?}"
+        overloaded
+            .windows(4)
+            .all(|four| four.iter().sum::<usize>() > 0),
+        "expected some queries to be admitted in any 4 s: {overloaded:?}"
     );
     let after = admitted_by_second(&mut harness, 15..25, AttemptOutcome::Success);
-    assert_eq!(after[9], 20, "{after:?}");
-    // The loss of a query to an unreachable replica is no sign of load on the others.
-    let mut harness = PolicyHarness::new(quick, 3);
-    let dead = admitted_by_second(&mut harness, 0..5, AttemptOutcome::Unreachable);
-    assert!(dead.iter().sum::<usize>() > 50, "{dead:?}");
+    assert_eq!(
+        after[9], 20,
+        "expected no limit 10 s after the overload: {after:?}"
+    );
+    // A query lost to an unreachable replica does not indicate load on the others.
+    let mut harness = PolicyHarness::new(limited, 3);
+    let unreachable = admitted_by_second(&mut harness, 0..5, AttemptOutcome::Unreachable);
+    assert!(
+        unreachable.iter().sum::<usize>() > 50,
+        "expected more than 50 queries admitted: {unreachable:?}"
+    );
 }
 
-/// A part, cancelled or not, waits at a saturated replica until its attempt times out. In an
-/// overload that is at the objective.
+/// A part waits at a saturated replica until its attempt times out, even if it is cancelled. While
+/// permits limit the class, attempts time out at the objective.
 #[test]
 fn no_part_waits_past_the_objective_while_permits_are_short() {
-    let late = QueryClass {
+    let with_late_value = QueryClass {
         late_value: 0.3,
         ..class(400, 1.0)
     };
     let mut harness = PolicyHarness::new(
         PolicySettings {
             max_attempts: Some(2),
-            ..settings(vec![late])
+            ..settings(vec![with_late_value])
         },
         3,
     );
-    let until = |actions: &[Action]| {
-        actions.iter().find_map(|a| {
-            if let Action::SendAttempt { times_out_at, .. } = a {
+    let first_timeout = |actions: &[Action]| {
+        actions.iter().find_map(|action| {
+            if let Action::SendAttempt { times_out_at, .. } = action {
                 Some(*times_out_at)
             } else {
                 None
@@ -226,29 +239,29 @@
     };
     let (_, actions) = harness.query(0, 0, &[0.4, 0.3, 0.3]);
     assert_eq!(
-        until(&actions),
+        first_timeout(&actions),
         Some(START + 6000 * MS),
-        "until its client's timeout"
+        "expected a time-out at the end of the client timeout"
     );
     harness.handle_at(
         10,
         &all_attempts_ended(&sent_attempts(&actions), AttemptOutcome::Success),
     );
     admitted_by_second(&mut harness, 1..3, AttemptOutcome::Rejected);
-    let mut polled = (3000..9000)
+    let mut queries = (3000..9000)
         .step_by(50)
         .map(|ms| (ms, harness.query(ms, 0, &[0.4, 0.3, 0.3]).1));
-    let (ms, actions) = polled
+    let (ms, actions) = queries
         .find(|(_, actions)| !sent_attempts(actions).is_empty())
         .unwrap();
     assert_eq!(
-        until(&actions),
+        first_timeout(&actions),
         Some(START + (ms + 400) * MS),
-        "until its objective"
+        "expected a time-out at the latency objective"
     );
 }
 
-/// The time left is compared with the mean latency: a few slow answers cause no rejection.
+/// The time left is compared with the mean latency, so a few slow answers cause no rejection.
 #[test]
 fn a_query_with_time_for_a_mean_answer_is_not_rejected() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 4);
--- a/crates/policy/tests/completion.rs
+++ b/crates/policy/tests/completion.rs
@@ -1,4 +1,5 @@
-//! Completion: one end for each query, its coverage, and queries that are rejected at once.
+//! Tests of completion: each query ends once, answers have minimum coverage, and queries that
+//! cannot be answered are rejected at once.
 
 mod support;
 
@@ -14,12 +15,12 @@
 fn same_events_give_the_same_actions() {
     let run_scenario = || {
         let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5)]), 5);
-        let mut all = Vec::new();
-        for i in 0..20 {
-            all.extend(harness.query(i * 30, 0, &[0.4, 0.3, 0.3]).1);
+        let mut actions = Vec::new();
+        for index in 0..20 {
+            actions.extend(harness.query(index * 30, 0, &[0.4, 0.3, 0.3]).1);
         }
-        all.extend(harness.run_timers(600, 2500));
-        all
+        actions.extend(harness.run_timers(600, 2500));
+        actions
     };
     assert_eq!(run_scenario(), run_scenario());
 }
@@ -27,9 +28,9 @@
 #[test]
 fn every_query_ends_once_and_before_the_deadline() {
     for late_value in [0.0, 0.3] {
-        let mut kind = class(2000, 1.0);
-        kind.late_value = late_value;
-        let mut harness = PolicyHarness::new(settings(vec![kind]), 3);
+        let mut query_class = class(2000, 1.0);
+        query_class.late_value = late_value;
+        let mut harness = PolicyHarness::new(settings(vec![query_class]), 3);
         harness.query(0, 0, &[0.5, 0.5]);
         let actions = harness.run_timers(0, 7000);
         assert_eq!(final_actions(&actions), ["rejected"]);
@@ -37,7 +38,7 @@
         assert_eq!(
             final_actions(&last).len(),
             1,
-            "the client timeout has nearly passed"
+            "expected one end for a query with a client timeout of 1 ns"
         );
     }
 }
@@ -57,13 +58,13 @@
     let after = harness.handle_at(50, &[lost, Event::ClientDisconnected { id }]);
     assert!(sent_attempts(&after).is_empty() && final_actions(&after).is_empty());
     let (id, _) = harness.query(60, 0, &[1.0]);
-    let gone = harness.handle_at(100, &[Event::ClientDisconnected { id }]);
+    let disconnected = harness.handle_at(100, &[Event::ClientDisconnected { id }]);
     assert!(
-        gone.contains(&Action::CancelAttempt {
+        disconnected.contains(&Action::CancelAttempt {
             part: id + 1,
             attempt: 0
         }),
-        "its work is cancelled"
+        "expected the attempt to be cancelled after the disconnect"
     );
 }
 
@@ -97,7 +98,7 @@
 fn a_shutdown_ends_open_queries_in_time_with_the_results_so_far() {
     const REQUESTED_MS: u64 = 200;
     const ANSWER_BY_MS: u64 = 1500;
-    for (minimum_coverage, end) in [(0.6, "partial"), (1.0, "rejected")] {
+    for (minimum_coverage, expected) in [(0.6, "partial"), (1.0, "rejected")] {
         let mut harness = PolicyHarness::new(settings(vec![class(2000, minimum_coverage)]), 3);
         let (id, actions) = harness.query(0, 0, &[0.7, 0.3]);
         let replica = sent_attempts(&actions)[0].1;
@@ -105,16 +106,16 @@
         let answer_by = START + ANSWER_BY_MS * MS;
         harness.handle_at(REQUESTED_MS, &[Event::ShutdownRequested { answer_by }]);
         let ended = harness.run_timers(REQUESTED_MS, ANSWER_BY_MS - 1);
-        assert_eq!(final_actions(&ended), [end]);
+        assert_eq!(final_actions(&ended), [expected]);
     }
 }
 
 #[test]
 fn complete_answer_is_sent_at_once_and_other_attempts_are_cancelled() {
-    let mut kind = class(2000, 1.0);
-    kind.completeness_threshold = 0.5;
-    kind.minimum_coverage = 0.5;
-    let mut harness = PolicyHarness::new(settings(vec![kind]), 3);
+    let mut query_class = class(2000, 1.0);
+    query_class.completeness_threshold = 0.5;
+    query_class.minimum_coverage = 0.5;
+    let mut harness = PolicyHarness::new(settings(vec![query_class]), 3);
     let (id, actions) = harness.query(0, 0, &[0.5, 0.5]);
     let done = harness.end_attempt(
         100,
@@ -133,9 +134,9 @@
 #[test]
 fn second_step_is_complete_only_if_the_first_was() {
     for (answered, expected) in [(2, "complete"), (1, "partial")] {
-        let mut kind = class(2000, 0.4);
-        kind.second_step_parts = 1;
-        let mut harness = PolicyHarness::new(settings(vec![kind]), 3);
+        let mut query_class = class(2000, 0.4);
+        query_class.second_step_parts = 1;
+        let mut harness = PolicyHarness::new(settings(vec![query_class]), 3);
         let (id, actions) = harness.query(0, 0, &[0.5, 0.5]);
         let replica = sent_attempts(&actions)[0].1;
         for part in 1..=answered {
@@ -144,7 +145,7 @@
         let end = harness.run_timers(110, 1000);
         assert!(
             answered == 2 || final_actions(&end) == ["partial"],
-            "half of the objective is left for the second step"
+            "expected the first step to end halfway to the objective"
         );
         let second = harness.handle_at(
             1010,
@@ -191,12 +192,12 @@
     assert_eq!(
         final_actions(&harness.query(5, 0, &[1.0]).1),
         ["rejected"],
-        "no holder is left"
+        "expected a rejection without a replica that holds the shard"
     );
     assert_eq!(final_actions(&harness.run_timers(10, 6000)).len(), 1);
 }
 
-/// A query of death crashes each replica that executes one of its parts: with retries, it would
+/// A query of death crashes each replica that executes one of its parts. With retries, it would
 /// crash the whole fleet.
 #[test]
 fn a_query_of_death_is_sent_once() {
@@ -211,12 +212,16 @@
     let sent = sent_attempts(&actions);
     let broken = all_attempts_ended(&sent, AttemptOutcome::ConnectionLost);
     let last = harness.handle_at(10, &broken);
-    assert!(sent_attempts(&last).is_empty(), "no further replica");
-    assert_eq!(final_actions(&last), ["rejected"], "at once");
+    assert!(sent_attempts(&last).is_empty(), "expected no retry");
+    assert_eq!(
+        final_actions(&last),
+        ["rejected"],
+        "expected an immediate rejection"
+    );
 }
 
 #[test]
-fn a_query_that_met_failing_replicas_by_chance_is_retried() {
+fn a_query_sent_to_failing_replicas_by_chance_is_retried() {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             max_parts_per_call: None,
@@ -232,17 +237,21 @@
     );
     assert!(
         sent_attempts(&first).is_empty() && final_actions(&first).is_empty(),
-        "it waits while a part may still be answered"
+        "expected neither a retry nor an end while a part may still be answered"
     );
     let answered = harness.handle_at(
         150,
         &all_attempts_ended(&sent[4..], AttemptOutcome::Success),
     );
-    assert_eq!(sent_attempts(&answered).len(), 4, "it is no query of death");
+    assert_eq!(
+        sent_attempts(&answered).len(),
+        4,
+        "expected retries of all failed parts once another part is answered"
+    );
 }
 
-/// A complete answer that one part has made impossible is not waited for, though another part is
-/// still in flight.
+/// One part can no longer be answered, so the minimum coverage of 1 cannot be reached, although
+/// another part is still in flight.
 #[test]
 fn a_query_that_cannot_reach_its_minimum_is_rejected_at_once() {
     let once = PolicySettings {
@@ -261,8 +270,8 @@
     assert_eq!(final_actions(&after), ["rejected"]);
 }
 
-/// Without budget before the objective, or without a holder of the shard, no retry can be sent, so
-/// there is nothing to wait for.
+/// No retry can be sent if the retry budget is used up until the objective, or if no replica holds
+/// the shard. The query must not stay open until its objective then.
 #[test]
 fn a_query_whose_retry_cannot_be_sent_is_rejected_at_once() {
     let spent = RetryBudget {
@@ -285,7 +294,11 @@
         sent_attempts(&actions)[0].1,
         AttemptOutcome::Unreachable,
     );
-    assert_eq!(final_actions(&after), ["rejected"], "no budget");
+    assert_eq!(
+        final_actions(&after),
+        ["rejected"],
+        "expected a rejection without retry budget"
+    );
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 1);
     let (id, actions) = harness.query(0, 0, &[1.0]);
     harness.update_endpoints(EndpointUpdateKind::Snapshot, vec![]);
@@ -296,5 +309,9 @@
         sent_attempts(&actions)[0].1,
         AttemptOutcome::Unreachable,
     );
-    assert_eq!(final_actions(&after), ["rejected"], "no holder");
+    assert_eq!(
+        final_actions(&after),
+        ["rejected"],
+        "expected a rejection without a replica that holds the shard"
+    );
 }
--- a/crates/policy/tests/connection_renewal.rs
+++ b/crates/policy/tests/connection_renewal.rs
@@ -1,14 +1,15 @@
-//! Renewal of connections that were idle for long.
+//! Tests of the renewal of long-idle connections.
 
 mod support;
 
 use aggregator_policy::api::{Action, AttemptOutcome, PolicySettings};
 use support::{class, sent_attempts, settings, PolicyHarness, MS};
 
-/// A device on the path drops unused connections without notice: an attempt on one is lost, though
-/// the replica is healthy. Each round is a query whose attempt on an unused connection is lost.
-/// Returns in which rounds connections are renewed.
-fn idle_connections_break(rounds: u64, renewed_break: bool) -> Vec<bool> {
+/// Simulates a device on the network path that drops idle connections without notice, although the
+/// replicas are healthy. In each round, a query's attempt on a long-idle connection is lost; if
+/// `renewed_are_lost`, attempts on renewed connections are lost as well. Returns, for each round,
+/// whether connections were renewed.
+fn renewals_by_round(rounds: u64, renewed_are_lost: bool) -> Vec<bool> {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             idle_timeout: 15_000 * MS,
@@ -19,25 +20,23 @@
     harness.serve_query(0, 50);
     harness.serve_query(10, 60);
     let mut renewed = Vec::new();
-    for at in (1..=rounds).map(|i| i * 4000) {
-        let (id, mut actions) = harness.query(at, 0, &[1.0]);
-        let closes = |actions: &[Action]| {
-            actions
-                .iter()
-                .any(|a| matches!(a, Action::CloseIdleConnections { .. }))
-        };
-        renewed.push(closes(&actions));
-        let mut number = 0;
-        if renewed_break || !closes(&actions) {
+    for ms in (1..=rounds).map(|round| round * 4000) {
+        let (id, mut actions) = harness.query(ms, 0, &[1.0]);
+        let closes_idle_connections = actions
+            .iter()
+            .any(|action| matches!(action, Action::CloseIdleConnections { .. }));
+        renewed.push(closes_idle_connections);
+        let mut attempt = 0;
+        if renewed_are_lost || !closes_idle_connections {
             let (_, replica) = sent_attempts(&actions)[0];
             actions =
-                harness.end_attempt(at + 5, id + 1, 0, replica, AttemptOutcome::ConnectionLost);
-            number = 1;
+                harness.end_attempt(ms + 5, id + 1, 0, replica, AttemptOutcome::ConnectionLost);
+            attempt = 1;
         }
         harness.end_attempt(
-            at + 200,
+            ms + 200,
             id + 1,
-            number,
+            attempt,
             sent_attempts(&actions)[0].1,
             AttemptOutcome::Success,
         );
@@ -47,17 +46,23 @@
 
 #[test]
 fn idle_connections_are_renewed_while_they_are_lost() {
-    let renewed = idle_connections_break(40, false);
+    let renewed = renewals_by_round(40, false);
     assert!(
         !renewed[..2].contains(&true),
-        "one or two losses are no reason"
+        "expected no renewal after one or two losses"
+    );
+    assert!(
+        renewed.iter().filter(|renewed| **renewed).count() > 20,
+        "expected renewals in more than 20 of 40 rounds: {renewed:?}"
     );
-    assert!(renewed.iter().filter(|r| **r).count() > 20, "{renewed:?}");
 }
 
 #[test]
 fn renewal_that_does_not_help_ends() {
-    let renewed = idle_connections_break(80, true);
-    assert!(renewed.contains(&true), "it starts");
-    assert!(renewed.iter().filter(|r| **r).count() < 60, "{renewed:?}");
+    let renewed = renewals_by_round(80, true);
+    assert!(renewed.contains(&true), "expected renewal to start");
+    assert!(
+        renewed.iter().filter(|renewed| **renewed).count() < 60,
+        "expected renewals in fewer than 60 of 80 rounds: {renewed:?}"
+    );
 }
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: draining replicas and polling with backoff.
+//! Tests of the endpoint list: draining replicas, and polls with backoff.
 
 mod support;
 
@@ -9,74 +9,82 @@
 use support::{class, ready_replica, sent_attempts, settings, PolicyHarness, MS, START};
 
 #[test]
-fn a_draining_replica_gets_nothing_new() {
+fn a_draining_replica_gets_no_new_attempts() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
-    let drains = ReplicaEntry {
+    let draining = ReplicaEntry {
         state: ReplicaState::Draining,
         ..ready_replica(1)
     };
-    harness.update_endpoints(EndpointUpdateKind::Delta, vec![drains]);
-    for i in 0..20 {
-        let (_, actions) = harness.query(i * 20, 0, &[1.0]);
+    harness.update_endpoints(EndpointUpdateKind::Delta, vec![draining]);
+    for index in 0..20 {
+        let (_, actions) = harness.query(index * 20, 0, &[1.0]);
         assert!(sent_attempts(&actions)
             .iter()
-            .all(|(_, r)| *r == ReplicaId(2)));
+            .all(|(_, replica)| *replica == ReplicaId(2)));
     }
     harness.update_endpoints(EndpointUpdateKind::Snapshot, vec![]);
     assert!(
         sent_attempts(&harness.query(500, 0, &[1.0]).1).is_empty(),
-        "all have left the list"
+        "expected no attempt after all replicas have left the list"
     );
 }
 
-/// If all aggregators repeated a failed poll at once, the endpoint list's service would be too busy
-/// to answer any.
+/// If all aggregators repeated a failed poll at once, the discovery service would be too busy to
+/// answer any of them.
 #[test]
 fn a_polled_list_is_polled_again_with_backoff_after_failures() {
-    let on_request = PolicySettings {
+    let polled_list = PolicySettings {
         endpoint_list_polled: true,
         poll_interval: 20_000 * MS,
         ..settings(vec![class(2000, 1.0)])
     };
     let mut harness = PolicyHarness {
-        policy: Policy::new(on_request, 1),
+        policy: Policy::new(polled_list, 1),
         now: START,
-        next: 1,
+        next_query: 1,
     };
-    let polled = |actions: &[Action]| actions.contains(&Action::WatchEndpoints { enabled: true });
-    let first = (0..)
-        .map(|t| t * 10)
-        .find(|ms| polled(&harness.handle_at(*ms, &[])))
+    let polls = |actions: &[Action]| actions.contains(&Action::WatchEndpoints { enabled: true });
+    let first_ms = (0..)
+        .map(|tick| tick * 10)
+        .find(|ms| polls(&harness.handle_at(*ms, &[])))
         .unwrap();
-    assert!(first <= 6_000, "soon, at a random time");
-    assert!(!polled(&harness.handle_at(first + 10, &[])));
-    let mut last = first;
+    assert!(
+        first_ms <= 6_000,
+        "expected the first poll within 6 s, found {first_ms} ms"
+    );
+    assert!(!polls(&harness.handle_at(first_ms + 10, &[])));
+    let mut last_ms = first_ms;
     for failure in 0..4 {
-        let at = last + 20;
+        let failed_ms = last_ms + 20;
         let failed = Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Unavailable,
             entries: vec![],
         };
-        let actions = harness.handle_at(at, &[failed]);
-        let woken = actions.iter().any(|a| matches!(a, Action::SetTimer { .. }));
+        let actions = harness.handle_at(failed_ms, &[failed]);
+        let sets_timer = actions
+            .iter()
+            .any(|action| matches!(action, Action::SetTimer { .. }));
         assert!(
-            woken && !polled(&actions),
-            "a timer, no call, though no query is open"
+            sets_timer && !polls(&actions),
+            "expected a timer and no poll while no query is open"
         );
-        let again = (at / 10 + 1..)
-            .map(|t| t * 10)
-            .find(|ms| polled(&harness.fire_timer(*ms)))
+        let next_ms = (failed_ms / 10 + 1..)
+            .map(|tick| tick * 10)
+            .find(|ms| polls(&harness.fire_timer(*ms)))
             .unwrap();
         assert!(
-            again - at >= (2_000 << failure).min(6_000),
-            "longer each time"
+            next_ms - failed_ms >= (2_000 << failure).min(6_000),
+            "expected a backoff that grows with each failure"
+        );
+        assert!(
+            next_ms - failed_ms <= 20_000,
+            "expected the next poll within the poll interval"
         );
-        assert!(again - at <= 20_000, "within the poll interval");
-        last = again;
+        last_ms = next_ms;
     }
     harness.update_endpoints(EndpointUpdateKind::Delta, vec![ready_replica(1)]);
     assert!(
-        (0..300).all(|t| !polled(&harness.fire_timer(last + 100 + t * 100))),
-        "no poll while the watch is open"
+        (0..300).all(|tick| !polls(&harness.fire_timer(last_ms + 100 + tick * 100))),
+        "expected no poll while the watch is open"
     );
 }
--- a/crates/policy/tests/hedging.rs
+++ b/crates/policy/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: when a hedged request is sent, and how many.
+//! Tests of hedging: when hedged requests are sent, and how many.
 
 mod support;
 
@@ -9,31 +9,34 @@
 };
 
 #[test]
-fn a_silent_replica_is_hedged_and_avoided() {
+fn an_unresponsive_replica_is_hedged_and_avoided() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 3);
     let (id, actions) = harness.query(0, 0, &[1.0]);
-    let silent = sent_attempts(&actions)[0].1;
+    let unresponsive = sent_attempts(&actions)[0].1;
     let later = harness.run_timers(10, 400);
     let hedges = sent_attempts(&later);
     assert_eq!(hedges.len(), 1);
-    assert_ne!(hedges[0].1, silent);
-    assert!(has_log_line(&later, "is an outlier"));
-    for i in 0..10 {
-        let (_, actions) = harness.query(410 + i, 0, &[1.0]);
-        assert_ne!(sent_attempts(&actions)[0].1, silent);
+    assert_ne!(hedges[0].1, unresponsive);
+    assert!(has_log_line(&later, "ejected as an outlier"));
+    for offset_ms in 0..10 {
+        let (_, actions) = harness.query(410 + offset_ms, 0, &[1.0]);
+        assert_ne!(sent_attempts(&actions)[0].1, unresponsive);
     }
-    let back = harness.end_attempt(950, id + 1, 0, silent, AttemptOutcome::Success);
-    assert_eq!(final_actions(&back)[0], "complete");
+    let answered = harness.end_attempt(950, id + 1, 0, unresponsive, AttemptOutcome::Success);
+    assert_eq!(final_actions(&answered)[0], "complete");
 }
 
 #[test]
-fn hedging_is_capped_when_all_holders_are_slow() {
+fn hedging_is_limited_when_all_replicas_are_slow() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
-    for i in 0..40 {
-        harness.query(i * 5, 0, &[1.0]);
+    for index in 0..40 {
+        harness.query(index * 5, 0, &[1.0]);
     }
     let hedges = sent_attempts(&harness.run_timers(210, 1900)).len();
-    assert!(hedges <= 8, "{hedges} hedged requests for 40 parts");
+    assert!(
+        hedges <= 8,
+        "expected at most 8 hedged requests for 40 parts, found {hedges}"
+    );
 }
 
 #[test]
@@ -49,12 +52,12 @@
     assert_eq!(
         sent_attempts(&actions).len(),
         1,
-        "the lost call does not block the replica"
+        "expected a replica with a lost call to be selected"
     );
 }
 
-/// A single query of many parts, of which thirty are lost: hedged requests are sent for them also
-/// when they are more than two seconds old.
+/// A single query has a hundred parts, of which thirty are lost. Hedged requests are sent for them
+/// even when the query and its parts are more than two seconds old and no longer count as recent.
 #[test]
 fn a_single_long_query_is_hedged_late() {
     let mut harness = PolicyHarness::new(
@@ -70,13 +73,16 @@
     }
     let hedges = sent_attempts(&harness.run_timers(310, 3900));
     let late = hedges.iter().filter(|(part, _)| *part > id).count();
-    assert!(late > 15, "{late} hedged requests for thirty lost parts");
+    assert!(
+        late > 15,
+        "expected more than 15 hedged requests for 30 lost parts, found {late}"
+    );
 }
 
-/// When all replicas are slow, the first attempt is answered before the hedged request, which then
-/// adds load without a benefit.
+/// When all replicas are slow, first attempts are answered before their hedged requests, which then
+/// add load without any benefit.
 #[test]
-fn hedged_requests_become_few_where_they_lose() {
+fn hedged_requests_that_lose_reduce_hedging() {
     let hedges = |first_wins: bool| {
         let mut harness = PolicyHarness::new(
             PolicySettings {
@@ -85,50 +91,50 @@
             },
             24,
         );
-        (0..40).for_each(|i| {
-            harness.serve_query(i * 20, 100);
+        (0..40).for_each(|index| {
+            harness.serve_query(index * 20, 100);
         });
-        let mut last = 0;
+        let mut hedges_of_last_round = 0;
         for round in 1..=12 {
-            let at = round * 3000;
-            let sent = sent_attempts(&harness.query(at, 0, &[0.1; 10]).1);
-            let again = sent_attempts(&harness.run_timers(at + 10, at + 900));
-            last = again.len();
+            let ms = round * 3000;
+            let sent = sent_attempts(&harness.query(ms, 0, &[0.1; 10]).1);
+            let hedged = sent_attempts(&harness.run_timers(ms + 10, ms + 900));
+            hedges_of_last_round = hedged.len();
             let mut events = Vec::new();
             for (part, replica) in &sent {
-                let Some((_, other)) = again.iter().find(|(p, _)| p == part) else {
+                let Some((_, other)) = hedged.iter().find(|(id, _)| id == part) else {
                     events.push(attempt_ended(*part, 0, *replica, AttemptOutcome::Success));
                     continue;
                 };
-                let (won, lost) = if first_wins { (0, 1) } else { (1, 0) };
-                let by = [*replica, *other];
+                let (winner, loser) = if first_wins { (0, 1) } else { (1, 0) };
+                let replicas = [*replica, *other];
                 events.push(attempt_ended(
                     *part,
-                    won,
-                    by[won as usize],
+                    winner,
+                    replicas[winner as usize],
                     AttemptOutcome::Success,
                 ));
                 events.push(attempt_ended(
                     *part,
-                    lost,
-                    by[lost as usize],
+                    loser,
+                    replicas[loser as usize],
                     AttemptOutcome::Cancelled,
                 ));
             }
-            harness.handle_at(at + 910, &events);
+            harness.handle_at(ms + 910, &events);
         }
-        last
+        hedges_of_last_round
     };
     assert!(
         hedges(false) > hedges(true),
-        "{} and {}",
+        "expected more hedged requests when they win than when they lose, found {} and {}",
         hedges(false),
         hedges(true)
     );
 }
 
 #[test]
-fn no_second_attempt_is_sent_where_hedging_is_not_allowed() {
+fn no_second_attempt_is_sent_if_hedging_is_not_allowed() {
     let no_hedging = PolicySettings {
         hedging_allowed: false,
         ..settings(vec![class(2000, 1.0)])
--- a/crates/policy/tests/outlier.rs
+++ b/crates/policy/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: ejection, saturated replicas and health checks.
+//! Tests of outlier detection: ejection, saturated replicas and health checks.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::{all_attempts_ended, class, sent_attempts, settings, PolicyHarness, MS, START};
 
 #[test]
-fn the_only_holder_is_used_though_an_outlier() {
+fn the_only_replica_of_a_shard_is_used_although_it_is_an_outlier() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 1);
     harness.query(0, 0, &[1.0]);
     harness.run_timers(10, 900);
@@ -21,27 +21,27 @@
     let (id, actions) = harness.query(0, 0, &[1.0]);
     let saturated = sent_attempts(&actions)[0].1;
     harness.end_attempt(1, id + 1, 0, saturated, AttemptOutcome::Rejected);
-    for i in 0..10 {
-        let (_, actions) = harness.query(10 + i, 0, &[1.0]);
+    for offset_ms in 0..10 {
+        let (_, actions) = harness.query(10 + offset_ms, 0, &[1.0]);
         assert_ne!(sent_attempts(&actions)[0].1, saturated);
     }
 }
 
-/// Breaks the connection to replica 1 and returns how many ms it is ejected. Replica 2 fails all
-/// attempts.
-fn ejection_time(harness: &mut PolicyHarness) -> u64 {
-    let mut broken = None;
+/// Breaks the connection to replica 1, and returns the time until replica 1 is selected again, in
+/// milliseconds. All attempts at replica 2 fail.
+fn ejection_time_ms(harness: &mut PolicyHarness) -> u64 {
+    let mut broken_at_ms = None;
     for _ in 0..400 {
         let ms = (harness.now - START) / MS + 50;
         let (id, actions) = harness.query(ms, 0, &[1.0]);
         let (_, replica) = sent_attempts(&actions)[0];
-        match (replica == ReplicaId(1), broken) {
-            (true, Some(at)) => {
+        match (replica == ReplicaId(1), broken_at_ms) {
+            (true, Some(broken_at_ms)) => {
                 harness.end_attempt(ms + 10, id + 1, 0, replica, AttemptOutcome::Success);
-                return ms - at;
+                return ms - broken_at_ms;
             }
             (true, None) => {
-                broken = Some(ms);
+                broken_at_ms = Some(ms);
                 harness.end_attempt(ms + 1, id + 1, 0, replica, AttemptOutcome::ConnectionLost);
             }
             (false, _) => {
@@ -49,7 +49,7 @@
             }
         }
     }
-    panic!("no attempt was sent to it again");
+    panic!("expected another attempt at replica 1 after its ejection");
 }
 
 #[test]
@@ -61,58 +61,59 @@
         },
         2,
     );
-    let (first, second) = (ejection_time(&mut harness), ejection_time(&mut harness));
+    let first_ms = ejection_time_ms(&mut harness);
+    let second_ms = ejection_time_ms(&mut harness);
     assert!(
-        first >= 1000 && second >= 1000,
-        "ejected for {first} ms, then for {second} ms"
+        first_ms >= 1000 && second_ms >= 1000,
+        "expected two ejections of at least 1000 ms, found {first_ms} ms and {second_ms} ms"
     );
 }
 
-/// With few queries, a replica that never answered must not be assumed to have the mean latency
-/// again soon after it failed.
+/// With few queries, the latency of a replica that never answered must not return to the mean soon
+/// after the replica failed.
 #[test]
-fn failures_of_a_replica_that_never_answered_are_remembered() {
+fn a_replica_that_never_answered_is_avoided_for_seconds_after_a_failure() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
     let (id, actions) = harness.query(0, 0, &[1.0]);
-    let (_, dead) = sent_attempts(&actions)[0];
-    let again = harness.end_attempt(250, id + 1, 0, dead, AttemptOutcome::Unreachable);
+    let (_, unreachable) = sent_attempts(&actions)[0];
+    let retried = harness.end_attempt(250, id + 1, 0, unreachable, AttemptOutcome::Unreachable);
     harness.end_attempt(
         1000,
         id + 1,
         1,
-        sent_attempts(&again)[0].1,
+        sent_attempts(&retried)[0].1,
         AttemptOutcome::Success,
     );
-    for at in [6000, 7000, 8000] {
-        assert_ne!(harness.serve_query(at, 700), dead);
+    for ms in [6000, 7000, 8000] {
+        assert_ne!(harness.serve_query(ms, 700), unreachable);
     }
 }
 
-/// Requests to one replica are lost: the hedged request is answered and the first attempt is
-/// cancelled, so that no outcome ever states that it was lost.
+/// Requests to one replica are lost. The hedged request is answered and the first attempt is
+/// cancelled, so no outcome reports the loss.
 #[test]
-fn a_silent_attempt_that_lost_against_its_hedge_counts_as_a_failure() {
+fn a_cancelled_attempt_without_response_counts_as_a_failure() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
-    for i in 0..10 {
-        harness.serve_query(i * 200, 100);
+    for index in 0..10 {
+        harness.serve_query(index * 200, 100);
     }
     let (id, actions) = harness.query(3000, 0, &[1.0]);
     let (_, lossy) = sent_attempts(&actions)[0];
     let hedge = sent_attempts(&harness.run_timers(3010, 3900))[0].1;
     harness.end_attempt(4000, id + 1, 1, hedge, AttemptOutcome::Success);
     assert_ne!(hedge, lossy);
-    for at in [6000, 6500, 7000] {
-        assert_eq!(harness.serve_query(at, 150), hedge);
+    for ms in [6000, 6500, 7000] {
+        assert_eq!(harness.serve_query(ms, 150), hedge);
     }
 }
 
-/// Many replicas do not respond to this aggregator: the others are checked by health checks, not by
-/// parts of queries.
+/// Many replicas do not respond to this aggregator. The others are probed by health checks, so that
+/// no part of a query has to wait for another failed replica.
 #[test]
-fn many_silent_replicas_cause_one_round_of_health_checks() {
+fn many_unresponsive_replicas_cause_one_round_of_health_checks() {
     let health_checks = |actions: &[Action]| -> Vec<ReplicaId> {
-        let health_check = |a: &Action| {
-            if let Action::CheckHealth { replica } = a {
+        let health_check = |action: &Action| {
+            if let Action::CheckHealth { replica } = action {
                 Some(*replica)
             } else {
                 None
@@ -121,32 +122,34 @@
         actions.iter().filter_map(health_check).collect()
     };
     for health_checks_allowed in [false, true] {
-        let kind = PolicySettings {
+        let settings = PolicySettings {
             health_checks_allowed,
             max_parts_per_call: None,
             ..settings(vec![class(2000, 1.0)])
         };
-        let mut harness = PolicyHarness::new(kind, 20);
+        let mut harness = PolicyHarness::new(settings, 20);
         let (_, actions) = harness.query(0, 0, &[0.25; 4]);
         let sent = sent_attempts(&actions);
-        let polled = health_checks(
+        let checked = health_checks(
             &harness.handle_at(250, &all_attempts_ended(&sent, AttemptOutcome::Unreachable)),
         );
-        assert_eq!(polled.is_empty(), !health_checks_allowed);
+        assert_eq!(checked.is_empty(), !health_checks_allowed);
         assert!(
-            sent.iter().all(|(_, failed)| !polled.contains(failed)),
-            "only replicas without an attempt"
+            sent.iter().all(|(_, failed)| !checked.contains(failed)),
+            "expected health checks only of replicas without an attempt"
         );
         assert!(
             health_checks(&harness.run_timers(260, 1000)).is_empty(),
-            "one round only"
+            "expected only one round of health checks"
         );
-        let Some(bad) = polled.first() else { continue };
+        let Some(unresponsive) = checked.first() else {
+            continue;
+        };
         let (latency, report) = (250 * MS, vec![]);
         harness.handle_at(
             1010,
             &[Event::HealthCheckEnded(HealthCheckEnded {
-                replica: *bad,
+                replica: *unresponsive,
                 outcome: AttemptOutcome::TimedOut,
                 latency,
                 report,
@@ -155,6 +158,6 @@
         let (_, next) = harness.query(1020, 0, &[0.1; 10]);
         assert!(sent_attempts(&next)
             .iter()
-            .all(|(_, replica)| replica != bad));
+            .all(|(_, replica)| replica != unresponsive));
     }
 }
--- a/crates/policy/tests/recorded_decisions/main.rs
+++ b/crates/policy/tests/recorded_decisions/main.rs
@@ -1,10 +1,8 @@
-//! Seeded scenarios whose decisions are compared with those recorded from an earlier version of the
-//! policy.
+//! Compares the decisions in seeded scenarios with those of an earlier version of the policy.
 //!
-//! `recorded_decisions.txt` holds a line for each scenario: its seed, and a digest of all actions
-//! after every 100 batches. A change that decides differently on purpose says so
-//! and renews the file with what the failing test prints; any other difference is a fault of the
-//! change.
+//! `recorded_decisions.txt` has one line per scenario, with its seed and a digest of all actions
+//! after every 100 batches. A change that alters decisions on purpose must say so and replace the
+//! file with the lines that the failing test prints. Any other difference is a regression.
 
 mod scenario;
 
@@ -14,7 +12,7 @@
 const SCENARIOS: u64 = 64;
 const RECORDED: &str = include_str!("recorded_decisions.txt");
 
-fn line(seed: u64, digests: &[u64]) -> String {
+fn format_line(seed: u64, digests: &[u64]) -> String {
     let digests: Vec<String> = digests
         .iter()
         .map(|digest| format!("{digest:016x}"))
@@ -25,7 +23,7 @@
 #[test]
 fn decisions_are_those_that_were_recorded() {
     let lines: Vec<String> = (1..=SCENARIOS)
-        .map(|seed| line(seed, &Scenario::new(seed).run()))
+        .map(|seed| format_line(seed, &Scenario::new(seed).run()))
         .collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
     let differing: Vec<&String> = lines
@@ -34,18 +32,18 @@
         .collect();
     assert!(
         differing.is_empty(),
-        "{} scenarios differ; all lines now:\n{}",
+        "{} scenarios differ from the recording; the current lines are:\n{}",
         differing.len(),
         lines.join("\n")
     );
     assert_eq!(
         recorded.len(),
         lines.len(),
-        "one recorded line for each scenario"
+        "expected one recorded line per scenario"
     );
 }
 
-/// What the recording is worth depends on how much of the policy the scenarios reach.
+/// The recording only covers the parts of the policy that the scenarios reach.
 #[test]
 fn scenarios_reach_every_action_but_gossip() {
     let mut reached = HashSet::new();
@@ -53,5 +51,9 @@
         let actions = Scenario::new(seed).collect_actions();
         reached.extend(actions.iter().map(std::mem::discriminant));
     }
-    assert!(reached.len() >= 9, "only {} kinds of action", reached.len());
+    assert!(
+        reached.len() >= 9,
+        "expected at least 9 kinds of action, found {}",
+        reached.len()
+    );
 }
