--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -1,5 +1,5 @@
-//! A seeded policy in a simulated environment: replicas that answer, fail or fall silent, clients
-//! that retry and disconnect, and an endpoint list that changes.
+//! A seeded policy in a simulated environment: replicas that answer, fail or stop responding,
+//! clients that retry and disconnect, and an endpoint list that changes.
 
 use aggregator_policy::api::{
     Action, AttemptEnded, AttemptOutcome, EndpointUpdateKind, Event, HealthCheckEnded, Idempotency,
@@ -17,26 +17,28 @@
 const BATCHES: usize = 600;
 const BATCHES_PER_DIGEST: usize = 100;
 
-/// How replicas behave in a period: chances in 100 of each end of an attempt, and the typical
-/// latency.
+/// Behavior of all replicas, and the load, in one phase of a scenario.
 #[derive(Clone, Copy)]
 struct ReplicaBehavior {
+    // Probability of each failure of an attempt, in percent.
     rejected: u32,
     error: u32,
-    broken: u32,
+    connection_lost: u32,
     unreachable: u32,
-    silent: u32,
+    no_response: u32,
+    /// Typical latency of an answer.
     latency: Nanos,
+    /// Maximum number of queries that arrive in one batch.
     queries_per_batch: u32,
 }
 
-fn behavior(random: &mut Rng) -> ReplicaBehavior {
+fn random_behavior(random: &mut Rng) -> ReplicaBehavior {
     let healthy = ReplicaBehavior {
         rejected: 1,
         error: 1,
-        broken: 0,
+        connection_lost: 0,
         unreachable: 0,
-        silent: 1,
+        no_response: 1,
         latency: 30 * MS,
         queries_per_batch: 1,
     };
@@ -47,12 +49,12 @@
             ..healthy
         },
         1 => ReplicaBehavior {
-            broken: 20,
+            connection_lost: 20,
             unreachable: 15,
             ..healthy
         },
         2 => ReplicaBehavior {
-            silent: 30,
+            no_response: 30,
             latency: 120 * MS,
             ..healthy
         },
@@ -70,7 +72,7 @@
     }
 }
 
-fn class(random: &mut Rng) -> QueryClass {
+fn random_class(random: &mut Rng) -> QueryClass {
     let latency_objective = random.u64(200..2_500) * MS;
     let partial = random.bool();
     let completeness_threshold = if random.u32(..4) == 0 { 0.9 } else { 1.0 };
@@ -94,10 +96,12 @@
     }
 }
 
-fn settings(random: &mut Rng) -> PolicySettings {
+fn random_settings(random: &mut Rng) -> PolicySettings {
     let has_slow_start = random.u32(..3) > 0;
     PolicySettings {
-        classes: (0..random.usize(1..4)).map(|_| class(random)).collect(),
+        classes: (0..random.usize(1..4))
+            .map(|_| random_class(random))
+            .collect(),
         placement_cells: random.u32(1..5),
         cells_per_shard: random.u32(1..4),
         zone: 0,
@@ -131,10 +135,10 @@
     group: u32,
     class: usize,
     parts: Vec<RequestId>,
-    second_step_begun: bool,
+    second_step_started: bool,
 }
 
-/// One policy, in an environment that responds to its actions.
+/// One policy in an environment that responds to its actions.
 pub struct Scenario {
     random: Rng,
     settings: PolicySettings,
@@ -142,10 +146,12 @@
     now: Nanos,
     behavior: ReplicaBehavior,
     entries: Vec<ReplicaEntry>,
-    /// Later events, in order of time and then of scheduling.
-    planned: BTreeMap<(Nanos, u64), Event>,
-    attempts: BTreeMap<(RequestId, u8), (Nanos, u64)>,
-    attempts_of_part: BTreeMap<RequestId, u8>,
+    /// Future events, by time and then in the order in which they were scheduled.
+    scheduled: BTreeMap<(Nanos, u64), Event>,
+    /// Key in `scheduled` of the end of each attempt, by part and number of the attempt.
+    attempt_ends: BTreeMap<(RequestId, u8), (Nanos, u64)>,
+    /// Number of attempts at each part.
+    attempt_counts: BTreeMap<RequestId, u8>,
     queries: BTreeMap<RequestId, OpenQuery>,
     last_id: u64,
     last_group: u32,
@@ -155,7 +161,7 @@
 impl Scenario {
     pub fn new(seed: u64) -> Scenario {
         let mut random = Rng::with_seed(seed);
-        let settings = settings(&mut random);
+        let settings = random_settings(&mut random);
         let replicas = random.u64(1..13);
         let placement_cells = settings.placement_cells;
         let entries = (1..=replicas).map(|replica| ReplicaEntry {
@@ -168,13 +174,13 @@
         Scenario {
             policy: Policy::new(settings.clone(), seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             entries: entries.collect(),
-            behavior: behavior(&mut random),
+            behavior: random_behavior(&mut random),
             settings,
             random,
             now: START,
-            planned: BTreeMap::new(),
-            attempts: BTreeMap::new(),
-            attempts_of_part: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
+            attempt_ends: BTreeMap::new(),
+            attempt_counts: BTreeMap::new(),
             queries: BTreeMap::new(),
             last_id: 0,
             last_group: 0,
@@ -188,20 +194,20 @@
             kind: EndpointUpdateKind::Cached,
             entries: self.entries.clone(),
         };
-        self.batch(&[first]);
+        self.run_batch(&[first]);
         let mut digests = Vec::new();
         for number in 1..=BATCHES {
-            let pause = if self.random.u32(..50) == 0 {
+            let pause_ms = if self.random.u32(..50) == 0 {
                 900
             } else {
                 self.random.u64(1..25)
             };
-            self.now += pause * MS;
+            self.now += pause_ms * MS;
             if number % 75 == 0 {
-                self.behavior = behavior(&mut self.random);
+                self.behavior = random_behavior(&mut self.random);
             }
             let events = self.next_events();
-            self.batch(&events);
+            self.run_batch(&events);
             if number % BATCHES_PER_DIGEST == 0 {
                 digests.push(self.digest.digest());
             }
@@ -228,25 +234,25 @@
     fn next_events(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         while let Some(entry) = self
-            .planned
+            .scheduled
             .first_entry()
             .filter(|entry| entry.key().0 <= self.now)
         {
             events.push(entry.remove());
         }
         if self.random.u32(..25) == 0 {
-            events.push(self.list_event());
+            events.push(self.change_endpoint_list());
         }
         if self.random.u32(..12) == 0 {
-            events.extend(self.client_gone());
+            events.extend(self.disconnect_client());
         }
         for _ in 0..self.random.u32(..=self.behavior.queries_per_batch) {
-            self.query(&mut events);
+            self.add_query(&mut events);
         }
         events
     }
 
-    fn list_event(&mut self) -> Event {
+    fn change_endpoint_list(&mut self) -> Event {
         if self.random.u32(..3) == 0 {
             return Event::EndpointsUpdated {
                 kind: EndpointUpdateKind::Unavailable,
@@ -254,39 +260,39 @@
             };
         }
         let changed = self.random.usize(..self.entries.len());
-        let member = &mut self.entries[changed];
+        let entry = &mut self.entries[changed];
         match self.random.u32(..4) {
-            0 => member.state = ReplicaState::Draining,
-            1 => member.state = ReplicaState::Gone,
+            0 => entry.state = ReplicaState::Draining,
+            1 => entry.state = ReplicaState::Gone,
             _ => {
-                (member.state, member.started) =
+                (entry.state, entry.started) =
                     (ReplicaState::Ready, self.now.saturating_sub(300 * MS));
             }
         }
         if self.random.bool() {
             return Event::EndpointsUpdated {
                 kind: EndpointUpdateKind::Delta,
-                entries: vec![member.clone()],
+                entries: vec![entry.clone()],
             };
         }
         let on_list = self
             .entries
             .iter()
-            .filter(|member| member.state != ReplicaState::Gone);
+            .filter(|entry| entry.state != ReplicaState::Gone);
         Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Snapshot,
             entries: on_list.cloned().collect(),
         }
     }
 
-    fn client_gone(&mut self) -> Option<Event> {
+    fn disconnect_client(&mut self) -> Option<Event> {
         let ids: Vec<RequestId> = self.queries.keys().copied().collect();
         let id = *ids.get(self.random.usize(..ids.len().max(1)))?;
         self.queries.remove(&id);
         Some(Event::ClientDisconnected { id })
     }
 
-    fn query(&mut self, events: &mut Vec<Event>) {
+    fn add_query(&mut self, events: &mut Vec<Event>) {
         self.last_id += 1;
         self.last_group += 1;
         let (id, group) = (self.last_id, self.last_group);
@@ -313,14 +319,14 @@
                 group,
                 class,
                 parts: Vec::new(),
-                second_step_begun: false,
+                second_step_started: false,
             },
         );
         let count = self.random.usize(1..9);
-        self.parts(id, count, events);
+        self.add_parts(id, count, events);
     }
 
-    fn parts(&mut self, query: RequestId, count: usize, events: &mut Vec<Event>) {
+    fn add_parts(&mut self, query: RequestId, count: usize, events: &mut Vec<Event>) {
         let weights: Vec<f64> = (0..count)
             .map(|_| self.random.f64().powi(3) + 0.01)
             .collect();
@@ -341,7 +347,7 @@
         }
     }
 
-    fn batch(&mut self, events: &[Event]) {
+    fn run_batch(&mut self, events: &[Event]) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, events, &mut actions);
         for action in &actions {
@@ -352,10 +358,10 @@
             .update(&(self.policy.retained_records() as u64).to_le_bytes());
     }
 
-    fn plan(&mut self, at: Nanos, event: Event) -> (Nanos, u64) {
+    fn schedule(&mut self, at: Nanos, event: Event) -> (Nanos, u64) {
         self.last_id += 1;
         let key = (at.max(self.now), self.last_id);
-        self.planned.insert(key, event);
+        self.scheduled.insert(key, event);
         key
     }
 
@@ -366,19 +372,19 @@
                 replica,
                 times_out_at,
                 ..
-            } => self.attempt(*part, *replica, *times_out_at),
+            } => self.start_attempt(*part, *replica, *times_out_at),
             Action::CancelAttempt { part, attempt } => {
-                let Some(key) = self.attempts.remove(&(*part, *attempt)) else {
+                let Some(key) = self.attempt_ends.remove(&(*part, *attempt)) else {
                     return;
                 };
                 let Some(Event::AttemptEnded(AttemptEnded { replica, .. })) =
-                    self.planned.remove(&key)
+                    self.scheduled.remove(&key)
                 else {
                     return;
                 };
                 let (part, attempt, outcome) = (*part, *attempt, AttemptOutcome::Cancelled);
                 let report = LoadReport::new();
-                self.plan(
+                self.schedule(
                     self.now,
                     Event::AttemptEnded(AttemptEnded {
                         part,
@@ -389,12 +395,12 @@
                     }),
                 );
             }
-            Action::Answer { query, .. } => self.answered(*query),
+            Action::Answer { query, .. } => self.on_answer(*query),
             Action::Reject { query, .. } | Action::Fail { query } => {
                 drop(self.queries.remove(query));
             }
             Action::SetTimer { token, after } => {
-                self.plan(self.now + after, Event::TimerFired { token: *token });
+                self.schedule(self.now + after, Event::TimerFired { token: *token });
             }
             Action::CheckHealth { replica } => {
                 let outcome = if self.random.bool() {
@@ -403,7 +409,7 @@
                     AttemptOutcome::TimedOut
                 };
                 let (replica, latency, report) = (*replica, 40 * MS, LoadReport::new());
-                self.plan(
+                self.schedule(
                     self.now + latency,
                     Event::HealthCheckEnded(HealthCheckEnded {
                         replica,
@@ -419,19 +425,19 @@
 
     #[allow(
         clippy::too_many_lines,
-        reason = "the order of its random draws is part of the recording"
+        reason = "the recording depends on the order of the random draws"
     )]
-    fn attempt(&mut self, part: RequestId, replica: ReplicaId, until: Nanos) {
-        let count = self.attempts_of_part.entry(part).or_insert(0);
+    fn start_attempt(&mut self, part: RequestId, replica: ReplicaId, times_out_at: Nanos) {
+        let count = self.attempt_counts.entry(part).or_insert(0);
         let attempt = *count;
         *count += 1;
         let roll = self.random.u32(..100);
         let ReplicaBehavior {
             rejected,
             error,
-            broken,
+            connection_lost,
             unreachable,
-            silent,
+            no_response,
             latency,
             ..
         } = self.behavior;
@@ -439,31 +445,31 @@
         let ends = [
             (rejected, AttemptOutcome::Rejected, 2 * MS),
             (error, AttemptOutcome::Error, took / 4),
-            (broken, AttemptOutcome::ConnectionLost, took),
+            (connection_lost, AttemptOutcome::ConnectionLost, took),
             (unreachable, AttemptOutcome::Unreachable, 3 * MS),
             (
-                silent,
+                no_response,
                 AttemptOutcome::TimedOut,
-                until.saturating_sub(self.now),
+                times_out_at.saturating_sub(self.now),
             ),
         ];
-        let mut least = 0;
-        let end = ends.iter().find(|(chance, ..)| {
-            least += chance;
-            roll < least
+        let mut cumulative_percent = 0;
+        let end = ends.iter().find(|(percent, ..)| {
+            cumulative_percent += percent;
+            roll < cumulative_percent
         });
         let (outcome, after) = end
             .map_or((AttemptOutcome::Success, took), |(_, outcome, after)| {
                 (*outcome, *after)
             });
         let at = self.now + after;
-        let (outcome, at) = if at > until {
-            (AttemptOutcome::TimedOut, until)
+        let (outcome, at) = if at > times_out_at {
+            (AttemptOutcome::TimedOut, times_out_at)
         } else {
             (outcome, at)
         };
         if outcome == AttemptOutcome::Success && self.random.u32(..8) == 0 {
-            self.plan(
+            self.schedule(
                 self.now + after / 2,
                 Event::ResponseStarted {
                     part,
@@ -473,7 +479,7 @@
             );
         }
         let report = LoadReport::new();
-        let key = self.plan(
+        let key = self.schedule(
             at,
             Event::AttemptEnded(AttemptEnded {
                 part,
@@ -483,28 +489,28 @@
                 report,
             }),
         );
-        self.attempts.insert((part, attempt), key);
+        self.attempt_ends.insert((part, attempt), key);
     }
 
-    fn answered(&mut self, query: RequestId) {
+    /// Schedules the parts of the second step after the answer to the first one.
+    fn on_answer(&mut self, query: RequestId) {
         let Some(open) = self.queries.get_mut(&query) else {
             return;
         };
-        if self.settings.classes[open.class].second_step_parts == 0 || open.second_step_begun {
+        if self.settings.classes[open.class].second_step_parts == 0 || open.second_step_started {
             self.queries.remove(&query);
             return;
         }
-        open.second_step_begun = true;
+        open.second_step_started = true;
         let mut events = Vec::new();
         let count = self.random.usize(1..5);
-        self.parts(query, count, &mut events);
+        self.add_parts(query, count, &mut events);
         for event in events {
-            self.plan(self.now + MS, event);
+            self.schedule(self.now + MS, event);
         }
     }
 
-    /// Adds an action to the digest. The text of a log line is not a decision, that there is one
-    /// is.
+    /// Adds an action to the digest. For a log line, its presence counts but not its text.
     fn record(&mut self, action: &Action) {
         let none = u64::MAX;
         let words: [u64; 5] = match action {
--- a/crates/policy/tests/replica_selection.rs
+++ b/crates/policy/tests/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Replica selection by latency, outstanding calls and zone.
+//! Tests of replica selection by latency, calls in flight, zone and placement.
 
 mod support;
 
@@ -13,18 +13,18 @@
     let (_, actions) = harness.query(0, 0, &[0.25; 4]);
     let sent = sent_attempts(&actions);
     assert_eq!(sent.len(), 4);
-    assert!(sent.iter().all(|(_, r)| *r == sent[0].1));
+    assert!(sent.iter().all(|(_, replica)| *replica == sent[0].1));
 }
 
 #[test]
-fn parts_spread_where_calls_are_not_shared() {
-    let mut alone = settings(vec![class(2000, 1.0)]);
-    alone.max_parts_per_call = None;
-    let mut harness = PolicyHarness::new(alone, 3);
+fn parts_are_spread_over_replicas_if_calls_are_not_shared() {
+    let mut one_part_per_call = settings(vec![class(2000, 1.0)]);
+    one_part_per_call.max_parts_per_call = None;
+    let mut harness = PolicyHarness::new(one_part_per_call, 3);
     let (_, actions) = harness.query(0, 0, &[1.0 / 3.0; 3]);
     let used: std::collections::BTreeSet<_> = sent_attempts(&actions)
         .into_iter()
-        .map(|(_, r)| r)
+        .map(|(_, replica)| replica)
         .collect();
     assert_eq!(used.len(), 3);
 }
@@ -34,20 +34,20 @@
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
     let slow = harness.serve_query(0, 400);
     let fast = ReplicaId(3 - slow.0);
-    let mut at = 500;
+    let mut ms = 500;
     for _ in 0..20 {
-        let (id, actions) = harness.query(at, 0, &[1.0]);
+        let (id, actions) = harness.query(ms, 0, &[1.0]);
         let (_, replica) = sent_attempts(&actions)[0];
-        let took = if replica == fast { 100 } else { 450 };
-        harness.end_attempt(at + took, id + 1, 0, replica, AttemptOutcome::Success);
-        at += 500;
+        let latency_ms = if replica == fast { 100 } else { 450 };
+        harness.end_attempt(ms + latency_ms, id + 1, 0, replica, AttemptOutcome::Success);
+        ms += 500;
     }
-    let (_, first) = harness.query(at + 500, 0, &[1.0]);
-    assert_eq!(sent_attempts(&first)[0].1, fast);
+    let (_, last) = harness.query(ms + 500, 0, &[1.0]);
+    assert_eq!(sent_attempts(&last)[0].1, fast);
 }
 
-/// Each part sent to another zone has a price, whatever the load. A short queue at a replica in the
-/// same zone costs less than that, and a long one does not.
+/// Each part sent to another zone has a price that does not depend on the load. A short queue at a
+/// replica in the same zone costs less than that, and a long queue costs more.
 #[test]
 fn a_replica_in_the_same_zone_is_preferred_while_its_queue_is_short() {
     let priced = PolicySettings {
@@ -69,18 +69,18 @@
         ],
     );
     let sent = sent_attempts(&harness.query(0, 0, &[0.4, 0.3, 0.3]).1);
-    let near = sent
+    let in_same_zone = sent
         .iter()
         .map(|(_, replica)| *replica == ReplicaId(2))
         .collect::<Vec<_>>();
     assert_eq!(
-        near,
+        in_same_zone,
         [true, true, false],
-        "one part in its queue costs less than another zone, two cost more"
+        "expected one queued part to cost less than another zone, and two to cost more"
     );
 }
 
-/// Each shard is held by the replicas in its cell and the following ones; the first cell follows
+/// Each shard is held by the replicas in its cell and in the following ones; the first cell follows
 /// the last.
 #[test]
 fn a_part_goes_only_to_replicas_whose_cells_hold_its_shard() {
@@ -108,7 +108,10 @@
         for (part, replica) in sent {
             let shard = part - id - 1;
             let holders = [shard % 5, (shard + 1) % 5];
-            assert!(holders.contains(&replica.0), "shard {shard} at {replica:?}");
+            assert!(
+                holders.contains(&replica.0),
+                "expected a replica in cells {holders:?} for shard {shard}, found {replica:?}"
+            );
         }
     }
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: idempotency, the limit on attempts and the retry budget.
+//! Tests of retries: idempotency, the limit on attempts and the retry budget.
 
 mod support;
 
@@ -8,23 +8,23 @@
 };
 
 #[test]
-fn a_non_idempotent_part_that_may_have_run_is_not_repeated() {
-    let mut kind = class(2000, 1.0);
-    kind.idempotency = Idempotency::NonIdempotent;
-    let mut harness = PolicyHarness::new(settings(vec![kind]), 3);
+fn a_non_idempotent_part_that_may_have_been_executed_is_not_repeated() {
+    let mut query_class = class(2000, 1.0);
+    query_class.idempotency = Idempotency::NonIdempotent;
+    let mut harness = PolicyHarness::new(settings(vec![query_class]), 3);
     let (id, actions) = harness.query(0, 0, &[1.0]);
     let replica = sent_attempts(&actions)[0].1;
-    let again = harness.end_attempt(10, id + 1, 0, replica, AttemptOutcome::Unreachable);
+    let retried = harness.end_attempt(10, id + 1, 0, replica, AttemptOutcome::Unreachable);
     assert_eq!(
-        sent_attempts(&again).len(),
+        sent_attempts(&retried).len(),
         1,
-        "it was not executed, so it may be retried"
+        "expected a retry of a part that was not executed"
     );
     let lost = harness.end_attempt(
         20,
         id + 1,
         1,
-        sent_attempts(&again)[0].1,
+        sent_attempts(&retried)[0].1,
         AttemptOutcome::ConnectionLost,
     );
     assert!(sent_attempts(&lost).is_empty());
@@ -32,53 +32,53 @@
 }
 
 #[test]
-fn a_part_with_idempotency_key_is_retried_only_inside_its_window() {
-    for (at, resent) in [(300, 1), (900, 0)] {
-        let mut kind = class(2000, 1.0);
-        kind.idempotency = Idempotency::IdempotentWithKey;
-        kind.idempotency_window = 500 * MS;
+fn a_part_with_an_idempotency_key_is_retried_only_within_its_window() {
+    for (lost_at_ms, retries) in [(300, 1), (900, 0)] {
+        let mut query_class = class(2000, 1.0);
+        query_class.idempotency = Idempotency::IdempotentWithKey;
+        query_class.idempotency_window = 500 * MS;
         let mut harness = PolicyHarness::new(
             PolicySettings {
                 hedging_allowed: false,
-                ..settings(vec![kind])
+                ..settings(vec![query_class])
             },
             3,
         );
         let (id, actions) = harness.query(0, 0, &[1.0]);
         let after = harness.end_attempt(
-            at,
+            lost_at_ms,
             id + 1,
             0,
             sent_attempts(&actions)[0].1,
             AttemptOutcome::ConnectionLost,
         );
-        assert_eq!(sent_attempts(&after).len(), resent);
+        assert_eq!(sent_attempts(&after).len(), retries);
     }
 }
 
 #[test]
 fn the_retry_budget_applies_up_to_the_end_of_its_window() {
-    let mut tight = settings(vec![class(2000, 1.0)]);
-    tight.retry_budget = Some(RetryBudget {
+    let mut one_retry = settings(vec![class(2000, 1.0)]);
+    one_retry.retry_budget = Some(RetryBudget {
         minimum: 1.0,
         ratio: 0.0,
         window: 1000 * MS,
     });
-    let mut harness = PolicyHarness::new(tight, 3);
+    let mut harness = PolicyHarness::new(one_retry, 3);
     let (first, actions) = harness.query(0, 0, &[1.0]);
-    let spent = harness.end_attempt(
+    let retried = harness.end_attempt(
         10,
         first + 1,
         0,
         sent_attempts(&actions)[0].1,
         AttemptOutcome::Error,
     );
-    assert_eq!(sent_attempts(&spent).len(), 1);
+    assert_eq!(sent_attempts(&retried).len(), 1);
     harness.end_attempt(
         15,
         first + 1,
         1,
-        sent_attempts(&spent)[0].1,
+        sent_attempts(&retried)[0].1,
         AttemptOutcome::Success,
     );
     let (second, actions) = harness.query(20, 0, &[1.0]);
@@ -89,18 +89,18 @@
         sent_attempts(&actions)[0].1,
         AttemptOutcome::Error,
     );
-    let resent = |actions: &[Action]| {
+    let retries_of_second = |actions: &[Action]| {
         sent_attempts(actions)
             .iter()
             .filter(|(part, _)| *part == second + 1)
             .count()
     };
-    assert_eq!(resent(&harness.run_timers(40, 1010)), 0);
-    assert_eq!(resent(&harness.run_timers(1020, 1100)), 1);
+    assert_eq!(retries_of_second(&harness.run_timers(40, 1010)), 0);
+    assert_eq!(retries_of_second(&harness.run_timers(1020, 1100)), 1);
 }
 
 #[test]
-fn no_more_attempts_than_allowed() {
+fn a_part_gets_no_more_attempts_than_allowed() {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             max_attempts: Some(2),
@@ -120,27 +120,31 @@
         );
     }
     assert!(sent_attempts(&actions).is_empty());
-    assert_eq!(final_actions(&actions), ["rejected"], "rejected at once");
+    assert_eq!(
+        final_actions(&actions),
+        ["rejected"],
+        "expected an immediate rejection"
+    );
 }
 
-/// With a small budget, retries for queries that accept partial answers must leave enough for those
-/// that need every part.
+/// With a small budget, retries of queries that take partial answers must leave enough of it for
+/// queries that need every part.
 #[test]
 fn half_of_the_budget_is_kept_for_classes_without_partial_answers() {
-    let mut tight = settings(vec![class(2000, 0.5), class(2000, 1.0)]);
-    tight.retry_budget = Some(RetryBudget {
+    let mut four_retries = settings(vec![class(2000, 0.5), class(2000, 1.0)]);
+    four_retries.retry_budget = Some(RetryBudget {
         minimum: 4.0,
         ratio: 0.0,
         window: 1000 * MS,
     });
-    tight.max_parts_per_call = None;
-    let mut harness = PolicyHarness::new(tight, 20);
-    let again: Vec<usize> = [0, 1]
+    four_retries.max_parts_per_call = None;
+    let mut harness = PolicyHarness::new(four_retries, 20);
+    let retries: Vec<usize> = [0, 1]
         .map(|class| {
             let (_, actions) = harness.query(100 * u64::from(class), class, &[0.1; 10]);
-            let lost = all_attempts_ended(&sent_attempts(&actions), AttemptOutcome::Error);
-            sent_attempts(&harness.handle_at(100 * u64::from(class) + 20, &lost)).len()
+            let failed = all_attempts_ended(&sent_attempts(&actions), AttemptOutcome::Error);
+            sent_attempts(&harness.handle_at(100 * u64::from(class) + 20, &failed)).len()
         })
         .into();
-    assert_eq!(again, [2, 2]);
+    assert_eq!(retries, [2, 2]);
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: the allowance of replicas that warm up, over a whole fleet.
+//! Tests of slow start: the allowance of replicas that are warming up, for one aggregator and for a
+//! whole fleet.
 
 mod support;
 
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn a_burst_does_not_exceed_the_allowance_of_a_replica_that_warms_up() {
+fn a_burst_does_not_exceed_the_allowance_of_a_warming_replica() {
     let mut harness = PolicyHarness::new(slow_start_settings(), 0);
     harness.update_endpoints(
         EndpointUpdateKind::Snapshot,
@@ -31,11 +32,11 @@
         }],
     );
     let burst: usize = (0..50)
-        .map(|i| sent_attempts(&harness.query(i, 0, &[0.5, 0.5]).1).len())
+        .map(|ms| sent_attempts(&harness.query(ms, 0, &[0.5, 0.5]).1).len())
         .sum();
     assert!(
         burst <= 3,
-        "{burst} parts sent at once to a replica that warms up"
+        "expected at most 3 parts sent to a warming replica within 50 ms, found {burst}"
     );
 }
 
@@ -55,24 +56,24 @@
     assert_eq!(sent(&mut harness, 10), 0);
     assert!(
         !sent_attempts(&harness.run_timers(1020, 1500)).is_empty(),
-        "its allowance returns without a further send"
+        "expected the waiting part to be sent once the allowance returns"
     );
 }
 
 /// Dozens of aggregators that each send one part in a window would together overload a replica that
-/// warms up.
+/// is warming up.
 #[test]
-fn many_aggregators_share_the_allowance_of_a_replica_that_warms_up() {
-    let crowd = PolicySettings {
+fn many_aggregators_share_the_allowance_of_a_warming_replica() {
+    let large_fleet = PolicySettings {
         aggregators: 50,
         ..slow_start_settings()
     };
-    let mut together = 0;
+    let mut total_sent = 0;
     for seed in 0..50 {
         let mut harness = PolicyHarness {
-            policy: Policy::new(crowd.clone(), seed),
+            policy: Policy::new(large_fleet.clone(), seed),
             now: START,
-            next: 1,
+            next_query: 1,
         };
         harness.update_endpoints(
             EndpointUpdateKind::Snapshot,
@@ -82,95 +83,98 @@
             }],
         );
         let (_, actions) = harness.query(0, 0, &[1.0]);
-        together += sent_attempts(&actions).len();
+        total_sent += sent_attempts(&actions).len();
     }
     assert!(
-        together <= 5,
-        "{together} parts at once from fifty that have just started"
+        total_sent <= 5,
+        "expected at most 5 parts from 50 aggregators that have just started, found {total_sent}"
     );
 }
 
-/// Returns by how many parts all aggregators together exceed the allowance of a replica that
-/// starts, in the worst overload window. Each aggregator first uses warm replicas at an even rate;
-/// then there is a burst.
+/// Returns by how many parts all aggregators together exceed the allowance of a replica that is
+/// warming up, in the worst overload window. Each aggregator first uses warm replicas at a constant
+/// rate; a burst follows after the new replica has started.
 fn excess_over_the_allowance(aggregators: u32, seed: u64) -> f64 {
-    const WARM: u64 = 4;
-    let (warming, rate) = (slow_start_settings(), 20.0);
-    let each = rate * WARM as f64 / f64::from(aggregators);
-    let mut at: Vec<u64> = Vec::new();
-    for n in 0..aggregators {
+    const WARM_REPLICAS: u64 = 4;
+    let (warming, rate_per_replica) = (slow_start_settings(), 20.0);
+    let rate_per_aggregator = rate_per_replica * WARM_REPLICAS as f64 / f64::from(aggregators);
+    let mut send_times: Vec<u64> = Vec::new();
+    for number in 0..aggregators {
         let settings = PolicySettings {
             aggregators,
             ..warming.clone()
         };
-        let policy = Policy::new(settings, seed * 1000 + u64::from(n));
+        let policy = Policy::new(settings, seed * 1000 + u64::from(number));
         let mut harness = PolicyHarness {
             policy,
             now: START,
-            next: 1,
+            next_query: 1,
         };
         harness.update_endpoints(
             EndpointUpdateKind::Cached,
-            (1..=WARM).map(ready_replica).collect(),
+            (1..=WARM_REPLICAS).map(ready_replica).collect(),
         );
-        let offset = u64::from(n) * 997 % (1000.0 / each) as u64;
-        (0..(160.0 * each) as u64).for_each(|i| {
-            harness.serve_query(offset + (i as f64 * 1000.0 / each) as u64, 10);
+        let interval_ms = 1000.0 / rate_per_aggregator;
+        let offset_ms = u64::from(number) * 997 % interval_ms as u64;
+        (0..(160.0 * rate_per_aggregator) as u64).for_each(|index| {
+            let since_offset_ms = index as f64 * 1000.0 / rate_per_aggregator;
+            harness.serve_query(offset_ms + since_offset_ms as u64, 10);
         });
-        let notified = 160_500 + u64::from(n) * 37 % 500;
-        harness.now = START + notified * MS;
-        let fresh = ReplicaEntry {
+        let notified_ms = 160_500 + u64::from(number) * 37 % 500;
+        harness.now = START + notified_ms * MS;
+        let warming_replica = ReplicaEntry {
             started: START + 160_000 * MS,
             ..ready_replica(9)
         };
-        harness.update_endpoints(EndpointUpdateKind::Delta, vec![fresh]);
-        for ms in (notified..notified + 6_000).step_by(100) {
-            let (id, actions) = harness.query(ms + u64::from(n) % 100, 0, &[0.5, 0.5]);
+        harness.update_endpoints(EndpointUpdateKind::Delta, vec![warming_replica]);
+        for ms in (notified_ms..notified_ms + 6_000).step_by(100) {
+            let (id, actions) = harness.query(ms + u64::from(number) % 100, 0, &[0.5, 0.5]);
             let sent = sent_attempts(&actions);
-            at.extend(
+            send_times.extend(
                 sent.iter()
                     .filter(|(_, replica)| replica.0 == 9)
                     .map(|_| harness.now),
             );
-            let ends = sent
-                .iter()
-                .map(|(part, to)| attempt_ended(*part, 0, *to, AttemptOutcome::Cancelled));
+            let ends = sent.iter().map(|(part, replica)| {
+                attempt_ended(*part, 0, *replica, AttemptOutcome::Cancelled)
+            });
             let mut ends: Vec<Event> = ends.collect();
             ends.push(Event::ClientDisconnected { id });
-            harness.handle_at(ms + u64::from(n) % 100, &ends);
+            harness.handle_at(ms + u64::from(number) % 100, &ends);
         }
     }
-    at.sort_unstable();
-    let over = at.iter().map(|end| {
-        let sent = at
+    send_times.sort_unstable();
+    let excess = send_times.iter().map(|end| {
+        let sent = send_times
             .iter()
-            .filter(|t| **t <= *end && *end - **t < warming.overload_window)
+            .filter(|time| **time <= *end && *end - **time < warming.overload_window)
             .count() as f64;
-        let age = (*end - START) as f64 / MS as f64 - 160_000.0;
-        let warmth = 0.2 + 0.8 * age / 10_000.0;
-        let allowance = 4.0 * warmth * rate;
+        let age_ms = (*end - START) as f64 / MS as f64 - 160_000.0;
+        let capacity = 0.2 + 0.8 * age_ms / 10_000.0;
+        let allowance = 4.0 * capacity * rate_per_replica;
         sent - (allowance + 2.0 * allowance.sqrt() + 2.0)
     });
-    over.fold(f64::NEG_INFINITY, f64::max)
+    excess.fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// Each aggregator rounds its allowance at random in every window of its own; the overload window
-/// may span two of them.
+/// Each aggregator rounds its allowance at random in each of its own windows, and an overload
+/// window of the replica may span two of them.
 #[test]
 fn an_entire_fleet_stays_within_the_allowance_in_any_window() {
     for aggregators in [2, 6, 25, 100, 300] {
         for seed in 0..2 {
-            let over = excess_over_the_allowance(aggregators, seed);
+            let excess = excess_over_the_allowance(aggregators, seed);
             assert!(
-                over <= 0.0,
-                "{aggregators} aggregators: {over:.1} parts more than chance allows"
+                excess <= 0.0,
+                "expected no excess over the allowance and its deviation with {aggregators} \
+                 aggregators, found {excess:.1} parts"
             );
         }
     }
 }
 
-/// Sends were once held for the budget's window and counted for the allowance, which was five times
-/// too large for it.
+/// Parts sent used to be kept for the window of the retry budget, and the allowance was derived
+/// from their number. That made the allowance five times too large for the replica.
 #[test]
 fn a_long_budget_window_does_not_raise_the_allowance() {
     let retry_budget = Some(RetryBudget {
@@ -185,8 +189,8 @@
         },
         1,
     );
-    (0..100).for_each(|i| {
-        harness.serve_query(i * 100, 50);
+    (0..100).for_each(|index| {
+        harness.serve_query(index * 100, 50);
     });
     harness.update_endpoints(
         EndpointUpdateKind::Delta,
@@ -196,7 +200,7 @@
         }],
     );
     let burst: Vec<_> = (0..40)
-        .flat_map(|i| sent_attempts(&harness.query(10_000 + i, 0, &[1.0]).1))
+        .flat_map(|offset_ms| sent_attempts(&harness.query(10_000 + offset_ms, 0, &[1.0]).1))
         .collect();
     let to_warming = burst
         .iter()
@@ -204,17 +208,18 @@
         .count();
     assert!(
         (1..=6).contains(&to_warming),
-        "{to_warming} parts for a replica with an allowance of about four"
+        "expected 1 to 6 parts for a replica with an allowance of about 4, found {to_warming}"
     );
 }
 
-/// An aggregator that has run for less than the warm-up time must not divide its results by all of
-/// that time: after a restart it would leave new replicas idle and overload the others.
+/// An aggregator that has run for less than the warm-up time must not divide its results by the
+/// whole time over which results are counted. Otherwise, after a restart, it would leave new
+/// replicas idle and overload the others.
 #[test]
 fn an_aggregator_that_has_just_started_uses_the_full_allowance() {
     let mut harness = PolicyHarness::new(slow_start_settings(), 1);
-    (0..100).for_each(|i| {
-        harness.serve_query(i * 20, 10);
+    (0..100).for_each(|index| {
+        harness.serve_query(index * 20, 10);
     });
     harness.update_endpoints(
         EndpointUpdateKind::Delta,
@@ -224,7 +229,7 @@
         }],
     );
     let burst: Vec<_> = (0..40)
-        .flat_map(|i| sent_attempts(&harness.query(2000 + i, 0, &[1.0]).1))
+        .flat_map(|offset_ms| sent_attempts(&harness.query(2000 + offset_ms, 0, &[1.0]).1))
         .collect();
     let to_warming = burst
         .iter()
@@ -232,7 +237,7 @@
         .count();
     assert!(
         (10..=21).contains(&to_warming),
-        "{to_warming} parts for a replica with an allowance of about twenty"
+        "expected 10 to 21 parts for a replica with an allowance of about 20, found {to_warming}"
     );
 }
 
@@ -249,7 +254,10 @@
     );
     assert_eq!(sent_attempts(&harness.query(0, 0, &[1.0]).1).len(), 1);
     let (waiting, sent) = harness.query(10, 0, &[1.0]);
-    assert!(sent_attempts(&sent).is_empty(), "the allowance is used up");
+    assert!(
+        sent_attempts(&sent).is_empty(),
+        "expected the allowance to be used up"
+    );
     harness.handle_at(100, &[Event::ClientDisconnected { id: waiting }]);
     let later = sent_attempts(&harness.run_timers(110, 6000));
     assert!(later.iter().all(|(part, _)| *part != waiting + 1));
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A harness for a policy, and helpers that find what tests check in its actions.
+//! A harness that drives a policy, and functions that extract results from its actions.
 
-#![allow(dead_code, reason = "each test file uses its own part of it")]
+#![allow(dead_code, reason = "each test file uses only some of these functions")]
 
 use aggregator_policy::api::{
     Action, AttemptEnded, AttemptOutcome, EndpointUpdateKind, Event, PartReceived, PolicySettings,
@@ -8,13 +8,15 @@
 };
 use aggregator_policy::Policy;
 
+/// One millisecond, in nanoseconds.
 pub const MS: u64 = 1_000_000;
+/// Time at which each test starts, in nanoseconds. Tests state times in milliseconds after it.
 pub const START: u64 = 100_000 * MS;
 
-pub fn class(latency_objective: u64, minimum_coverage: f64) -> QueryClass {
+pub fn class(latency_objective_ms: u64, minimum_coverage: f64) -> QueryClass {
     QueryClass {
-        latency_objective: latency_objective * MS,
-        deadline: 3 * latency_objective * MS,
+        latency_objective: latency_objective_ms * MS,
+        deadline: 3 * latency_objective_ms * MS,
         completeness_threshold: 1.0,
         minimum_coverage,
         partial_value: 0.9,
@@ -38,7 +40,7 @@
     }
 }
 
-/// One class that needs every part, and clients that mark their retries.
+/// Settings with one class that needs every part, and with clients that mark their retries.
 pub fn settings_with_marked_retries() -> PolicySettings {
     PolicySettings {
         retries_marked: true,
@@ -56,11 +58,13 @@
     }
 }
 
-/// One aggregator with the actions of its last batch.
+/// The policy of one aggregator, with a simulated clock.
 pub struct PolicyHarness {
     pub policy: Policy,
+    /// Time of the last batch, in nanoseconds.
     pub now: u64,
-    pub next: u64,
+    /// Number of the next query, from 1.
+    pub next_query: u64,
 }
 
 impl PolicyHarness {
@@ -68,7 +72,7 @@
         let mut harness = PolicyHarness {
             policy: Policy::new(settings, 7),
             now: START,
-            next: 1,
+            next_query: 1,
         };
         harness.update_endpoints(
             EndpointUpdateKind::Cached,
@@ -89,8 +93,8 @@
         self.handle_at(ms, &[Event::EndpointsUpdated { kind, entries }]);
     }
 
-    /// Sends a query with parts of these weights, at shards 0, 1, ... Returns its id and the
-    /// actions. The parts' ids follow the query's.
+    /// Sends a query with parts of these weights on the shards 0, 1, ... Returns the query's
+    /// identifier and the actions. The identifiers of the parts follow that of the query.
     pub fn query(&mut self, ms: u64, class: u16, weights: &[f64]) -> (u64, Vec<Action>) {
         let client_timeout = 6000 * MS;
         self.query_with_timeout(ms, class, weights, client_timeout)
@@ -114,8 +118,8 @@
         client_timeout: u64,
         is_retry: bool,
     ) -> (u64, Vec<Action>) {
-        let (id, group) = (self.next * 100, self.next as u32);
-        self.next += 1;
+        let (id, group) = (self.next_query * 100, self.next_query as u32);
+        self.next_query += 1;
         let mut events = vec![Event::QueryReceived(QueryReceived {
             id,
             group,
@@ -125,11 +129,11 @@
             expected_work: None,
             is_retry,
         })];
-        for (i, weight) in weights.iter().enumerate() {
+        for (index, weight) in weights.iter().enumerate() {
             events.push(Event::PartReceived(PartReceived {
-                id: id + 1 + i as u64,
+                id: id + 1 + index as u64,
                 group,
-                shard: i as u32,
+                shard: index as u32,
                 weight: *weight,
             }));
         }
@@ -151,18 +155,18 @@
         self.handle_at(ms, &[Event::TimerFired { token: 0 }])
     }
 
-    /// Fires the timer every 10 ms from one time to another and returns all actions.
-    pub fn run_timers(&mut self, from: u64, to: u64) -> Vec<Action> {
-        (from / 10..=to / 10)
-            .flat_map(|t| self.fire_timer(t * 10))
+    /// Fires the timer every 10 ms between two times and returns all actions.
+    pub fn run_timers(&mut self, from_ms: u64, to_ms: u64) -> Vec<Action> {
+        (from_ms / 10..=to_ms / 10)
+            .flat_map(|tick| self.fire_timer(tick * 10))
             .collect()
     }
 
-    /// Runs a query of one part that is answered after `took` ms. Returns its replica.
-    pub fn serve_query(&mut self, ms: u64, took: u64) -> ReplicaId {
+    /// Sends a query of one part, answers the part after `latency_ms`, and returns its replica.
+    pub fn serve_query(&mut self, ms: u64, latency_ms: u64) -> ReplicaId {
         let (id, actions) = self.query(ms, 0, &[1.0]);
         let (_, replica) = sent_attempts(&actions)[0];
-        self.end_attempt(ms + took, id + 1, 0, replica, AttemptOutcome::Success);
+        self.end_attempt(ms + latency_ms, id + 1, 0, replica, AttemptOutcome::Success);
         replica
     }
 }
@@ -177,25 +181,25 @@
     })
 }
 
-/// The end of all these first attempts.
+/// Returns one event for the end of each of these first attempts.
 pub fn all_attempts_ended(sent: &[(u64, ReplicaId)], outcome: AttemptOutcome) -> Vec<Event> {
     sent.iter()
         .map(|(part, replica)| attempt_ended(*part, 0, *replica, outcome))
         .collect()
 }
 
-/// The attempts sent, in order, as part and replica.
+/// Returns the part and the replica of each attempt sent, in order.
 pub fn sent_attempts(actions: &[Action]) -> Vec<(u64, ReplicaId)> {
-    let send = |a: &Action| match a {
+    let sent = |action: &Action| match action {
         Action::SendAttempt { part, replica, .. } => Some((*part, *replica)),
         _ => None,
     };
-    actions.iter().filter_map(send).collect()
+    actions.iter().filter_map(sent).collect()
 }
 
-/// How queries ended: "complete", "partial", "rejected" or "failed".
+/// Returns the outcome of each query that ended: "complete", "partial", "rejected" or "failed".
 pub fn final_actions(actions: &[Action]) -> Vec<&'static str> {
-    let end = |a: &Action| match a {
+    let outcome = |action: &Action| match action {
         Action::Answer { complete: true, .. } => Some("complete"),
         Action::Answer {
             complete: false, ..
@@ -204,11 +208,12 @@
         Action::Fail { .. } => Some("failed"),
         _ => None,
     };
-    actions.iter().filter_map(end).collect()
+    actions.iter().filter_map(outcome).collect()
 }
 
-pub fn has_log_line(actions: &[Action], word: &str) -> bool {
+/// Returns whether any log line contains this text.
+pub fn has_log_line(actions: &[Action], text: &str) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Log(text) if text.contains(word)))
+        .any(|action| matches!(action, Action::Log(line) if line.contains(text)))
 }
