--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -99,8 +99,8 @@
         let step_objective = self.context.settings.step_objective(query.class);
         let is_slow = age > self.context.latency.hedging_delay(step_objective);
         let replica = self.context.replicas.get(last.replica);
-        let is_silent = replica.is_none_or(|replica| replica.last_response <= last.sent);
-        if !is_slow || !(is_mostly_answered || is_silent) {
+        let is_unresponsive = replica.is_none_or(|replica| replica.last_response <= last.sent);
+        if !is_slow || !(is_mostly_answered || is_unresponsive) {
             return false;
         }
         let selected = self.select_replica(part);
--- a/crates/policy/src/policy/connection_renewal.rs
+++ b/crates/policy/src/policy/connection_renewal.rs
@@ -9,7 +9,7 @@
 use super::tuning;
 use crate::api::{Nanos, PolicySettings};
 use crate::state::{AttemptEnd, ConnectionUse, ReplicaRecord};
-use crate::stats::blend;
+use crate::stats::weighted_mean;
 
 /// Tracks lost attempts by kind of connection, and decides when connections are renewed.
 #[derive(Debug)]
@@ -97,7 +97,7 @@
         output: &mut BatchOutput,
     ) {
         let loss = self.loss_mut(connection);
-        *loss = blend(
+        *loss = weighted_mean(
             *loss,
             f64::from(u8::from(is_lost)),
             tuning::CONNECTION_LOSS_WEIGHT,
--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -60,13 +60,15 @@
         if is_overloaded {
             self.last_overload = now;
         }
-        let unchanged = now.saturating_sub(self.changed);
-        let quiet = now.saturating_sub(self.last_overload);
-        if is_overloaded && unchanged as f64 >= self.min_increase_interval {
+        let time_since_change = now.saturating_sub(self.changed);
+        let time_since_overload = now.saturating_sub(self.last_overload);
+        if is_overloaded && time_since_change as f64 >= self.min_increase_interval {
             let increase = tuning::CUTOFF_STEP * (missed / threshold).max(1.0);
             let value = (self.value + increase).min(tuning::CUTOFF_CEILING);
             self.set(now, value, output);
-        } else if unchanged >= tuning::OVERLOAD_WINDOW && quiet >= tuning::CUTOFF_QUIET_TIME {
+        } else if time_since_change >= tuning::OVERLOAD_WINDOW
+            && time_since_overload >= tuning::CUTOFF_QUIET_TIME
+        {
             let value = (self.value - tuning::CUTOFF_STEP).max(0.0);
             self.set(now, value, output);
         }
--- a/crates/policy/src/policy/endpoint_poller.rs
+++ b/crates/policy/src/policy/endpoint_poller.rs
@@ -25,12 +25,12 @@
 }
 
 impl EndpointPoller {
-    /// Creates a poller that has not run. `fade_time` is the time in which measurements of replicas
-    /// fade, ns.
-    pub fn new(settings: &PolicySettings, fade_time: f64) -> EndpointPoller {
+    /// Creates a poller that has not run. `decay_time` is the time in which measurements of
+    /// replicas decay, ns.
+    pub fn new(settings: &PolicySettings, decay_time: f64) -> EndpointPoller {
         let is_polled = settings.endpoint_list_polled;
         let max_delay = if is_polled {
-            (settings.poll_interval as f64).max(fade_time)
+            (settings.poll_interval as f64).max(decay_time)
         } else {
             settings.drain_notice as f64
         };
--- a/crates/policy/src/policy/fleet_latency.rs
+++ b/crates/policy/src/policy/fleet_latency.rs
@@ -34,7 +34,7 @@
         self.samples.mean()
     }
 
-    /// Returns the expected latency of a replica, ns. The replica's own smoothed latency fades to
+    /// Returns the expected latency of a replica, ns. The replica's own smoothed latency decays to
     /// the mean of all replicas. A replica without a measurement has that mean.
     pub fn smoothed_latency(&self, now: Nanos, replica: &ReplicaRecord) -> f64 {
         let initial = tuning::INITIAL_LATENCY_SHARE * self.objective;
@@ -45,14 +45,14 @@
         mean + (own - mean) * (-self.staleness(now, replica.latency_updated)).exp()
     }
 
-    /// Returns the age of a measurement as a multiple of [`FleetLatency::fade_time`].
+    /// Returns the age of a measurement as a multiple of [`FleetLatency::decay_time`].
     pub fn staleness(&self, now: Nanos, measured: Nanos) -> f64 {
-        now.saturating_sub(measured) as f64 / self.fade_time()
+        now.saturating_sub(measured) as f64 / self.decay_time()
     }
 
     /// Returns the time in which a measurement of a replica loses most of its weight, ns.
-    pub fn fade_time(&self) -> f64 {
-        tuning::FADE_OBJECTIVES * self.objective
+    pub fn decay_time(&self) -> f64 {
+        tuning::DECAY_OBJECTIVES * self.objective
     }
 
     /// Returns how long to wait for an answer before a hedged request is sent, ns. The delay leaves
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -6,7 +6,7 @@
 use super::retry::RetryLimiter;
 use super::tuning;
 use crate::state::RaceWinner;
-use crate::stats::blend;
+use crate::stats::weighted_mean;
 
 /// The budget of hedged requests.
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
     /// Records which of several concurrent attempts at a part was answered first.
     pub fn record_race(&mut self, winner: RaceWinner) {
         let is_lost = f64::from(u8::from(winner == RaceWinner::First));
-        self.loss_rate = blend(self.loss_rate, is_lost, tuning::HEDGE_LOSS_WEIGHT);
+        self.loss_rate = weighted_mean(self.loss_rate, is_lost, tuning::HEDGE_LOSS_WEIGHT);
     }
 
     /// Returns whether one more hedged request is within the budget, which retries use as well.
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -89,7 +89,7 @@
             outliers: OutlierDetector::new(settings.health_checks_allowed, objective),
             slow_start: SlowStart::new(settings, seed),
             renewal: ConnectionRenewal::new(settings, objective),
-            endpoint_poller: EndpointPoller::new(settings, context.latency.fade_time()),
+            endpoint_poller: EndpointPoller::new(settings, context.latency.decay_time()),
             timer: BatchTimer::new(settings, objective),
             random: fastrand::Rng::with_seed(seed),
             output: BatchOutput::default(),
@@ -190,9 +190,9 @@
         }
         self.context.replicas.apply(kind, entries);
         // A replica that is replaced gets a new identifier, so old records would accumulate.
-        let fade_time = self.context.latency.fade_time() as Nanos;
-        let oldest = now.saturating_sub(fade_time);
-        self.context.replicas.forget_gone(oldest);
+        let decay_time = self.context.latency.decay_time() as Nanos;
+        let oldest = now.saturating_sub(decay_time);
+        self.context.replicas.remove_gone(oldest);
     }
 
     /// Sets the timer for the next batch. While no query is open, only a call for the endpoint list
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -99,9 +99,10 @@
 }
 
 /// Returns whether other replicas are preferred to this one: it has not responded for longer than
-/// `max_silence` (ns), is saturated or ejected, or is an outlier with a call in flight.
-pub fn is_avoided(replica: &ReplicaRecord, now: Nanos, max_silence: f64) -> bool {
-    let is_silent = replica.time_without_response(now) as f64 > max_silence;
+/// `max_time_without_response`, ns, is saturated or ejected, or is an outlier with a call in
+/// flight.
+pub fn is_avoided(replica: &ReplicaRecord, now: Nanos, max_time_without_response: f64) -> bool {
+    let is_unresponsive = replica.time_without_response(now) as f64 > max_time_without_response;
     let is_ejected = now < replica.ejected_until || !replica.outstanding.is_empty();
-    is_silent || replica.is_outlier && is_ejected || now < replica.saturated_until
+    is_unresponsive || replica.is_outlier && is_ejected || now < replica.saturated_until
 }
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -47,7 +47,7 @@
     /// available.
     pub fn select(&self, part: &PartState, random: &mut fastrand::Rng) -> Option<ReplicaId> {
         let context = self.context;
-        let max_silence = context.latency.hedging_delay(context.shortest_objective);
+        let max_time_without_response = context.latency.hedging_delay(context.shortest_objective);
         let mut best: Option<(Rank, ReplicaId)> = None;
         for replica in context.replicas.holders(&context.settings, part.shard) {
             let id = replica.id;
@@ -55,7 +55,7 @@
             if part.is_in_flight_at(id) || !has_allowance() {
                 continue;
             }
-            let is_avoided = is_avoided(replica, context.now, max_silence);
+            let is_avoided = is_avoided(replica, context.now, max_time_without_response);
             let rank = Rank {
                 avoidance: 2 * u32::from(is_avoided) + u32::from(part.was_sent_to(id)),
                 cost: self.cost(replica),
@@ -76,9 +76,9 @@
         let Context { now, settings, .. } = self.context;
         let is_remote = f64::from(u8::from(replica.zone != settings.zone));
         let price = settings.cross_zone_price * is_remote;
-        let silence = replica.time_without_response(*now) as f64;
+        let time_without_response = replica.time_without_response(*now) as f64;
         let smoothed = self.context.latency.smoothed_latency(*now, replica);
-        let latency = smoothed.max(silence);
+        let latency = smoothed.max(time_without_response);
         let calls = replica.open_calls(*now, settings.parts_per_call());
         let queue = latency * (calls + 1.0);
         queue + tuning::CROSS_ZONE_PENALTY * price * self.context.shortest_objective
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -32,13 +32,13 @@
     overload_window: Nanos,
     /// Share of one part, if all aggregators share it equally.
     fair_share: f64,
-    /// Time over which results are counted, ns.
-    memory: f64,
+    /// Time in which the count of results decays to 1 / e, ns.
+    time_constant: f64,
     /// Seed of the random rounding, which differs between processes.
     seed: u64,
     /// Time of the first batch; 0 before it.
     started: Nanos,
-    /// Results returned to this aggregator, decaying over `memory`.
+    /// Number of results returned to this aggregator, which decays with `time_constant`.
     results: DecayingCounter,
 }
 
@@ -54,7 +54,7 @@
             warm_up_time: settings.warm_up_time,
             overload_window: settings.overload_window,
             fair_share: 1.0 / settings.aggregators.max(1) as f64,
-            memory: tuning::SLOW_START_MEMORY * settings.warm_up_time.max(1) as f64,
+            time_constant: tuning::SLOW_START_TIME_CONSTANT * settings.warm_up_time.max(1) as f64,
             seed,
             started: 0,
             results: DecayingCounter::default(),
@@ -71,7 +71,7 @@
     /// Counts the attempt if it ended with a result.
     pub fn on_attempt_end(&mut self, end: &AttemptEnd) {
         if end.is_success() {
-            self.results.increment(end.ended, self.memory);
+            self.results.increment(end.ended, self.time_constant);
         }
     }
 
@@ -114,7 +114,7 @@
     fn mean_results(&self, now: Nanos, window: Nanos, replicas: &KnownReplicas) -> f64 {
         let ready = replicas.ready().count().max(1);
         let uptime = (now - self.started).max(window) as f64;
-        let counted_time = self.memory.min(uptime);
+        let counted_time = self.time_constant.min(uptime);
         self.results.value() / ready as f64 * window as f64 / counted_time
     }
 }
--- a/crates/policy/src/policy/tuning.rs
+++ b/crates/policy/src/policy/tuning.rs
@@ -37,9 +37,9 @@
 pub const FLEET_WEIGHT: f64 = 0.03;
 /// Latency assumed before the first measurement, as a share of the objective (design: a tenth).
 pub const INITIAL_LATENCY_SHARE: f64 = 0.1;
-/// Time in objectives in which a replica's latency fades to the mean of all replicas, so that a
+/// Time in objectives in which a replica's latency decays to the mean of all replicas, so that a
 /// slow replica is selected again.
-pub const FADE_OBJECTIVES: f64 = 5.0;
+pub const DECAY_OBJECTIVES: f64 = 5.0;
 /// Mean deviations above the mean latency after which an answer is overdue.
 pub const HEDGING_DELAY_DEVIATIONS: f64 = 4.0;
 /// Cost of a replica in another zone, in objectives per unit of the cross-zone price.
@@ -79,8 +79,8 @@
 pub const HEALTH_CHECK_SHARE: f64 = 0.1;
 /// Time for which a replica that rejected a part counts as saturated, as a share of the objective.
 pub const SATURATION_SHARE: f64 = 0.125;
-/// Time over which the mean number of results per replica is taken, in warm-up times.
-pub const SLOW_START_MEMORY: f64 = 4.0;
+/// Time constant of the mean number of results per replica, in warm-up times.
+pub const SLOW_START_TIME_CONSTANT: f64 = 4.0;
 
 // Admission.
 /// Longest expected wait of a query that is not rejected, as a share of the objective.
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -3,7 +3,7 @@
 use crate::api::{
     EndpointUpdateKind, Nanos, PolicySettings, ReplicaEntry, ReplicaId, ReplicaState,
 };
-use crate::stats::{blend, Ewma, SlidingWindow};
+use crate::stats::{weighted_mean, Ewma, SlidingWindow};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Use of an attempt's connection before the attempt.
@@ -75,12 +75,12 @@
 
     /// Returns the expected time until one more part is answered, ns. This is the number of parts
     /// in flight, that part included, times the interval between results. While no result arrives,
-    /// the interval fades over `fade_time`, ns.
-    pub fn expected_wait(&self, now: Nanos, fade_time: f64) -> f64 {
+    /// the interval decays over `decay_time`, ns.
+    pub fn expected_wait(&self, now: Nanos, decay_time: f64) -> f64 {
         let since_result = now.saturating_sub(self.last_result) as f64;
-        let fading = (-(since_result / fade_time)).exp();
+        let remaining = (-(since_result / decay_time)).exp();
         let interval = self.result_interval.value().unwrap_or(0.0);
-        let queued = interval * f64::from(self.outstanding.parts() + 1) * fading;
+        let queued = interval * f64::from(self.outstanding.parts() + 1) * remaining;
         queued.max(self.time_without_response(now) as f64)
     }
 
@@ -107,7 +107,7 @@
 
     /// Records a latency sample. `smoothed` is the smoothed latency before it.
     pub fn record_latency(&mut self, now: Nanos, smoothed: f64, sample: f64, weight: f64) {
-        self.latency = Some(blend(smoothed, sample, weight));
+        self.latency = Some(weighted_mean(smoothed, sample, weight));
         self.latency_updated = now;
     }
 
@@ -267,7 +267,7 @@
 
     /// Removes the replicas that are gone, have no call in flight, and whose latency was last
     /// measured at the time `oldest` or before.
-    pub fn forget_gone(&mut self, oldest: Nanos) {
+    pub fn remove_gone(&mut self, oldest: Nanos) {
         self.replicas.retain(|_, replica| {
             replica.state != ReplicaState::Gone
                 || !replica.outstanding.is_empty()
--- a/crates/policy/src/stats.rs
+++ b/crates/policy/src/stats.rs
@@ -7,7 +7,7 @@
 
 /// Returns the weighted mean of `old` and `sample`, in which `sample` has the weight `weight`, from
 /// 0 to 1.
-pub fn blend(old: f64, sample: f64, weight: f64) -> f64 {
+pub fn weighted_mean(old: f64, sample: f64, weight: f64) -> f64 {
     old + weight * (sample - old)
 }
 
@@ -36,7 +36,7 @@
     /// Adds a sample with this weight, from 0 to 1, and returns the new average. The average starts
     /// at the first sample.
     pub fn add(&mut self, sample: f64, weight: f64) -> f64 {
-        let average = blend(self.value.unwrap_or(sample), sample, weight);
+        let average = weighted_mean(self.value.unwrap_or(sample), sample, weight);
         self.value = Some(average);
         average
     }
@@ -63,7 +63,7 @@
     /// Adds a sample with this weight, from 0 to 1.
     pub fn add(&mut self, sample: f64, weight: f64) {
         let mean = self.mean.value().unwrap_or(sample);
-        self.deviation = blend(self.deviation, (sample - mean).abs(), weight);
+        self.deviation = weighted_mean(self.deviation, (sample - mean).abs(), weight);
         self.mean.add(sample, weight);
     }
 }
@@ -127,9 +127,9 @@
         self.value
     }
 
-    /// Adds one. The value decays to 1 / e of itself in `memory` nanoseconds.
-    pub fn increment(&mut self, now: Nanos, memory: f64) {
-        let remaining = (-((now - self.updated) as f64) / memory).exp();
+    /// Adds one to the value, which decays to 1 / e of itself in `time_constant` nanoseconds.
+    pub fn increment(&mut self, now: Nanos, time_constant: f64) {
+        let remaining = (-((now - self.updated) as f64) / time_constant).exp();
         self.value = self.value * remaining + 1.0;
         self.updated = now;
     }
