--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -11,34 +11,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The message of a panic that carries no text. It goes to the simulator.
+/// Message sent to the simulator for a panic whose payload is not text.
 const UNKNOWN_PANIC: &str = "the decision module broke";
 
-/// A policy panicked while it handled events.
+/// A panic of a policy while it handled events.
 #[derive(Debug, thiserror::Error)]
 #[error("{message}")]
 struct PolicyPanic {
     message: String,
 }
 
-/// The running policies, and the endpoint lists that their events refer to.
+/// The running policy instances, and the endpoint lists that their events refer to.
 #[derive(Default)]
 pub struct PolicyInstances {
     policies: BTreeMap<InstanceId, Policy>,
     endpoint_lists: EndpointLists,
 }
 
-/// The events of one batch by instance.
+/// Events of one batch, grouped by instance.
 #[derive(Default)]
 struct PendingEvents {
-    /// An instance that the batch has stopped has no entry.
+    /// Events of each instance, without the instances that the batch stops.
     by_instance: BTreeMap<InstanceId, Vec<Event>>,
-    /// All instances of the batch, in the order of their first inputs.
+    /// All instances in the batch, in the order of their first inputs.
     order: Vec<InstanceId>,
 }
 
 impl PolicyInstances {
-    /// Passes to each instance its events of one batch, in their order, and collects the actions.
+    /// Passes the events of a batch to their instances, in order, and returns a reply with the
+    /// resulting actions.
     pub fn handle_batch(&mut self, batch: &Batch) -> Result<BatchReply, AdapterError> {
         let inputs = wire::decode_inputs(batch, &mut self.endpoint_lists)?;
         let pending = self.apply_inputs(inputs)?;
@@ -62,7 +63,8 @@
         Ok(reply)
     }
 
-    /// Starts and stops instances, and returns the events of those that run after the batch.
+    /// Starts and stops instances, and returns the events of the instances that are not stopped at
+    /// the end of the batch.
     fn apply_inputs(&mut self, inputs: Vec<AddressedInput>) -> Result<PendingEvents, AdapterError> {
         let mut pending = PendingEvents::default();
         let mut seen = BTreeSet::new();
@@ -90,8 +92,8 @@
     }
 }
 
-/// The actions of one policy. One that has panicked stays in place until the simulator stops or
-/// restarts it.
+/// Returns the actions of one policy. After a panic, the policy remains in use until the simulator
+/// stops or restarts it.
 fn run_policy(
     policy: &mut Policy,
     now: Nanos,
@@ -109,7 +111,8 @@
     }
 }
 
-/// The text that a panic carries: a `String` if it was formatted, else a `&str`.
+/// Returns the text of a panic. The payload is a `String` if the message was formatted, and a
+/// `&str` otherwise.
 fn panic_message(payload: &(dyn Any + Send)) -> String {
     if let Some(text) = payload.downcast_ref::<String>() {
         return text.clone();
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,9 +1,9 @@
 //! Runs the aggregator's policy for the simulator.
 //!
-//! The simulator drives any number of policy instances at once. It sends batches of events on
-//! standard input; for each batch the adapter writes one reply with the instances' actions to
-//! standard output. [`wire`] translates between bytes and the policy's types, [`instances`] passes
-//! the events to the instances. Every decision is in `aggregator-policy`.
+//! The simulator drives any number of policy instances at once. It sends batches of events to
+//! standard input. For each batch, the adapter writes one reply with the actions of the instances
+//! to standard output. [`wire`] translates between bytes and the policy's types, and [`instances`]
+//! passes the events to the instances. All decisions are made in `aggregator-policy`.
 
 mod error;
 mod instances;
@@ -16,7 +16,8 @@
 use wire::Batch;
 
 fn main() -> ExitCode {
-    // The reply reports a policy's panic. Standard error has one line at most, at the end.
+    // A panic of a policy is reported in the reply. Standard error gets at most one line, which
+    // states why the adapter stopped.
     std::panic::set_hook(Box::new(|_| {}));
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
@@ -29,7 +30,7 @@
     }
 }
 
-/// Writes one reply for each batch, until the end of the input.
+/// Writes one reply per batch until the input ends.
 fn answer_batches(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut instances = PolicyInstances::default();
     while let Some(batch) = Batch::read(input)? {
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -1,32 +1,32 @@
-//! Reads batches: a header of five fields, the records, and the tail.
+//! Reads batches. A batch is a header of four fields, the records, and the tail.
 
 use super::error::{BatchError, RecordError};
 use super::fields::Fields;
 use aggregator_policy::api::Nanos;
 use std::io::{ErrorKind, Read};
 
-/// Bytes of a batch's header, and the offsets of its fields.
+/// Length of the header in bytes, and offsets of its fields.
 const HEADER_LENGTH: usize = 20;
 const NUMBER: usize = 0;
 const BODY_LENGTH: usize = 4;
 const CLOCK: usize = 8;
 const RECORD_COUNT: usize = 16;
 
-/// Bytes of one record.
+/// Length of a record in bytes.
 const RECORD_LENGTH: usize = 56;
 
 /// One batch from the simulator.
 pub struct Batch {
-    /// The number that identifies the batch, also in its reply.
+    /// Number that identifies the batch and its reply.
     pub number: u32,
-    /// The time of all its events.
+    /// Time of all events in the batch.
     pub clock: Nanos,
     records: Vec<u8>,
     tail: Vec<u8>,
 }
 
 impl Batch {
-    /// Reads the next batch; `None` at the end of the input.
+    /// Reads the next batch. Returns `None` at the end of the input.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, BatchError> {
         let Some(header) = read_header(input)? else {
             return Ok(None);
@@ -53,18 +53,18 @@
         }))
     }
 
-    /// The records in their order.
+    /// Returns the records in the order sent.
     pub fn records(&self) -> impl Iterator<Item = Fields<'_>> {
         self.records.chunks_exact(RECORD_LENGTH).map(Fields::new)
     }
 
-    /// Bytes of the tail that a record refers to.
+    /// Returns the bytes of the tail that a record refers to.
     pub fn tail_bytes(&self, offset: u32, length: usize) -> Result<&[u8], RecordError> {
         let start = offset as usize;
         start
             .checked_add(length)
             .and_then(|end| self.tail.get(start..end))
-            .ok_or(RecordError::PastTail {
+            .ok_or(RecordError::OutsideTail {
                 offset,
                 length,
                 tail_length: self.tail.len(),
@@ -72,14 +72,14 @@
     }
 }
 
-/// Reads a header; `None` if the input ends before its first byte.
+/// Reads a header. Returns `None` if the input ends before the first byte.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_LENGTH]>, BatchError> {
     let mut header = [0; HEADER_LENGTH];
     let mut bytes_read = 0;
     while bytes_read < HEADER_LENGTH {
         match input.read(&mut header[bytes_read..]) {
             Ok(0) if bytes_read == 0 => return Ok(None),
-            Ok(0) => return Err(BatchError::HeaderCutShort { bytes_read }),
+            Ok(0) => return Err(BatchError::HeaderTruncated { bytes_read }),
             Ok(count) => bytes_read += count,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(BatchError::ReadHeader(error)),
@@ -88,7 +88,7 @@
     Ok(Some(header))
 }
 
-/// Reads a body. The buffer grows as bytes arrive: a wrong length must not reserve memory.
+/// Reads a body. The buffer grows as bytes arrive, so that a wrong length does not allocate memory.
 fn read_body(input: &mut impl Read, batch: u32, length: usize) -> Result<Vec<u8>, BatchError> {
     let mut body = Vec::new();
     input
@@ -96,7 +96,7 @@
         .read_to_end(&mut body)
         .map_err(|source| BatchError::ReadBody { batch, source })?;
     if body.len() < length {
-        return Err(BatchError::BodyCutShort {
+        return Err(BatchError::BodyTruncated {
             batch,
             bytes_read: body.len(),
             length,
--- a/crates/simulator-adapter/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -1,11 +1,12 @@
-//! Endpoint lists. The simulator sends a list once under a number, and events refer to the number.
+//! Decodes and stores endpoint lists. The simulator sends each list once, with a number that events
+//! refer to.
 
 use super::error::RecordError;
 use super::fields::Fields;
 use aggregator_policy::api::{ReplicaEntry, ReplicaState};
 use std::collections::BTreeMap;
 
-/// Bytes of one entry of a list. The offsets of its fields follow.
+/// Length of an entry in bytes. The offsets of the fields of an entry follow.
 pub const ENTRY_LENGTH: usize = 25;
 const CELL: usize = 0;
 const REPLICA: usize = 2;
@@ -13,19 +14,19 @@
 const STARTED: usize = 14;
 const STATE: usize = 24;
 
-/// Codes of a replica's state.
+/// Codes of the state of a replica.
 const STATE_GONE: u8 = 0;
 const STATE_READY: u8 = 1;
 const STATE_DRAINING: u8 = 2;
 
-/// The lists that the simulator has sent, by their numbers.
+/// The lists that the simulator has sent, by number.
 #[derive(Default)]
 pub struct EndpointLists {
     by_number: BTreeMap<u32, Vec<ReplicaEntry>>,
 }
 
 impl EndpointLists {
-    /// Decodes a list and stores it. It replaces an earlier one with the same number.
+    /// Decodes a list and stores it, replacing an earlier list with the same number.
     pub fn insert(&mut self, number: u32, bytes: &[u8]) -> Result<(), RecordError> {
         let entries: Vec<ReplicaEntry> = bytes
             .chunks_exact(ENTRY_LENGTH)
@@ -35,7 +36,7 @@
         Ok(())
     }
 
-    /// The entries of the last list with this number.
+    /// Returns the entries of the last list with this number.
     pub fn entries(&self, number: u32) -> Result<Vec<ReplicaEntry>, RecordError> {
         self.by_number
             .get(&number)
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,88 +1,88 @@
-//! Why input from the simulator is invalid.
+//! Errors in the input from the simulator.
 
 use std::io;
 
-/// Why a batch can't be read or decoded.
+/// An error in reading or decoding a batch.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
     /// The input ends within the header of a batch.
-    #[error("batch header cut short after {bytes_read} bytes")]
-    HeaderCutShort {
-        /// Bytes of the header that were read.
+    #[error("batch header truncated after {bytes_read} bytes")]
+    HeaderTruncated {
+        /// Number of bytes of the header that were read.
         bytes_read: usize,
     },
-    /// The header of a batch can't be read.
-    #[error("cannot read a batch: {0}")]
+    /// The header of a batch cannot be read.
+    #[error("cannot read a batch header: {0}")]
     ReadHeader(#[source] io::Error),
-    /// The body of a batch can't be read.
-    #[error("batch {batch}: {source}")]
+    /// The body of a batch cannot be read.
+    #[error("cannot read the body of batch {batch}: {source}")]
     ReadBody {
-        /// The number of the batch.
+        /// Number of the batch.
         batch: u32,
-        /// Why it can't be read.
+        /// Error of the read.
         source: io::Error,
     },
-    /// The header states more records than its body has space for.
-    #[error("batch {batch}: {records} records do not fit in {length} bytes")]
+    /// The header states more records than fit into the body.
+    #[error("batch {batch}: {records} records do not fit into a body of {length} bytes")]
     RecordsDoNotFit {
-        /// The number of the batch.
+        /// Number of the batch.
         batch: u32,
-        /// The stated number of records.
+        /// Number of records in the header.
         records: usize,
-        /// The stated length of the body.
+        /// Length of the body in the header, in bytes.
         length: usize,
     },
     /// The input ends within the body of a batch.
-    #[error("batch {batch} cut short: {bytes_read} of {length} bytes")]
-    BodyCutShort {
-        /// The number of the batch.
+    #[error("body of batch {batch} truncated: read {bytes_read} of {length} bytes")]
+    BodyTruncated {
+        /// Number of the batch.
         batch: u32,
-        /// Bytes of the body that were read.
+        /// Number of bytes of the body that were read.
         bytes_read: usize,
-        /// The stated length of the body.
+        /// Length of the body in the header, in bytes.
         length: usize,
     },
     /// A record is invalid.
     #[error("batch {batch}, record {record}: {source}")]
     Record {
-        /// The number of the batch.
+        /// Number of the batch.
         batch: u32,
-        /// The index of the record within the batch.
+        /// Index of the record within the batch, from 0.
         record: usize,
-        /// What is wrong with the record.
+        /// Error in the record.
         source: RecordError,
     },
 }
 
-/// What is wrong with a record.
+/// An error in a record.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The record is of a kind that is not known.
-    #[error("unknown event code {0}")]
+    /// The code of the record is unknown.
+    #[error("unknown record code {0}")]
     UnknownKind(u8),
-    /// An attempt or a health check ended in a way that is not known.
-    #[error("unknown outcome {0}")]
+    /// The code for the outcome of an attempt or a health check is unknown.
+    #[error("unknown outcome code {0}")]
     UnknownOutcome(u16),
-    /// A replica on an endpoint list has a state that is not known.
-    #[error("unknown standing {0} of a replica")]
+    /// The code for the state of a replica on an endpoint list is unknown.
+    #[error("unknown replica state code {0}")]
     UnknownReplicaState(u8),
-    /// An endpoint update is of a kind that is not known.
-    #[error("unknown scope {0} of a list")]
+    /// The code for the kind of an endpoint update is unknown.
+    #[error("unknown endpoint update code {0}")]
     UnknownUpdateKind(u8),
-    /// An endpoint update refers to a list that was not sent before.
-    #[error("list {0} was never sent")]
+    /// An endpoint update refers to a list that has not been sent.
+    #[error("endpoint list {0} has not been sent")]
     UnknownList(u32),
-    /// The settings of an instance are not text.
-    #[error("settings are not UTF-8")]
+    /// The settings of an instance are not valid UTF-8.
+    #[error("settings are not valid UTF-8")]
     SettingsNotUtf8,
-    /// The record refers to bytes outside the tail of its batch.
-    #[error("{length} bytes at {offset} lie past the tail of {tail_length}")]
-    PastTail {
-        /// Where the bytes begin.
+    /// The record refers to bytes outside the tail of the batch.
+    #[error("{length} bytes at offset {offset} are outside the tail of {tail_length} bytes")]
+    OutsideTail {
+        /// Offset of the bytes in the tail.
         offset: u32,
-        /// How many bytes there are.
+        /// Number of bytes.
         length: usize,
-        /// The length of the tail.
+        /// Length of the tail in bytes.
         tail_length: usize,
     },
 }
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! Decodes the records that are events for the policy.
+//! Decodes the records that are events of the policy.
 
 use super::batch::Batch;
 use super::endpoint_list::EndpointLists;
@@ -9,7 +9,7 @@
     PartReceived, QueryReceived,
 };
 
-/// The kinds of events, by their codes.
+/// Codes of the events.
 mod kind {
     pub const RESPONSE_STARTED: u8 = 2;
     pub const TIMER_FIRED: u8 = 5;
@@ -21,7 +21,7 @@
     pub const HEALTH_CHECK_ENDED: u8 = 11;
 }
 
-/// The outcomes of attempts and health checks, by their codes.
+/// Codes of the outcomes of attempts and health checks.
 mod outcome {
     pub const SUCCESS: u16 = 0;
     pub const NOT_SENT: u16 = 249;
@@ -33,8 +33,8 @@
     pub const ERROR: u16 = 255;
 }
 
-/// Decodes an event of this kind. Its lists are looked up in `lists`, its bytes in the tail of
-/// `batch`.
+/// Decodes an event of this kind. The endpoint list that the event refers to is looked up in
+/// `lists`, and its variable-length data in the tail of `batch`.
 pub fn decode_event(
     kind: u8,
     record: Fields,
@@ -87,7 +87,7 @@
     }))
 }
 
-/// A query or one of its parts. A part has a shard; the shard of a query is negative.
+/// Decodes a query or one of its parts. The shard of a query is negative.
 fn decode_request_received(record: Fields) -> Event {
     const SHARD: usize = 11;
     let shard = record.f32(SHARD);
@@ -98,8 +98,8 @@
     }
 }
 
-/// Offsets of the fields that queries and parts have in common. The group is a whole number in a
-/// floating-point field.
+/// Offsets of the fields that queries and parts have in common. The group is an integer that is
+/// encoded as a floating-point number.
 const REQUEST_ID: usize = 3;
 const REQUEST_GROUP: usize = 33;
 
@@ -199,7 +199,7 @@
     }
 }
 
-/// A load report: the number of its values in one byte, then the values.
+/// Decodes a load report: one byte with the number of values, followed by the values.
 fn decode_load_report(record: Fields, offset: usize) -> LoadReport {
     const MAX_VALUES: usize = 4;
     const VALUES: usize = 1;
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -1,4 +1,4 @@
-//! Decodes a batch into the inputs of policy instances.
+//! Decodes the records of a batch into inputs of policy instances.
 
 use super::batch::Batch;
 use super::endpoint_list::{EndpointLists, ENTRY_LENGTH};
@@ -7,47 +7,47 @@
 use super::fields::Fields;
 use aggregator_policy::api::Event;
 
-/// The number of a policy instance.
+/// Number of a policy instance, assigned by the simulator.
 pub type InstanceId = u16;
 
-/// An input and the instance that it is for.
+/// An input together with the instance that receives it.
 #[derive(Debug, PartialEq)]
 pub struct AddressedInput {
-    /// The instance.
+    /// Receiving instance.
     pub instance: InstanceId,
-    /// The input.
+    /// Decoded input.
     pub input: InstanceInput,
 }
 
 /// One input of a policy instance.
 #[derive(Debug, PartialEq)]
 pub enum InstanceInput {
-    /// Start the instance, and replace one that runs under its number.
+    /// Start the instance. It replaces a running instance with the same number.
     Start {
-        /// The seed of its random numbers.
+        /// Seed of the policy's random choices.
         seed: u64,
-        /// Its settings, a `key=value` pair a line.
+        /// Settings of the policy, with one `key=value` pair per line.
         settings: String,
     },
     /// Stop the instance and drop its state.
     Stop,
-    /// An event for the policy.
+    /// Pass an event to the policy.
     Event(Event),
 }
 
-/// The kinds of records that are not events, by their codes.
+/// Codes of the records that are not events.
 mod kind {
     pub const START: u8 = 1;
     pub const ENDPOINT_LIST: u8 = 3;
     pub const STOP: u8 = 4;
 }
 
-/// The offset of the code in every record, and of the instance in all but endpoint lists.
+/// Offset of the code in every record, and of the instance in all records but endpoint lists.
 const KIND: usize = 0;
 const INSTANCE: usize = 1;
 
-/// Decodes the records of a batch in their order. Endpoint lists are stored and looked up record by
-/// record, since a batch may send several lists under one number.
+/// Decodes the records of a batch in order. Endpoint lists are stored in `lists` and looked up one
+/// record at a time, since a batch may send several lists with the same number.
 pub fn decode_inputs(
     batch: &Batch,
     lists: &mut EndpointLists,
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,12 +1,12 @@
-//! The simulator's wire: batches of records in, replies of records out.
+//! The wire format of the simulator: batches of events in, replies with actions out.
 //!
-//! All numbers are little-endian. A batch is a header, records of 56 bytes and a tail; a reply is a
-//! header, records of 32 bytes and a tail. What does not fit into a record is in the tail, and the
-//! record has its offset and length there. The simulator defines the layout and the codes: neither
-//! may change here.
+//! All numbers are little-endian. A batch is a header, records of 56 bytes and a tail. A reply is a
+//! header, records of 32 bytes and a tail. Data of variable length is in the tail, and a record
+//! refers to it by offset and length. The simulator defines the layout and the codes, so they must
+//! not change here.
 //!
-//! [`batch`] reads batches, [`input`] decodes their records into the inputs of policy instances,
-//! with [`event`] for the policy's events and [`endpoint_list`] for the lists that these refer to.
+//! [`batch`] reads batches, and [`input`] decodes their records into inputs of policy instances:
+//! [`event`] decodes the events of the policy, and [`endpoint_list`] the lists that these refer to.
 //! [`reply`] encodes the actions.
 
 mod batch;
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,21 +1,21 @@
-//! Encodes replies: a header of three fields, the records, and the tail.
+//! Encodes replies. A reply is a header of three fields, the records, and the tail.
 
 use super::input::InstanceId;
 use aggregator_policy::api::{Action, ReplicaId};
 
-/// Bytes of a reply's header.
+/// Length of the header in bytes.
 const HEADER_LENGTH: usize = 12;
-/// Bytes of one record; unused ones are zero.
+/// Length of a record in bytes, of which unused ones are zero.
 const RECORD_LENGTH: usize = 32;
-/// Bytes of a replica: its address and port.
+/// Length of a replica's address and port in bytes.
 const REPLICA_LENGTH: usize = 6;
 
-/// The receiver of a gossip message to all aggregators.
+/// Receiver of a gossip message that goes to all aggregators.
 const ALL_AGGREGATORS: u32 = u32::MAX;
-/// The field `retry_after` of a rejection without a delay.
+/// Value of the field `retry_after` of a rejection without a delay.
 const NO_RETRY_AFTER: u64 = 0;
 
-/// The kinds of records, by their codes.
+/// Codes of the records.
 mod kind {
     pub const SEND_ATTEMPT: u8 = 1;
     pub const REJECT: u8 = 2;
@@ -32,7 +32,7 @@
     pub const ANSWER: u8 = 13;
 }
 
-/// The reply to one batch, to which actions are appended.
+/// The reply to one batch, while it is built.
 #[derive(Default)]
 pub struct BatchReply {
     records: Vec<u8>,
@@ -97,7 +97,7 @@
         self.push(record);
     }
 
-    /// Appends the message of an instance that has panicked.
+    /// Appends a record that an instance has panicked with this message.
     pub fn push_crash(&mut self, instance: InstanceId, message: &str) {
         let text = self.append_to_tail(message.as_bytes());
         self.push(Record::new(kind::CRASH, instance).tail_range(text));
@@ -118,16 +118,16 @@
     }
 }
 
-/// Bytes in the tail of a reply.
+/// A range of bytes in the tail of a reply.
 struct TailRange {
     offset: u32,
     length: u32,
 }
 
-/// One record, to which fields are appended.
+/// One record of a reply, while it is built.
 struct Record {
     bytes: [u8; RECORD_LENGTH],
-    /// Bytes of the fields so far.
+    /// Number of bytes that the appended fields take.
     length: usize,
 }
 
--- a/crates/simulator-adapter/tests/support/adapter.rs
+++ b/crates/simulator-adapter/tests/support/adapter.rs
@@ -1,4 +1,4 @@
-//! Runs the adapter as the simulator does, and takes its replies apart.
+//! Runs the adapter program and decodes its replies.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,10 +6,10 @@
 const REPLY_HEADER_LENGTH: usize = 12;
 const REPLY_RECORD_LENGTH: usize = 32;
 
-/// One record of a reply, as bytes.
+/// The bytes of one record of a reply.
 pub type ReplyRecord = Vec<u8>;
 
-/// Runs the adapter on this input until it ends.
+/// Runs the adapter with this input and waits until it ends.
 pub fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -17,24 +17,25 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("a pipe");
-    // The adapter may end before it has read all of an invalid input.
+    let mut stdin = child.stdin.take().expect("standard input is a pipe");
+    // The write fails if the adapter ends before it has read all of an invalid input.
     let _ = stdin.write_all(input);
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// The one line that an invalid input gets, with no panic trace and no partial reply.
+/// Returns the error message for an invalid input, which must be one line without a backtrace and
+/// without any reply.
 pub fn error_line(input: &[u8]) -> String {
     let output = run(input);
     assert!(!output.status.success());
     assert!(output.stdout.is_empty());
-    let text = String::from_utf8(output.stderr).expect("plain text");
-    assert_eq!(text.lines().count(), 1, "{text}");
+    let text = String::from_utf8(output.stderr).expect("standard error is UTF-8");
+    assert_eq!(text.lines().count(), 1, "expected one line: {text}");
     text
 }
 
-/// The records of each reply.
+/// Returns the records of each reply.
 pub fn replies(output: &Output) -> Vec<Vec<ReplyRecord>> {
     let mut bytes = &output.stdout[..];
     let mut replies = Vec::new();
@@ -43,7 +44,10 @@
             |offset: usize| u32::from_le_bytes(bytes[offset..offset + 4].try_into().unwrap());
         let records_length = field(4) as usize * REPLY_RECORD_LENGTH;
         let body_length = field(8) as usize;
-        assert!(records_length <= body_length, "records fit in the length");
+        assert!(
+            records_length <= body_length,
+            "expected the records to fit into the body"
+        );
         let body = &bytes[REPLY_HEADER_LENGTH..];
         let records = body[..records_length].chunks(REPLY_RECORD_LENGTH);
         replies.push(records.map(<[u8]>::to_vec).collect());
--- a/crates/simulator-adapter/tests/support/batch.rs
+++ b/crates/simulator-adapter/tests/support/batch.rs
@@ -1,37 +1,38 @@
-//! Builds batches byte by byte, apart from the code under test.
+//! Builds batches byte by byte, independently of the code under test.
 
+/// Length of a record in bytes.
 const RECORD_LENGTH: usize = 56;
-/// The time of every batch, in nanoseconds.
+/// Time of every batch, in nanoseconds.
 pub const CLOCK: u64 = 8_411_201_424;
 const CLIENT_TIMEOUT_NS: u64 = 3_000_000_000;
-/// The group of requests where a test has one query at a time.
+/// Group of queries and parts in tests with one query at a time.
 const GROUP: f32 = 4.0;
-/// The shard of a request that is a query and not a part.
+/// Shard of a request that is a query and not a part.
 const NO_SHARD: f32 = -1.0;
 
-/// Settings that the policy accepts.
+/// Valid settings, including a key that the policy does not know.
 pub const SETTINGS: &str = "classes.count=1\nclasses.0.aim_ns=2000000000\nclasses.0.give_up_ns=6000000000\n\
 classes.0.semantics=read_like\nextra.places=1\nextra.reach=1\nextra.ranges=2\nextra.class_need=1.0\n\
 extra.least_share=1.0\nextra.partial_earns=0.9\nextra.second_step=0\nreplicas_of_me=1\ntick_ns=5000000\n\
 limits.retry_after=true\nlimits.max_retry_after_ns=7\nnever.heard.of=this\n";
 
-/// Codes of updates of the endpoint list.
+/// Codes of the kinds of endpoint updates.
 pub const DELTA: u8 = 0;
 pub const SNAPSHOT: u8 = 1;
 pub const CACHED: u8 = 2;
 pub const UNAVAILABLE: u8 = 3;
 
-/// One replica of an endpoint list, which is ready.
+/// A ready replica on an endpoint list.
 #[derive(Clone, Copy)]
 pub struct Endpoint {
     pub cell: u16,
     pub address: [u8; 6],
     pub zone: u16,
-    /// When it started, in nanoseconds.
+    /// Time of the last start, in nanoseconds.
     pub started: u64,
 }
 
-/// A batch while it is built.
+/// Builder of a batch.
 pub struct Batch {
     number: u32,
     records: Vec<u8>,
@@ -40,7 +41,7 @@
 }
 
 impl Batch {
-    /// A batch without records.
+    /// Creates a batch without records.
     pub fn new(number: u32) -> Batch {
         Batch {
             number,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Appends a record with these fields; the rest of it is zero.
+    /// Appends a record with these fields, padded with zeros.
     pub fn record(mut self, fields: &[&[u8]]) -> Batch {
         let mut record = fields.concat();
         record.resize(RECORD_LENGTH, 0);
@@ -59,7 +60,7 @@
         self
     }
 
-    /// Starts an instance.
+    /// Starts an instance with these settings.
     pub fn start(mut self, instance: u16, settings: &str) -> Batch {
         let offset = self.tail.len() as u32;
         self.tail.extend(settings.as_bytes());
@@ -77,7 +78,7 @@
         self.record(&[&[4], &instance.to_le_bytes()])
     }
 
-    /// Sends an endpoint list with one replica, which is ready.
+    /// Sends an endpoint list with one ready replica at this address.
     pub fn endpoint_list(self, number: u32, address: &[u8; 6]) -> Batch {
         let endpoint = Endpoint {
             cell: 0,
@@ -88,7 +89,7 @@
         self.endpoint_list_of(number, &[endpoint])
     }
 
-    /// Sends an endpoint list.
+    /// Sends an endpoint list with these replicas.
     pub fn endpoint_list_of(mut self, number: u32, endpoints: &[Endpoint]) -> Batch {
         let offset = self.tail.len() as u32;
         for endpoint in endpoints {
@@ -111,12 +112,12 @@
         ])
     }
 
-    /// Sends an instance an update to an endpoint list.
+    /// Sends an instance an endpoint update of the kind `CACHED` with this list.
     pub fn endpoints_updated(self, instance: u16, list: u32) -> Batch {
         self.endpoints_updated_as(instance, list, CACHED)
     }
 
-    /// Sends an instance an update of this kind to an endpoint list.
+    /// Sends an instance an endpoint update of this kind with this list.
     pub fn endpoints_updated_as(self, instance: u16, list: u32, kind: u8) -> Batch {
         self.record(&[
             &[8],
@@ -128,32 +129,32 @@
         ])
     }
 
-    /// Fires the timer with token 0.
+    /// Fires the timer of an instance with the token 0.
     pub fn timer_fired(self, instance: u16) -> Batch {
         self.record(&[&[5], &instance.to_le_bytes()])
     }
 
-    /// Sends an instance a query.
+    /// Sends an instance a query in the default group.
     pub fn query(self, instance: u16, id: u64) -> Batch {
         self.query_in_group(instance, id, GROUP)
     }
 
-    /// Sends an instance a query; the group joins it and its parts.
+    /// Sends an instance a query in this group.
     pub fn query_in_group(self, instance: u16, id: u64, group: f32) -> Batch {
         self.request(instance, id, NO_SHARD, group)
     }
 
-    /// Sends an instance a part of its query.
+    /// Sends an instance a part on this shard, in the default group.
     pub fn part(self, instance: u16, id: u64, shard: f32) -> Batch {
         self.request(instance, id, shard, GROUP)
     }
 
-    /// Sends an instance a part on shard 0, of the query in this group.
+    /// Sends an instance a part on shard 0, in this group.
     pub fn part_in_group(self, instance: u16, id: u64, group: f32) -> Batch {
         self.request(instance, id, 0.0, group)
     }
 
-    /// Sends an instance the event that the client of a query has disconnected.
+    /// Notifies an instance that the client of a query has disconnected.
     pub fn client_disconnected(self, instance: u16, id: u64) -> Batch {
         self.record(&[&[10], &instance.to_le_bytes(), &id.to_le_bytes()])
     }
@@ -174,7 +175,7 @@
         ])
     }
 
-    /// The batch as it is sent.
+    /// Encodes the batch.
     pub fn to_bytes(&self) -> Vec<u8> {
         let body_length = (self.records.len() + self.tail.len()) as u32;
         let mut bytes = Vec::new();
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the simulator runs it: bytes in, bytes out.
+//! Tests of the adapter program: bytes on standard input, bytes on standard output.
 
 mod support {
     pub mod adapter;
@@ -9,21 +9,21 @@
 use support::adapter::{error_line, replies, run, ReplyRecord};
 use support::batch::{Batch, Endpoint, CACHED, CLOCK, DELTA, SETTINGS, SNAPSHOT, UNAVAILABLE};
 
-/// Codes of records in a reply.
+/// Codes of the records of a reply.
 const SEND_ATTEMPT: u8 = 1;
 const SET_TIMER: u8 = 5;
 
-/// Offsets of an attempt's part and replica.
+/// Offsets of the part and the replica in the record of an attempt.
 const ATTEMPT_PART: usize = 3;
 const ATTEMPT_REPLICA: usize = 11;
-/// Bytes of a replica.
+/// Length of a replica's address and port in bytes.
 const REPLICA_LENGTH: usize = 6;
 
-/// The offset of the record count in the header of a batch.
+/// Offset of the record count in the header of a batch.
 const RECORD_COUNT: usize = 16;
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_a_success() {
+fn an_empty_batch_gets_an_empty_reply_and_the_adapter_succeeds_at_the_end_of_input() {
     let output = run(&Batch::new(1).to_bytes());
     assert!(output.status.success());
     assert_eq!(output.stdout, [1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
@@ -48,13 +48,13 @@
     let attempt = reply
         .iter()
         .find(|record| record[0] == SEND_ATTEMPT)
-        .expect("an attempt");
+        .expect("the reply has an attempt");
     assert_eq!(attempt[1..3], [3, 0]);
     assert_eq!(attempt[3..11], 78u64.to_le_bytes());
     assert_eq!(attempt[11..17], address);
     assert!(
         reply.iter().any(|record| record[0] == SET_TIMER),
-        "and a timer"
+        "expected a timer in the reply"
     );
 }
 
@@ -97,24 +97,24 @@
 #[test]
 fn malformed_batches_are_reported_with_their_cause() {
     let error_of = |batch: Batch| error_line(&batch.to_bytes());
-    assert!(error_line(&[1, 2, 3]).contains("header cut short"));
+    assert!(error_line(&[1, 2, 3]).contains("header truncated"));
     let complete = Batch::new(6).timer_fired(0).to_bytes();
-    assert!(error_line(&complete[..40]).contains("batch 6 cut short"));
+    assert!(error_line(&complete[..40]).contains("batch 6 truncated"));
     let mut too_many_records = complete.clone();
     too_many_records[RECORD_COUNT] = 9;
     assert!(error_line(&too_many_records).contains("do not fit"));
     let unknown_code = Batch::new(1).record(&[&[99]]);
-    assert!(error_of(unknown_code).contains("unknown event code 99"));
-    let past_tail = [
+    assert!(error_of(unknown_code).contains("unknown record code 99"));
+    let outside_tail = [
         &[1][..],
         &[0; 10],
         &50u32.to_le_bytes(),
         &9u32.to_le_bytes(),
     ];
-    assert!(error_of(Batch::new(1).record(&past_tail)).contains("past the tail"));
+    assert!(error_of(Batch::new(1).record(&outside_tail)).contains("outside the tail"));
     assert!(error_of(Batch::new(1).endpoints_updated(0, 3)).contains("list 3"));
     let unknown_outcome = [&[6][..], &[0; 17], &77u16.to_le_bytes()];
-    assert!(error_of(Batch::new(1).record(&unknown_outcome)).contains("unknown outcome 77"));
+    assert!(error_of(Batch::new(1).record(&unknown_outcome)).contains("unknown outcome code 77"));
 }
 
 #[test]
@@ -143,7 +143,7 @@
     started: 0,
 };
 
-/// The replicas that a reply sends attempts to, each with its part.
+/// Returns the part and the replica of each attempt in a reply.
 fn attempts(reply: &[ReplyRecord]) -> Vec<(u8, [u8; REPLICA_LENGTH])> {
     let attempts = reply.iter().filter(|record| record[0] == SEND_ATTEMPT);
     let replica = |record: &ReplyRecord| {
@@ -155,13 +155,14 @@
         .collect()
 }
 
-/// Sends a query with a part on shard 0 for each id.
+/// Adds a query to the batch, with one part on shard 0 for each identifier in `parts`.
 fn query_with_parts(batch: Batch, parts: std::ops::Range<u64>) -> Batch {
     let batch = batch.query(0, 7);
     parts.fold(batch, |batch, part| batch.part(0, part, 0.0))
 }
 
-/// The replicas that are in use after a list with `FIRST` and this update to one with `SECOND`.
+/// Returns the replicas in use after a snapshot with `FIRST` and an update of this kind with
+/// `SECOND`.
 fn replicas_after(kind: u8) -> BTreeSet<[u8; REPLICA_LENGTH]> {
     let batch = Batch::new(1)
         .start(0, SETTINGS)
@@ -200,7 +201,7 @@
     assert_eq!(attempts, [(10, SECOND.address), (11, FIRST.address)]);
 }
 
-/// A replica is warming up for 5 s after its start, and gets few parts until then.
+/// A replica is warming up for 5 s after its start, and gets few parts during that time.
 #[test]
 fn the_start_time_of_a_replica_decides_whether_it_is_warming_up() {
     const PARTS: usize = 30;
@@ -209,7 +210,7 @@
         "{SETTINGS}guarantees.cold_from=0.5\nguarantees.cold_ns=5000000000\n\
 guarantees.fall_multiple=2\nguarantees.fall_ns=1000000000\n"
     );
-    let attempts_where_started = |started: u64| {
+    let attempts_with_start_time = |started: u64| {
         let endpoint = Endpoint { started, ..SECOND };
         let batch = Batch::new(1)
             .start(0, &settings)
@@ -218,8 +219,8 @@
         let output = run(&query_with_parts(batch, 10..10 + PARTS as u64).to_bytes());
         attempts(&replies(&output)[0]).len()
     };
-    assert!(attempts_where_started(CLOCK - SECOND_NS) < PARTS);
-    assert_eq!(attempts_where_started(CLOCK - 6 * SECOND_NS), PARTS);
+    assert!(attempts_with_start_time(CLOCK - SECOND_NS) < PARTS);
+    assert_eq!(attempts_with_start_time(CLOCK - 6 * SECOND_NS), PARTS);
 }
 
 #[test]
@@ -235,5 +236,9 @@
         .part_in_group(0, 11, 5.0);
     let output = run(&batch.to_bytes());
     let attempts = attempts(&replies(&output)[0]);
-    assert_eq!(attempts, [(11, SECOND.address)], "nobody waits for part 10");
+    assert_eq!(
+        attempts,
+        [(11, SECOND.address)],
+        "expected no attempt at part 10, whose client has disconnected"
+    );
 }
