--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -82,9 +82,9 @@
         self.discard(query);
     }
 
-    /// Returns whether a query of this class may be answered after its latency objective. It may
-    /// not while permits limit the class: parts that wait at saturated replicas until the deadline
-    /// would hold permits that other queries need to be answered in time.
+    /// Returns whether an answer after the latency objective is worth its cost. It is not while
+    /// permits limit the class: parts that wait at saturated replicas until the deadline would hold
+    /// permits that other queries need to be answered in time.
     pub(super) fn accepts_late_answer(&self, class: usize) -> bool {
         self.context.class(class).late_value > 0.0 && !self.permits.is_limited(class)
     }
--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -1,8 +1,9 @@
 //! The weight cutoff: drops light parts under overload, in classes with partial answers.
 //!
-//! Design: "A fresh aggregator starts it at zero, sending every part. [...] the cutoff climbs one
-//! step toward one eighth, never past the weight that keeps the class's floor of parts sent,
-//! lightest parts dropped first. It sinks after a few quiet seconds."
+//! The design specifies that an aggregator starts with a cutoff of zero and sends every part. Under
+//! overload, the cutoff rises step by step to at most one eighth, and the lightest parts are
+//! dropped first. The parts that minimum coverage needs are always sent. The cutoff falls after a
+//! few seconds without overload.
 //!
 //! Invariant: the cutoff is zero without overload, and is applied to each query once.
 
--- a/crates/policy/src/policy/permits.rs
+++ b/crates/policy/src/policy/permits.rs
@@ -4,8 +4,8 @@
 //! their replicas saturated. From the first such loss on, the class is limited by permits. The
 //! permit of a lost query is not returned; answers in time add permits.
 //!
-//! Invariant: a class without permits still admits one query from time to time. Otherwise the end
-//! of the overload would go unnoticed.
+//! Invariant: a class that has no permits left still admits one query from time to time. Otherwise
+//! the end of the overload would go unnoticed.
 
 use super::tuning;
 use crate::api::Nanos;
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -1,8 +1,9 @@
 //! Replica selection: chooses the replica for each attempt.
 //!
-//! Design: "Each part goes to the replica with least smoothed latency times its own outstanding
-//! parts plus one, counted by call where parts share calls; latency starts at a tenth of the aim,
-//! unheard servers count as average."
+//! The design specifies that each part goes to the replica with the least product of its smoothed
+//! latency and one plus its outstanding parts, or outstanding calls if parts share calls. The
+//! latency starts at a tenth of the latency objective, and replicas without measurements count as
+//! average.
 //!
 //! Invariant: avoided replicas are selected only if there are no others, and among equally avoided
 //! ones, those that the part was sent to before come last. No attempt goes to a replica that is not
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -3,9 +3,9 @@
 //! The parts sent by all aggregators together should not overload such a replica. Aggregators do
 //! not coordinate, so this holds in expectation and is not a hard limit. Each aggregator derives
 //! its allowance from the mean number of results that a replica returns to it. The number of parts
-//! sent would not be usable for this while all replicas are warming up. Dozens of aggregators with
+//! sent would not be a usable measure while all replicas are warming up. Dozens of aggregators with
 //! one part each would still overload the replica, so each allowance is rounded up or down at
-//! random, again in each overload window.
+//! random, with a new random number in each overload window.
 
 use super::context::Context;
 use super::tuning;
@@ -30,7 +30,7 @@
     warm_up_time: Nanos,
     /// Time over which a replica tolerates `overload_multiple`.
     overload_window: Nanos,
-    /// Share of one part, if all aggregators share it equally.
+    /// This aggregator's equal share of one part, from 0 to 1.
     fair_share: f64,
     /// Time in which the count of results decays to 1 / e, ns.
     time_constant: f64,
--- a/crates/policy/src/policy/tuning.rs
+++ b/crates/policy/src/policy/tuning.rs
@@ -12,12 +12,12 @@
 // Weight cutoff.
 /// Highest cutoff, as a share of a step's weight (design: v / n, which is 50 of 400 documents).
 pub const CUTOFF_CEILING: f64 = 0.125;
-/// Smallest change of the cutoff. A quarter of the ceiling keeps the number of parts small that are
-/// dropped because of a pause at one replica.
+/// Smallest change of the cutoff. At a quarter of the ceiling, a pause at one replica causes only
+/// few parts to be dropped.
 pub const CUTOFF_STEP: f64 = CUTOFF_CEILING / 4.0;
 /// Share of late or rejected parts above which the aggregator is overloaded (design: a tenth).
 pub const OVERLOAD_SHARE: f64 = 0.1;
-/// Number of counted parts below which that share is too noisy to be used.
+/// Minimum number of counted parts for that share to be significant.
 pub const OVERLOAD_MIN_PARTS: usize = 8;
 /// Window of the overload signal, and minimum time between two decreases of the cutoff (design: a
 /// second).
@@ -37,8 +37,8 @@
 pub const FLEET_WEIGHT: f64 = 0.03;
 /// Latency assumed before the first measurement, as a share of the objective (design: a tenth).
 pub const INITIAL_LATENCY_SHARE: f64 = 0.1;
-/// Time in objectives in which a replica's latency decays to the mean of all replicas, so that a
-/// slow replica is selected again.
+/// Time in which a replica's latency decays to the mean of all replicas, in objectives. The decay
+/// lets a slow replica be selected again.
 pub const DECAY_OBJECTIVES: f64 = 5.0;
 /// Mean deviations above the mean latency after which an answer is overdue.
 pub const HEDGING_DELAY_DEVIATIONS: f64 = 4.0;
@@ -67,7 +67,7 @@
 pub const MAX_HEDGE_FACTOR: f64 = 1.5;
 /// Decrease of that factor per unit of the share of hedged requests that lose.
 pub const HEDGE_FACTOR_SLOPE: f64 = 2.0;
-/// Number of replicas with lost connections from which on a query is treated as a query of death.
+/// Minimum number of replicas with lost connections for a query to count as a query of death.
 pub const QUERY_OF_DEATH_REPLICAS: usize = 3;
 
 // Outlier detection and slow start.
@@ -75,7 +75,7 @@
 pub const BASE_EJECTION_OBJECTIVES: f64 = 0.5;
 /// Longest ejection time, in objectives.
 pub const MAX_EJECTION_OBJECTIVES: f64 = 4.0;
-/// Share of outliers among the ready replicas from which on health checks are sent.
+/// Minimum share of outliers among the ready replicas at which health checks are sent.
 pub const HEALTH_CHECK_SHARE: f64 = 0.1;
 /// Time for which a replica that rejected a part counts as saturated, as a share of the objective.
 pub const SATURATION_SHARE: f64 = 0.125;
@@ -130,7 +130,7 @@
 /// Time for which connections are renewed, and for which renewal that did not help does not start
 /// again, in objectives.
 pub const RENEWAL_OBJECTIVES: f64 = 15.0;
-/// Number of timer periods that an action is taken ahead of a time that must not be missed.
+/// Number of timer periods by which an action precedes a time that must not be missed.
 pub const SPARE_TIMER_PERIODS: Nanos = 2;
 /// Number of timer periods in the shortest objective.
 pub const TIMER_PERIODS_PER_OBJECTIVE: Nanos = 200;
