--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -106,7 +106,7 @@
         if previous == 0.0 {
             output.log("weight cutoff raised above zero: dropping light parts");
         } else if value == 0.0 {
-            output.log("weight cutoff lowered to zero: sending all parts");
+            output.log("weight cutoff lowered to zero: no longer dropping light parts");
         }
     }
 }
--- a/crates/policy/src/state/open_queries.rs
+++ b/crates/policy/src/state/open_queries.rs
@@ -1,4 +1,4 @@
-//! The collection of open queries, which are those that have not ended.
+//! The collection of open queries. A query is open until it ends.
 
 use super::{PartState, QueryState};
 use crate::api::RequestId;
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -114,8 +114,8 @@
 fn a_past_overload_causes_no_rejection() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 1);
     harness.serve_query(0, 1500);
-    let (_, during) = harness.query(1510, 0, &[1.0]);
-    assert_eq!(final_actions(&during), ["rejected"]);
+    let (_, soon_after) = harness.query(1510, 0, &[1.0]);
+    assert_eq!(final_actions(&soon_after), ["rejected"]);
     let (_, later) = harness.query(6000, 0, &[1.0]);
     assert_eq!(sent_attempts(&later).len(), 1);
 }
@@ -216,7 +216,7 @@
 /// A part waits at a saturated replica until its attempt times out, even if it is cancelled. While
 /// permits limit the class, attempts time out at the objective.
 #[test]
-fn no_part_waits_past_the_objective_while_permits_are_short() {
+fn no_part_waits_beyond_the_objective_while_permits_limit_its_class() {
     let with_late_value = QueryClass {
         late_value: 0.3,
         ..class(400, 1.0)
--- a/crates/policy/tests/completion.rs
+++ b/crates/policy/tests/completion.rs
@@ -271,7 +271,7 @@
 }
 
 /// No retry can be sent if the retry budget is used up until the objective, or if no replica holds
-/// the shard. The query must not stay open until its objective then.
+/// the shard. Such a query must be rejected at once and not stay open until its objective.
 #[test]
 fn a_query_whose_retry_cannot_be_sent_is_rejected_at_once() {
     let spent = RetryBudget {
