--- a/crates/ini-config/src/settings.rs
+++ b/crates/ini-config/src/settings.rs
@@ -65,7 +65,7 @@
     }
 
     /// The names with which a named section appears, in alphabetical order.
-    pub fn names(&self, section: &str) -> Vec<&str> {
+    pub fn section_names(&self, section: &str) -> Vec<&str> {
         self.values.section_names(section)
     }
 
@@ -74,7 +74,7 @@
         let mut values = Vec::new();
         for section in schema.0 {
             let names = if section.named {
-                self.names(section.name)
+                self.section_names(section.name)
             } else {
                 vec![NO_NAME]
             };
--- a/crates/ini-config/tests/settings.rs
+++ b/crates/ini-config/tests/settings.rs
@@ -55,7 +55,7 @@
     assert_eq!(log.count("queue"), Some(10));
     assert_eq!(log.text("every"), Some("daily"));
     assert!(log.flag("colour"));
-    assert_eq!(settings.names("member"), ["n0", "n1"]);
+    assert_eq!(settings.section_names("member"), ["n0", "n1"]);
     let address = |name| {
         settings
             .named_section(&SCHEMA, "member", name)
--- a/crates/opensearch-gateway/src/settings/index.rs
+++ b/crates/opensearch-gateway/src/settings/index.rs
@@ -56,7 +56,7 @@
     schema: &Schema,
 ) -> Result<BTreeMap<String, IndexSettings>, Problems> {
     let mut indices = BTreeMap::new();
-    for name in settings.names(INDEX_SECTION.name) {
+    for name in settings.section_names(INDEX_SECTION.name) {
         let section = settings.named_section(schema, INDEX_SECTION.name, name);
         indices.insert(name.to_string(), read_index(&section, name)?);
     }
--- a/crates/opensearch-gateway/src/settings/tenant.rs
+++ b/crates/opensearch-gateway/src/settings/tenant.rs
@@ -52,7 +52,7 @@
     tenant_source: TenantSource,
 ) -> Result<TenantNetworks, Problems> {
     let mut rules = Vec::new();
-    for name in settings.names(NETWORK_SECTION.name) {
+    for name in settings.section_names(NETWORK_SECTION.name) {
         let section = settings.named_section(schema, NETWORK_SECTION.name, name);
         if !tenant_source.uses_networks() {
             let reason = "is never used, as [opensearch] tenant-by does not go by networks";
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -158,7 +158,7 @@
     }
 
     fn members(&self) -> Result<BTreeMap<String, Member>, Problems> {
-        let names = self.settings.names(MEMBER.name).into_iter();
+        let names = self.settings.section_names(MEMBER.name).into_iter();
         names
             .map(|name| Ok((name.to_string(), self.member(name)?)))
             .collect()
@@ -191,7 +191,7 @@
     }
 
     fn prices(&self) -> Result<BTreeMap<String, Price>, Problems> {
-        let names = self.settings.names(PRICE.name).into_iter();
+        let names = self.settings.section_names(PRICE.name).into_iter();
         names
             .map(|name| Ok((name.to_string(), self.price(name)?)))
             .collect()
@@ -211,7 +211,7 @@
             let values = self.settings.named_section(self.schema, TENANT.name, name);
             Some((name.to_string(), values.count("allowance")?))
         };
-        let names = self.settings.names(TENANT.name).into_iter();
+        let names = self.settings.section_names(TENANT.name).into_iter();
         names.filter_map(allowance).collect()
     }
 
