--- a/crates/aggregator/tests/command_line.rs
+++ b/crates/aggregator/tests/command_line.rs
@@ -26,12 +26,12 @@
     ("[periods]\nevery = weekly\n", "2: [periods] every = weekly"),
     ("[periods]\nzone = Asia/Colomb\n", "2: [periods] zone: there is no time zone"),
     ("[export]\nurl = ftp://x\n", "2: [export] url: must begin with http://"),
-    ("[opensearch]\nlisten = 127.0.0.1:1\n", "2: [opensearch] listen: there is no [index NAME]"),
+    ("[opensearch]\nlisten = 127.0.0.1:1\n", "2: [opensearch] listen: requires at least one [index NAME]"),
     ("[opensearch]\nlisten = 127.0.0.1:1\n[index a]\nclass = c\nshards = 0-3,2\n", "5: [index a] shards: shard 2"),
     (
         "[opensearch]\nlisten = 127.0.0.1:1\ntenant-by = network\n[index a]\nclass = c\nshards = 0\n\
          [network x]\ntenant = t\nprefixes = 10.0.0.0/8\n[network y]\ntenant = t\nprefixes = 10.1.0.0/16\n",
-        "12: [network y] prefixes: 10.1.0.0/16 lies in a network of 't' already",
+        "12: [network y] prefixes: 10.1.0.0/16 is already covered by a wider network of tenant 't'",
     ),
     ("level = info\n", "1: 'level' stands in no section"),
 ];
--- a/crates/opensearch-gateway/src/compression.rs
+++ b/crates/opensearch-gateway/src/compression.rs
@@ -1,35 +1,36 @@
-//! Gzip compression of bodies, with a bound on the decompressed size.
+//! Gzip compression and decompression of bodies, with a limit on the decompressed size.
 
 use flate2::read::MultiGzDecoder;
 use flate2::write::GzEncoder;
 use flate2::Compression;
 use std::io::{self, Read, Write};
 
-/// Responses shorter than this are not compressed.
+/// Minimum length in bytes of a response that is compressed.
 pub const MIN_COMPRESSED_BYTES: usize = 1024;
 
-/// Capacity reserved for the compressed body: the body's length divided by this.
+/// Ratio of the body's length to the capacity that is reserved for the compressed body.
 const EXPECTED_COMPRESSION_RATIO: usize = 4;
 
-/// Why a body can't be decompressed.
+/// Error of [`decompress`].
 #[derive(Debug, thiserror::Error)]
 pub enum DecompressError {
-    /// The body is not gzip, or is cut short.
+    /// The body is not in gzip format, or is truncated.
     #[error("the body is no gzip: {0}")]
     InvalidGzip(#[source] io::Error),
     /// The decompressed body exceeds the limit.
     #[error("the body unpacks to more than {max_bytes} bytes")]
     TooLong {
-        /// The limit.
+        /// Maximum length of the decompressed body.
         max_bytes: usize,
     },
 }
 
-/// Decompresses a body. It stops after one byte more than `max_bytes`, so that a small body can't
-/// use up the memory.
+/// Decompresses a gzip body.
+///
+/// Decompression stops one byte after `max_bytes`, so that a small body cannot exhaust the memory.
 ///
 /// # Errors
-/// The body is not gzip, or decompresses to more than `max_bytes`.
+/// Returns an error if the body is not valid gzip or decompresses to more than `max_bytes`.
 pub fn decompress(body: &[u8], max_bytes: usize) -> Result<Vec<u8>, DecompressError> {
     let mut decompressed = Vec::new();
     MultiGzDecoder::new(body)
@@ -42,7 +43,9 @@
     Ok(decompressed)
 }
 
-/// Compresses a body. `None` if that fails, which does not happen when writing to memory.
+/// Compresses a body with gzip.
+///
+/// Returns `None` on a write error, which does not occur because the output is in memory.
 pub fn compress(body: &[u8]) -> Option<Vec<u8>> {
     let buffer = Vec::with_capacity(body.len() / EXPECTED_COMPRESSION_RATIO);
     let mut encoder = GzEncoder::new(buffer, Compression::fast());
--- a/crates/opensearch-gateway/src/error.rs
+++ b/crates/opensearch-gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the gateway, and how each is answered over HTTP.
+//! Errors of the gateway and the HTTP responses that report them.
 
 use crate::compression::DecompressError;
 use crate::query_dsl::SearchRequestError;
@@ -12,13 +12,13 @@
 const SECURITY: &str = "security_exception";
 const CIRCUIT_BREAKING: &str = "circuit_breaking_exception";
 
-/// Why a request failed. Its `Display` text is the `reason` that the client sees.
+/// Error of a request. The `Display` text is the `reason` in the response to the client.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum GatewayError {
-    /// The body is not a supported search.
+    /// The body is not a valid or supported search.
     #[error(transparent)]
     InvalidSearch(#[from] SearchRequestError),
-    /// A URL parameter has an unusable value.
+    /// A URL parameter has an invalid value.
     #[error("Failed to parse value [{value}] of parameter [{name}]")]
     InvalidParameter { name: String, value: String },
     /// A URL parameter is not supported.
@@ -27,34 +27,34 @@
     /// No handler exists for the path and method.
     #[error("no handler found for uri [{path}] and method [{method}]")]
     UnknownRoute { path: String, method: Method },
-    /// The body is incomplete or too long.
+    /// The body is truncated or longer than the limit.
     #[error("the body is cut short or longer than {max_bytes} bytes")]
-    BodyTooLong { max_bytes: usize },
-    /// The body did not arrive in time.
+    TruncatedOrTooLongBody { max_bytes: usize },
+    /// The body was not received within the time limit.
     #[error("the body took too long")]
     BodyTimeout,
-    /// The body can't be decompressed.
+    /// The body cannot be decompressed, or is too long when decompressed.
     #[error(transparent)]
-    InvalidGzip(#[from] DecompressError),
-    /// The body's encoding is not supported.
+    Decompress(#[from] DecompressError),
+    /// The `Content-Encoding` of the body is not supported.
     #[error("Content-Encoding [{encoding}] is not supported; gzip is")]
     UnsupportedEncoding { encoding: String },
-    /// The request addresses all indices, of which there is more than one.
+    /// The request refers to all indices, and more than one index is configured.
     #[error("one search goes to one index here: name it")]
     AmbiguousIndex,
-    /// The index does not exist.
+    /// The requested index is not configured.
     #[error("no such index [{index}]")]
     UnknownIndex { index: String },
-    /// The index is configured with a class that the platform does not have.
+    /// The settings assign a class to the index that the platform does not define.
     #[error("index [{index}] is of the class [{class}], which the platform does not name")]
     UnknownClass { index: String, class: String },
-    /// The tenant does not exist.
+    /// The platform does not define the tenant.
     #[error("there is no tenant [{tenant}]")]
     UnknownTenant { tenant: String },
-    /// The request can't be attributed to a tenant.
+    /// The tenant of the request cannot be determined.
     #[error("nothing tells the tenant: see tenant-by in the settings")]
     MissingTenant,
-    /// The preference names shards that the index does not have.
+    /// The `preference` selects shards that the index does not have.
     #[error("the preference names shards that index [{index}] does not have")]
     UnknownShards { index: String },
     /// The aggregator rejected the query to shed load.
@@ -63,28 +63,28 @@
         retry_after_hint(.retry_after)
     )]
     Rejected { retry_after: Option<Duration> },
-    /// The aggregator found the query invalid.
+    /// The aggregator rejected the query as invalid.
     #[error("{reason}")]
     InvalidQuery { status: u16, reason: &'static str },
-    /// The shards' answers are too large to be merged.
+    /// The answers of the shards exceed the size limit for merging.
     #[error("the shards' answers hold {bytes} bytes, and {max_bytes} may be held")]
     AnswersTooLarge { bytes: usize, max_bytes: usize },
-    /// The aggregator failed the query.
+    /// The query failed, so no shard has a usable answer.
     #[error("all shards failed or were too late")]
     AllShardsFailed { index: String, shards: ShardSummary },
-    /// The usable answers cover less than the minimum of the query's class.
+    /// The usable answers do not reach the minimum coverage of the query's class.
     #[error("{} of {} shards failed", shards.failures.len(), shards.total)]
     BelowMinimumCoverage { index: String, shards: ShardSummary },
     /// The client does not accept partial results.
     #[error("Partial shards failure")]
     PartialResults { index: String, shards: ShardSummary },
-    /// The body of a count has more than a query.
+    /// The body of a count contains paging, sort keys or aggregations.
     #[error("a count takes a query only")]
-    NotACount,
-    /// The lines of a multi-search do not form pairs.
+    UnsupportedCountOption,
+    /// The number of lines in a multi-search is zero or odd.
     #[error("a search has two lines, each ended by a newline")]
     UnpairedLines,
-    /// A multi-search holds too many searches.
+    /// A multi-search has too many searches.
     #[error("{searches} searches at once, and {max_searches} at most")]
     TooManySearches {
         searches: usize,
@@ -93,7 +93,7 @@
     /// The header line of a search in a multi-search is malformed.
     #[error("the line before it: {0}")]
     InvalidSearchHeader(#[source] serde_json::Error),
-    /// The header line of a search in a multi-search names no or several indices.
+    /// The header line of a search in a multi-search does not name exactly one index.
     #[error("one search goes to one index here")]
     NotOneIndex,
     /// The header line of a search in a multi-search has an unsupported option.
@@ -101,15 +101,16 @@
     UnsupportedSearchOption,
 }
 
-/// The HTTP response to a request that failed.
+/// The HTTP response to a failed request.
 #[derive(Debug)]
 pub(crate) struct ErrorResponse {
     pub(crate) status: StatusCode,
     pub(crate) body: Value,
-    /// The value of `Retry-After`.
+    /// Delay to send as `Retry-After`.
     pub(crate) retry_after: Option<Duration>,
 }
 
+/// Returns the part of the reason that states the retry delay; empty without a delay.
 fn retry_after_hint(retry_after: &Option<Duration>) -> String {
     match retry_after {
         Some(delay) => format!("; come back in {} ms", delay.as_millis()),
@@ -118,14 +119,16 @@
 }
 
 impl GatewayError {
-    /// The status of the HTTP response.
+    /// Returns the status of the HTTP response.
     fn status(&self) -> StatusCode {
         match self {
             Self::MissingTenant => StatusCode::UNAUTHORIZED,
             Self::UnknownTenant { .. } => StatusCode::FORBIDDEN,
             Self::UnknownIndex { .. } => StatusCode::NOT_FOUND,
             Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
-            Self::BodyTooLong { .. } | Self::InvalidGzip(_) => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::TruncatedOrTooLongBody { .. } | Self::Decompress(_) => {
+                StatusCode::PAYLOAD_TOO_LARGE
+            }
             Self::UnsupportedEncoding { .. } => StatusCode::UNSUPPORTED_MEDIA_TYPE,
             Self::Rejected { .. } | Self::AnswersTooLarge { .. } => StatusCode::TOO_MANY_REQUESTS,
             Self::UnknownClass { .. } => StatusCode::INTERNAL_SERVER_ERROR,
@@ -139,11 +142,11 @@
         }
     }
 
-    /// The `type` of the error on the wire.
+    /// Returns the `type` of the error in the JSON response.
     fn kind(&self) -> &'static str {
         match self {
             Self::InvalidSearch(error) if !error.cause.exceeds_limit() => PARSING,
-            Self::NotACount | Self::InvalidSearchHeader(_) => PARSING,
+            Self::UnsupportedCountOption | Self::InvalidSearchHeader(_) => PARSING,
             Self::UnknownIndex { .. } => "index_not_found_exception",
             Self::UnknownClass { .. } => "illegal_state_exception",
             Self::UnknownTenant { .. } | Self::MissingTenant => SECURITY,
@@ -156,7 +159,7 @@
         }
     }
 
-    /// The response to the client.
+    /// Returns the HTTP response that reports this error.
     pub(crate) fn to_response(&self) -> ErrorResponse {
         let (status, kind, reason) = (self.status(), self.kind(), self.to_string());
         let mut root_cause = json!({"type": kind, "reason": reason});
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Adds the members that only errors of this kind have.
+    /// Adds the members that are specific to this kind of error.
     fn add_details(&self, error: &mut Value) {
         match self {
             Self::UnknownIndex { index } => add_index(error, index),
@@ -197,6 +200,7 @@
     }
 }
 
+/// Adds the members that identify a missing index.
 fn add_index(error: &mut Value, index: &str) {
     error["index"] = json!(index);
     error["resource.type"] = json!("index_or_alias");
--- a/crates/opensearch-gateway/src/lib.rs
+++ b/crates/opensearch-gateway/src/lib.rs
@@ -1,14 +1,15 @@
-//! An OpenSearch-style HTTP frontend on the aggregator's core.
+//! HTTP frontend of the aggregator for a subset of the OpenSearch search API.
 //!
 //! [`server`] accepts HTTP requests, optionally over [`tls`], and runs each search as one query of
-//! the aggregator, subject to the same policy as every native query; its page says from which call
-//! on both are the same. The other modules have no I/O:
+//! the aggregator, subject to the same policy as a native query. The documentation of [`server`]
+//! describes where the two kinds of queries start to share one code path. The other modules perform
+//! no I/O:
 //!
-//! - [`query_dsl`] parses a request's body into a typed search and rewrites it for the shards,
-//! - [`merge`] merges the shards' answers,
-//! - [`networks`] finds the client's address and the tenant that it belongs to,
-//! - [`compression`] compresses bodies,
-//! - [`settings`] reads the sections of the INI file.
+//! - [`query_dsl`] parses a request body into a typed search and rewrites it for the shards,
+//! - [`merge`] merges the answers of the shards,
+//! - [`networks`] determines the client's address and the tenant that owns this address,
+//! - [`compression`] compresses and decompresses bodies,
+//! - [`settings`] reads the gateway's sections of the INI file.
 
 pub mod compression;
 mod error;
--- a/crates/opensearch-gateway/src/merge/aggregations.rs
+++ b/crates/opensearch-gateway/src/merge/aggregations.rs
@@ -1,4 +1,4 @@
-//! Reduces the shards' partial aggregations.
+//! Reduces the partial aggregations of the shards.
 
 use super::ordering::compare_sort_values;
 use crate::query_dsl::{Aggregation, SortOrder};
@@ -17,7 +17,7 @@
     }
 }
 
-/// Reduces one aggregation from the partial results of the shards.
+/// Reduces the partial results of the shards to the final result of one aggregation.
 pub(super) fn reduce(aggregation: &Aggregation, partials: &[Value]) -> Value {
     match aggregation {
         Aggregation::Min(_) => json!({"value": min_of(partials, "value")}),
@@ -37,7 +37,7 @@
     }
 }
 
-/// The finite numbers under `key` in all partial results.
+/// Returns the finite numbers under `key` in the partial results.
 fn numbers<'a>(partials: &'a [Value], key: &'a str) -> impl Iterator<Item = f64> + 'a {
     partials
         .iter()
@@ -61,24 +61,25 @@
     partials.iter().map(|partial| count(partial, key)).sum()
 }
 
-/// The average by the shards' counts and sums; none where there is nothing to average.
+/// Returns the average, computed from the shards' counts and sums, or `None` if the count is zero.
 fn average_of(partials: &[Value]) -> Option<f64> {
     let count = count_of(partials, "count");
     (count > 0).then(|| sum_of(partials, "sum") / count as f64)
 }
 
-/// The unsigned integer under `key`, 0 if there is none.
+/// Returns the unsigned integer under `key`, or 0 if it is missing or malformed.
 fn count(partial: &Value, key: &str) -> u64 {
     partial.get(key).and_then(Value::as_u64).unwrap_or(0)
 }
 
-/// A well-formed bucket in the partial result of a shard.
+/// A bucket in the partial result of a shard.
 struct PartialBucket<'a> {
     key: &'a Value,
     doc_count: u64,
 }
 
 impl PartialBucket<'_> {
+    /// Returns `None` if the bucket is malformed.
     fn parse(bucket: &Value) -> Option<PartialBucket<'_>> {
         Some(PartialBucket {
             key: bucket.get("key")?,
@@ -87,7 +88,7 @@
     }
 }
 
-/// The well-formed buckets of one partial result.
+/// Returns the buckets of one partial result, without the malformed ones.
 fn buckets(partial: &Value) -> impl Iterator<Item = PartialBucket<'_>> {
     let buckets = partial.get("buckets").and_then(Value::as_array);
     buckets
@@ -96,7 +97,7 @@
         .filter_map(PartialBucket::parse)
 }
 
-/// Adds up the buckets of all partial results by key, in the order of the keys' JSON.
+/// Sums the document counts of all partial results by key, sorted by the JSON text of the keys.
 fn sum_buckets(partials: &[Value]) -> Vec<Bucket> {
     let mut sums: BTreeMap<String, Bucket> = BTreeMap::new();
     for PartialBucket { key, doc_count } in partials.iter().flat_map(buckets) {
@@ -109,6 +110,7 @@
     sums.into_values().collect()
 }
 
+/// Sums the buckets of all partial results and sorts them by key.
 fn reduce_histogram(partials: &[Value]) -> Value {
     let mut buckets = sum_buckets(partials);
     buckets.sort_by(|left, right| compare_sort_values(&left.key, &right.key, SortOrder::Asc));
@@ -116,17 +118,17 @@
     json!({ "buckets": buckets })
 }
 
-/// The most frequent terms, with the bound on the error of their counts.
+/// Returns the `size` most frequent terms, with an upper bound on the error of their counts.
 fn reduce_terms(size: usize, partials: &[Value]) -> Value {
     let error_bound: u64 = partials.iter().map(terms_error_bound).sum();
-    let left_out: u64 = partials.iter().map(left_out_doc_count).sum();
+    let omitted: u64 = partials.iter().map(omitted_doc_count).sum();
     let mut buckets = sum_buckets(partials);
     buckets.sort_by(|left, right| {
         let by_count = right.doc_count.cmp(&left.doc_count);
         by_count.then_with(|| compare_sort_values(&left.key, &right.key, SortOrder::Asc))
     });
-    let beyond_page = buckets.iter().skip(size).map(|bucket| bucket.doc_count);
-    let other_doc_count = left_out + beyond_page.sum::<u64>();
+    let beyond_size = buckets.iter().skip(size).map(|bucket| bucket.doc_count);
+    let other_doc_count = omitted + beyond_size.sum::<u64>();
     let buckets = buckets.into_iter().take(size);
     let top: Vec<Value> = buckets.map(Bucket::into_json).collect();
     json!({
@@ -136,18 +138,20 @@
     })
 }
 
-/// The number of documents of the terms that a shard did not return.
-fn left_out_doc_count(partial: &Value) -> u64 {
+/// Returns the number of documents whose terms a shard omitted from its partial result.
+fn omitted_doc_count(partial: &Value) -> u64 {
     count(partial, "sum_other_doc_count")
 }
 
-/// How many documents of one term a shard may have left out: at most as many as its least frequent
-/// returned term has, if it left out terms at all, and what the shard itself states.
+/// Returns an upper bound on the number of documents that a shard's count of one term may lack.
+///
+/// The bound is the error that the shard itself reports. If the shard omitted terms, the count of
+/// its least frequent returned term is added, because an omitted term cannot have a higher count.
 fn terms_error_bound(partial: &Value) -> u64 {
-    let stated = count(partial, "doc_count_error_upper_bound");
-    if left_out_doc_count(partial) == 0 {
-        return stated;
+    let reported = count(partial, "doc_count_error_upper_bound");
+    if omitted_doc_count(partial) == 0 {
+        return reported;
     }
     let least_frequent = buckets(partial).map(|bucket| bucket.doc_count).min();
-    least_frequent.unwrap_or(0) + stated
+    least_frequent.unwrap_or(0) + reported
 }
--- a/crates/opensearch-gateway/src/merge/mod.rs
+++ b/crates/opensearch-gateway/src/merge/mod.rs
@@ -1,8 +1,9 @@
-//! Merges the answers of the shards into one response, without I/O.
+//! Merges the answers of the shards into one result, without I/O.
 //!
-//! Hits are ordered by the search's sort keys (by score alone: the highest first), then by shard,
-//! then by id, so that equal inputs always give the same page (see [`compare_sort_values`]). Totals
-//! are added up; if any shard's total is a lower bound, so is the sum.
+//! Hits are ordered by the sort keys of the search (see [`compare_sort_values`]) or, if there are
+//! none, by descending score. Ties are broken by shard number, then by document id, so that equal
+//! answers always produce the same page. Totals are added up; the sum is a lower bound if the total
+//! of any shard is a lower bound.
 
 mod aggregations;
 mod ordering;
@@ -19,26 +20,26 @@
 /// The usable answer of one shard.
 #[derive(Debug)]
 pub struct ShardResult {
-    /// The shard's number.
+    /// Number of the shard within its index.
     pub shard: u32,
-    /// Its answer.
+    /// Answer that passed [`ShardAnswer::parse`].
     pub answer: ShardAnswer,
 }
 
-/// The merged page.
+/// The merged result of a search.
 #[derive(Debug, Default)]
 pub struct MergedResult {
-    /// The number of matching documents; none if no shard has counted them.
+    /// Number of matching documents, or `None` if no shard has counted them.
     pub total: Option<Total>,
-    /// The best score of all shards; none if the search is not sorted by score.
+    /// Highest score of any hit, or `None` if there is none or the search has sort keys.
     pub max_score: Option<f64>,
-    /// The requested page of hits.
+    /// Hits of the requested page, in order.
     pub hits: Vec<ShardHit>,
-    /// Reduced aggregations by their names.
+    /// Reduced aggregations by name.
     pub aggregations: Map<String, Value>,
 }
 
-/// Merges the shards' results for `request`.
+/// Merges the results of the shards for `request`.
 pub fn merge(request: &SearchRequest, results: Vec<ShardResult>) -> MergedResult {
     let mut total = None;
     let mut hits: Vec<RankedHit> = Vec::new();
@@ -61,7 +62,7 @@
     }
 }
 
-/// The sum of two totals, which is a lower bound if one of them is.
+/// Adds `total` to `sum`. The result is a lower bound if either operand is a lower bound.
 fn add_totals(sum: Option<Total>, total: Total) -> Total {
     let Some(sum) = sum else {
         return total;
--- a/crates/opensearch-gateway/src/merge/ordering.rs
+++ b/crates/opensearch-gateway/src/merge/ordering.rs
@@ -1,18 +1,17 @@
-//! The order of hits.
+//! Ordering of hits across shards.
 
 use super::shard_answer::ShardHit;
 use crate::query_dsl::{SearchRequest, SortOrder};
 use serde_json::{Number, Value};
 use std::cmp::Ordering;
 
-/// A hit among those of all shards.
+/// A hit with the shard that returned it.
 pub(super) struct RankedHit {
-    /// The number of the shard that it is from.
     pub(super) shard: u32,
     pub(super) hit: ShardHit,
 }
 
-/// Compares two hits of a page.
+/// Compares two hits by score or sort keys, then by shard, then by document id.
 pub(super) fn compare_hits(
     request: &SearchRequest,
     left: &RankedHit,
@@ -28,7 +27,7 @@
         .then_with(|| left.hit.id.cmp(&right.hit.id))
 }
 
-/// The higher score first; a hit without a score comes last.
+/// Orders hits by descending score. Hits without a score come last.
 fn compare_scores(left: &ShardHit, right: &ShardHit) -> Ordering {
     let left_score = left.score.unwrap_or(f64::MIN);
     let right_score = right.score.unwrap_or(f64::MIN);
@@ -48,8 +47,10 @@
         .unwrap_or(Ordering::Equal)
 }
 
-/// Compares two values of one sort key. Numbers come before strings, strings before booleans, and
-/// missing values last, whatever the direction of the sort.
+/// Compares two values of one sort key.
+///
+/// Numbers come before strings, strings before booleans, and missing values last. `order` applies
+/// only to values of the same type.
 pub fn compare_sort_values(left: &Value, right: &Value, order: SortOrder) -> Ordering {
     let directed = |ordering: Ordering| match order {
         SortOrder::Asc => ordering,
@@ -65,6 +66,7 @@
         })
 }
 
+/// Returns the position of the value's type in the order of types.
 fn type_rank(value: &Value) -> u8 {
     match value {
         Value::Number(_) => 0,
@@ -74,7 +76,7 @@
     }
 }
 
-/// Integers are compared as such: beyond 2^53, two of them may round to the same float.
+/// Compares two numbers. Integers are compared as `i64`, because `f64` rounds integers beyond 2^53.
 fn compare_numbers(left: &Number, right: &Number) -> Ordering {
     if let (Some(left), Some(right)) = (left.as_i64(), right.as_i64()) {
         return left.cmp(&right);
--- a/crates/opensearch-gateway/src/merge/shard_answer.rs
+++ b/crates/opensearch-gateway/src/merge/shard_answer.rs
@@ -1,8 +1,8 @@
-//! The answer of one shard.
+//! Parsing and validation of one shard's answer.
 //!
-//! The names of the deserialized types appear in the `json_parse_exception` texts that clients see
-//! for malformed answers, so they are part of the published behaviour. A type with another name
-//! here has a private copy under the published one.
+//! The `json_parse_exception` errors for malformed answers contain the names of the deserialized
+//! types. Clients may depend on these texts, so the names must not change: [`ShardHit`] is
+//! deserialized through a private type with the earlier name `Hit`.
 
 use crate::query_dsl::SearchRequest;
 use serde::{Deserialize, Serialize};
@@ -10,51 +10,51 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Reason reported for a shard's error that gives none.
+/// Reason in the response for a shard's error that lacks a reason.
 const NO_REASON: &str = "no reason given";
 
-/// The answer of one shard.
+/// A successful answer of one shard.
 #[derive(Debug, Deserialize)]
 pub struct ShardAnswer {
-    /// The shard's hits.
+    /// Best hits of the shard and their total.
     pub hits: ShardHits,
-    /// Partial aggregations by their names.
+    /// Partial aggregations by name.
     #[serde(default)]
     pub aggregations: BTreeMap<String, Value>,
-    /// Whether the shard stopped at its own time limit.
+    /// Whether the shard stopped at its own time limit, before the search was complete.
     #[serde(default)]
     pub timed_out: bool,
 }
 
-/// The hits of one shard.
+/// The `hits` section of a shard's answer.
 #[derive(Debug, Deserialize)]
 pub struct ShardHits {
-    /// The number of matching documents, if it was counted.
+    /// Number of matching documents, or `None` if the shard did not count them.
     #[serde(default)]
     pub total: Option<Total>,
-    /// The shard's best hits.
+    /// Best hits of the shard, in the order of the search.
     pub hits: Vec<ShardHit>,
 }
 
-/// One hit. Its document is passed on as the shard sent it.
+/// One hit. The document in it is passed to the client exactly as the shard sent it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "Hit")]
 pub struct ShardHit {
-    /// The document's id.
+    /// Identifier of the document, unique within the index.
     #[serde(rename = "_id")]
     pub id: String,
-    /// The document's score.
+    /// Relevance score, or `None` if the shard did not compute it.
     #[serde(rename = "_score")]
     pub score: Option<f64>,
-    /// The document, or the requested parts of it.
+    /// The document as raw JSON, reduced to the requested fields.
     #[serde(rename = "_source", skip_serializing_if = "Option::is_none")]
     pub source: Option<Box<RawValue>>,
-    /// One value for each sort key.
+    /// Sort values, one for each sort key of the search.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub sort: Vec<Value>,
 }
 
-/// A [`ShardHit`] under its published name.
+/// Deserialized form of [`ShardHit`], with the name that appears in error texts.
 #[derive(Deserialize)]
 struct Hit {
     #[serde(rename = "_id")]
@@ -81,9 +81,9 @@
 /// A count of matching documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Total {
-    /// The count.
+    /// Exact count or lower bound, depending on `relation`.
     pub value: u64,
-    /// Whether the count is exact.
+    /// Whether `value` is exact or a lower bound.
     pub relation: Relation,
 }
 
@@ -91,13 +91,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Relation {
-    /// The total is exact.
+    /// The total equals the actual count.
     Eq,
-    /// The total is a lower bound.
+    /// The total is a lower bound of the actual count.
     Gte,
 }
 
-/// Why the answer of a shard can't be used.
+/// Reason why a shard has no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum ShardFailure {
     /// No answer arrived before the deadline.
@@ -109,33 +109,33 @@
     /// The shard answered with an error.
     #[error("{reason}")]
     Reported {
-        /// The type of the shard's error.
+        /// Type of the error, as reported by the shard.
         kind: String,
-        /// The reason that the shard gave.
+        /// Reason of the error, as reported by the shard.
         reason: String,
     },
-    /// The answer is not JSON or not of the expected form.
+    /// The answer is not JSON or does not have the expected structure.
     #[error(transparent)]
     Malformed(serde_json::Error),
     /// The number of sort values of a hit differs from the number of sort keys.
     #[error("hit [{id}] lacks its sort values")]
     MissingSortValues {
-        /// The hit's id.
+        /// Document id of the hit.
         id: String,
     },
     /// A score is infinite or not a number.
     #[error("a score that is no number")]
     NonFiniteScore,
-    /// A requested aggregation is missing.
+    /// The answer lacks a requested aggregation.
     #[error("the aggregation [{name}] is missing")]
     MissingAggregation {
-        /// The aggregation's name.
+        /// Name of the aggregation in the request.
         name: String,
     },
 }
 
 impl ShardFailure {
-    /// The type of the error on the wire.
+    /// Returns the `type` of the error in the JSON response.
     pub fn kind(&self) -> &str {
         match self {
             Self::NoAnswer | Self::TimedOut => "timeout_exception",
@@ -149,10 +149,11 @@
 }
 
 impl ShardAnswer {
-    /// Parses a shard's answer and checks that it answers `request`.
+    /// Parses a shard's answer and checks that it contains everything that `request` asks for.
     ///
     /// # Errors
-    /// The shard reported an error, timed out, or its answer does not fit the request.
+    /// The shard reported an error or timed out, the answer is malformed, or the answer does not
+    /// match the request.
     pub fn parse(text: &str, request: &SearchRequest) -> Result<ShardAnswer, ShardFailure> {
         let answer: ShardAnswer = serde_json::from_str(text)
             .map_err(|error| reported_error(text).unwrap_or(ShardFailure::Malformed(error)))?;
@@ -201,13 +202,13 @@
     }
 }
 
-/// The error that a shard answered with, if `text` is a well-formed error.
+/// Parses an error response of a shard. Returns `None` if `text` is not a well-formed error.
 fn reported_error(text: &str) -> Option<ShardFailure> {
     let answer: Value = serde_json::from_str(text).ok()?;
     let error = answer.get("error")?;
-    let text_of = |key: &str| error.get(key).and_then(Value::as_str);
+    let text_member = |key: &str| error.get(key).and_then(Value::as_str);
     Some(ShardFailure::Reported {
-        kind: text_of("type")?.to_string(),
-        reason: text_of("reason").unwrap_or(NO_REASON).to_string(),
+        kind: text_member("type")?.to_string(),
+        reason: text_member("reason").unwrap_or(NO_REASON).to_string(),
     })
 }
--- a/crates/opensearch-gateway/src/networks/client_address.rs
+++ b/crates/opensearch-gateway/src/networks/client_address.rs
@@ -1,14 +1,17 @@
-//! The address of a client behind proxies.
+//! Determines the address of a client behind proxies.
 
 use super::network_map::canonical;
 use super::network_set::NetworkSet;
 use std::net::IpAddr;
 
-/// The address of the client behind trusted proxies.
+/// Returns the address of the client of a request.
 ///
-/// It is the connection's address `peer`, unless that is a trusted proxy's. Then it is the last
-/// address in `forwarded_for`, the lines of `X-Forwarded-For`, that is not a trusted proxy's. If an
-/// entry can't be parsed, it is the address of the proxy that added the entry.
+/// `peer` is the remote address of the connection, and `forwarded_for` has the values of all
+/// `X-Forwarded-For` headers in their order. The result is `peer` unless `peer` is a trusted proxy.
+/// Otherwise, the result is the last address in `forwarded_for` that does not belong to a trusted
+/// proxy. An entry that cannot be parsed ends the search; the result is then the address of the
+/// proxy that added this entry. If all addresses belong to trusted proxies, the result is the first
+/// one.
 pub fn client_address(peer: IpAddr, forwarded_for: &[&str], proxies: &NetworkSet) -> IpAddr {
     let addresses = forwarded_for.iter().flat_map(|line| line.split(','));
     let forwarded: Vec<&str> = addresses.map(str::trim).collect();
--- a/crates/opensearch-gateway/src/networks/mod.rs
+++ b/crates/opensearch-gateway/src/networks/mod.rs
@@ -1,8 +1,8 @@
-//! IP networks: trusted proxies, and tenants by the network that a request comes from. No I/O.
+//! IP networks of trusted proxies and of tenants, without I/O.
 //!
-//! Networks are matched by their longest prefix. Where a client connects through proxies, its
-//! address is the last one in `X-Forwarded-For` that is not a trusted proxy's; the header is
-//! ignored on connections that do not come from a trusted proxy.
+//! Networks are matched by longest prefix. For a client behind proxies, the client's address is the
+//! last address in `X-Forwarded-For` that does not belong to a trusted proxy. The header is ignored
+//! on connections from other peers than trusted proxies.
 
 mod client_address;
 mod network_map;
--- a/crates/opensearch-gateway/src/networks/network_map.rs
+++ b/crates/opensearch-gateway/src/networks/network_map.rs
@@ -1,10 +1,10 @@
-//! Values by network, found by the longest prefix.
+//! A map from networks to values, with lookup by longest prefix.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 use std::net::IpAddr;
 
-/// Values by network, of both address families.
+/// A map from IPv4 and IPv6 networks to values.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct NetworkMap<T> {
     ipv4: PrefixMap<Ipv4Net, T>,
@@ -21,6 +21,7 @@
 }
 
 impl<T> NetworkMap<T> {
+    /// Sets the value of a network and replaces its previous value, if any.
     pub(super) fn insert(&mut self, network: IpNet, value: T) {
         match network.trunc() {
             IpNet::V4(network) => self.ipv4.insert(network, value),
@@ -28,7 +29,7 @@
         };
     }
 
-    /// The value of exactly this network.
+    /// Returns the value of exactly this network.
     pub(super) fn get(&self, network: IpNet) -> Option<&T> {
         match network.trunc() {
             IpNet::V4(network) => self.ipv4.get(&network),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The value of the narrowest network that contains `network`.
+    /// Returns the value of the narrowest network that contains or equals `network`.
     pub(super) fn longest_match(&self, network: IpNet) -> Option<&T> {
         match network.trunc() {
             IpNet::V4(network) => self.ipv4.get_lpm(&network).map(|(_, value)| value),
@@ -49,7 +50,7 @@
     }
 }
 
-/// An IPv4 address in its IPv6-mapped form counts as the IPv4 address.
+/// Converts an IPv4-mapped IPv6 address to the IPv4 address; returns other addresses unchanged.
 pub(super) fn canonical(address: IpAddr) -> IpAddr {
     match address {
         IpAddr::V6(ipv6) => ipv6.to_ipv4_mapped().map_or(address, IpAddr::V4),
@@ -57,7 +58,7 @@
     }
 }
 
-/// The network of a single address.
+/// Returns the network that consists of a single address, in canonical form.
 pub(super) fn host_network(address: IpAddr) -> IpNet {
     IpNet::from(canonical(address))
 }
--- a/crates/opensearch-gateway/src/networks/network_set.rs
+++ b/crates/opensearch-gateway/src/networks/network_set.rs
@@ -1,22 +1,22 @@
-//! A set of networks.
+//! Sets of IP networks.
 
 use super::network_map::{host_network, NetworkMap};
 use ipnet::IpNet;
 use std::net::IpAddr;
 
-/// A set of networks.
+/// A set of IPv4 and IPv6 networks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NetworkSet {
     networks: NetworkMap<()>,
 }
 
 impl NetworkSet {
-    /// Adds a network.
+    /// Adds a network. Host bits beyond the prefix are ignored.
     pub fn insert(&mut self, network: IpNet) {
         self.networks.insert(network, ());
     }
 
-    /// Whether a network of the set contains the address.
+    /// Returns whether any network of the set contains the address.
     pub fn contains(&self, address: IpAddr) -> bool {
         let network = host_network(address);
         self.networks.longest_match(network).is_some()
--- a/crates/opensearch-gateway/src/networks/parse.rs
+++ b/crates/opensearch-gateway/src/networks/parse.rs
@@ -1,31 +1,31 @@
-//! Parsing of networks in the settings.
+//! Parses lists of networks in the settings.
 
 use ipnet::IpNet;
 use std::net::IpAddr;
 
-/// A network in the settings that can't be parsed.
+/// Error from parsing an entry of a list of networks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseNetworkError {
-    /// The text is neither an address nor a network.
-    #[error("'{text}' is no network, as in 10.1.0.0/16")]
+    /// The entry is neither an IP address nor a network.
+    #[error("'{text}' is not an IP address or a network (for example 10.1.0.0/16)")]
     Invalid {
-        /// The text.
+        /// The invalid entry.
         text: String,
     },
-    /// Bits beyond the prefix are set, which hints at a wrong prefix length.
-    #[error("'{text}' has bits past its prefix; is it {truncated}?")]
+    /// Bits beyond the prefix are set, which indicates a wrong prefix length.
+    #[error("'{text}' has bits set beyond its prefix length; did you mean {truncated}?")]
     HostBitsSet {
-        /// The text.
+        /// The invalid entry.
         text: String,
-        /// The network without these bits.
+        /// The network with these bits cleared.
         truncated: IpNet,
     },
 }
 
-/// Parses networks and single addresses that are separated by commas.
+/// Parses a comma-separated list of networks and single addresses. Empty entries are skipped.
 ///
 /// # Errors
-/// The first entry that is not a network.
+/// Returns the error of the first invalid entry.
 pub fn parse_networks(text: &str) -> Result<Vec<IpNet>, ParseNetworkError> {
     text.split(',')
         .map(str::trim)
--- a/crates/opensearch-gateway/src/networks/tenant_networks.rs
+++ b/crates/opensearch-gateway/src/networks/tenant_networks.rs
@@ -1,42 +1,47 @@
-//! Tenants by network.
+//! Maps IP networks to tenants.
 
 use super::network_map::{host_network, NetworkMap};
 use ipnet::IpNet;
 use std::net::IpAddr;
 
-/// A tenant's network that can't be added to a [`TenantNetworks`] table.
+/// Error from adding a network to [`TenantNetworks`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TenantNetworkError {
-    /// The network belongs to a tenant already.
-    #[error("{network} is given to '{tenant}' already")]
+    /// The network is already assigned to the same or another tenant.
+    #[error("{network} is already assigned to tenant '{tenant}'")]
     Duplicate {
-        /// The network.
+        /// Network that could not be added.
         network: IpNet,
-        /// The tenant that has it.
+        /// Tenant to which the network is already assigned.
         tenant: String,
     },
-    /// A wider network already belongs to the same tenant.
-    #[error("{network} lies in a network of '{tenant}' already: the rule changes nothing")]
+    /// A wider network is already assigned to the same tenant.
+    #[error(
+        "{network} is already covered by a wider network of tenant '{tenant}'; \
+         this entry has no effect"
+    )]
     Redundant {
-        /// The network.
+        /// Network that could not be added.
         network: IpNet,
-        /// The tenant.
+        /// Tenant to which the wider network is assigned.
         tenant: String,
     },
 }
 
-/// Tenants by network. An address belongs to the network with the longest prefix.
+/// A map from networks to tenants. The network with the longest prefix determines the tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantNetworks {
     tenants: NetworkMap<String>,
 }
 
 impl TenantNetworks {
-    /// Adds a network. Networks have to be added from the widest to the narrowest: a redundant one
-    /// is found only if the wider network is in the table.
+    /// Assigns a network to a tenant.
+    ///
+    /// Networks must be added in order of increasing prefix length, because a redundant network is
+    /// detected only if the wider network has been added before.
     ///
     /// # Errors
-    /// The rule would have no effect.
+    /// Returns an error if the network is already assigned, or if the assignment has no effect.
     pub fn insert(&mut self, network: IpNet, tenant: &str) -> Result<(), TenantNetworkError> {
         if let Some(other) = self.tenants.get(network) {
             let tenant = other.clone();
@@ -50,13 +55,13 @@
         Ok(())
     }
 
-    /// The tenant of an address.
+    /// Returns the tenant of an address, or `None` if no network contains the address.
     pub fn find(&self, address: IpAddr) -> Option<&str> {
         let network = host_network(address);
         self.tenants.longest_match(network).map(String::as_str)
     }
 
-    /// Whether the table has no network.
+    /// Returns whether no network has been added.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
--- a/crates/opensearch-gateway/src/query_dsl/aggregation.rs
+++ b/crates/opensearch-gateway/src/query_dsl/aggregation.rs
@@ -1,83 +1,84 @@
-//! Aggregations that a search may request.
+//! Supported aggregations.
 
 use super::deserialize::object;
 use serde::{Deserialize, Serialize};
 
-/// Bucket count of a `terms` aggregation that states none.
+/// Default number of buckets of a `terms` aggregation.
 const DEFAULT_TERMS_SIZE: u64 = 10;
 
 fn default_terms_size() -> u64 {
     DEFAULT_TERMS_SIZE
 }
 
-/// An aggregation that takes nothing but a field.
+/// Parameters of an aggregation whose only parameter is a field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FieldAggregation {
-    /// The aggregated field.
+    /// Name of the aggregated field.
     pub field: String,
 }
 
-/// The most frequent values of a field.
+/// Parameters of a `terms` aggregation, which counts the most frequent values of a field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TermsAggregation {
-    /// The aggregated field.
+    /// Name of the aggregated field.
     pub field: String,
-    /// The number of buckets to return.
+    /// Maximum number of buckets to return.
     #[serde(default = "default_terms_size")]
     pub size: u64,
 }
 
-/// Counts by intervals of a numeric field.
+/// Parameters of a `histogram` aggregation, which counts documents by intervals of a numeric field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HistogramAggregation {
-    /// The aggregated field.
+    /// Name of the aggregated field.
     pub field: String,
-    /// The width of a bucket.
+    /// Width of a bucket, in the unit of the field.
     pub interval: f64,
 }
 
-/// Counts by intervals of a date field.
+/// Parameters of a `date_histogram` aggregation, which counts documents by intervals of a date
+/// field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DateHistogramAggregation {
-    /// The aggregated field.
+    /// Name of the aggregated field.
     pub field: String,
-    /// The width of a bucket as a time value, as in `1d` or `30m`.
+    /// Width of a bucket as a time value, for example `1d` or `30m`.
     pub fixed_interval: String,
 }
 
-/// One aggregation.
+/// An aggregation: an object whose only key is the kind of the aggregation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Aggregation {
-    /// `terms`
+    /// `terms`: the most frequent values.
     #[serde(deserialize_with = "object")]
     Terms(TermsAggregation),
-    /// `min`
+    /// `min`: the smallest value.
     #[serde(deserialize_with = "object")]
     Min(FieldAggregation),
-    /// `max`
+    /// `max`: the largest value.
     #[serde(deserialize_with = "object")]
     Max(FieldAggregation),
-    /// `sum`
+    /// `sum`: the sum of the values.
     #[serde(deserialize_with = "object")]
     Sum(FieldAggregation),
-    /// `avg`
+    /// `avg`: the average of the values.
     #[serde(deserialize_with = "object")]
     Avg(FieldAggregation),
-    /// `value_count`
+    /// `value_count`: the number of values.
     #[serde(deserialize_with = "object")]
     ValueCount(FieldAggregation),
-    /// `stats`
+    /// `stats`: count, minimum, maximum, average and sum of the values.
     #[serde(deserialize_with = "object")]
     Stats(FieldAggregation),
-    /// `histogram`
+    /// `histogram`: document counts by numeric interval.
     #[serde(deserialize_with = "object")]
     Histogram(HistogramAggregation),
-    /// `date_histogram`
+    /// `date_histogram`: document counts by time interval.
     #[serde(deserialize_with = "object")]
     DateHistogram(DateHistogramAggregation),
 }
--- a/crates/opensearch-gateway/src/query_dsl/clause.rs
+++ b/crates/opensearch-gateway/src/query_dsl/clause.rs
@@ -1,4 +1,4 @@
-//! Query clauses, and the compound ones among them, which hold other clauses.
+//! Query clauses. This module defines the compound clauses, which contain other clauses.
 
 use super::deserialize::{field_object, object, FieldEntry};
 use super::leaf_clause::{
@@ -10,40 +10,40 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One query clause: an object whose only key is the kind of the clause.
+/// A query clause: an object whose only key is the kind of the clause.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueryClause {
-    /// `match_all`
+    /// `match_all`: matches every document.
     #[serde(deserialize_with = "object")]
     MatchAll(MatchAllQuery),
-    /// `match`
+    /// `match`: full-text match on one field.
     Match(FieldEntry<MatchQuery>),
-    /// `multi_match`
+    /// `multi_match`: full-text match on several fields.
     #[serde(deserialize_with = "object")]
     MultiMatch(MultiMatchQuery),
-    /// `term`
+    /// `term`: exact match of one value.
     Term(FieldEntry<TermQuery>),
-    /// `terms`: matches any of several values.
+    /// `terms`: exact match of any of several values.
     Terms(FieldEntry<Vec<Scalar>>),
-    /// `range`
+    /// `range`: matches values within bounds.
     #[serde(deserialize_with = "field_object")]
     Range(FieldEntry<RangeQuery>),
-    /// `exists`
+    /// `exists`: matches documents that have a field.
     #[serde(deserialize_with = "object")]
     Exists(ExistsQuery),
-    /// `ids`
+    /// `ids`: matches documents by id.
     #[serde(deserialize_with = "object")]
     Ids(IdsQuery),
-    /// `prefix`
+    /// `prefix`: matches values that start with a prefix.
     Prefix(FieldEntry<PrefixQuery>),
-    /// `bool`
+    /// `bool`: boolean combination of clauses.
     #[serde(deserialize_with = "object")]
     Bool(Box<BoolQuery>),
-    /// `constant_score`
+    /// `constant_score`: assigns the same score to all matches of a filter.
     #[serde(deserialize_with = "object")]
     ConstantScore(ConstantScoreQuery),
-    /// `function_score`
+    /// `function_score`: multiplies the score of a query.
     #[serde(deserialize_with = "object")]
     FunctionScore(FunctionScoreQuery),
 }
@@ -84,32 +84,32 @@
     }
 }
 
-/// A boolean combination of clauses.
+/// Parameters of a `bool` clause, which combines clauses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BoolQuery {
-    /// Clauses that have to match and are scored.
+    /// Clauses that must match and contribute to the score.
     #[serde(skip_serializing_if = "ClauseList::is_empty")]
     pub must: ClauseList,
-    /// Clauses that have to match and are not scored.
+    /// Clauses that must match and do not contribute to the score.
     #[serde(skip_serializing_if = "ClauseList::is_empty")]
     pub filter: ClauseList,
-    /// Clauses that may match and are scored.
+    /// Optional clauses, which contribute to the score if they match.
     #[serde(skip_serializing_if = "ClauseList::is_empty")]
     pub should: ClauseList,
     /// Clauses that must not match.
     #[serde(skip_serializing_if = "ClauseList::is_empty")]
     pub must_not: ClauseList,
-    /// How many of the `should` clauses have to match.
+    /// Minimum number of `should` clauses that must match.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub minimum_should_match: Option<u32>,
-    /// Factor on the clause's score.
+    /// Factor by which the score of the clause is multiplied.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub boost: Option<f64>,
 }
 
 impl BoolQuery {
-    /// All clauses that it combines.
+    /// Returns the direct subclauses of all four kinds.
     pub(super) fn clauses(&self) -> impl Iterator<Item = &QueryClause> {
         [&self.must, &self.filter, &self.should, &self.must_not]
             .into_iter()
@@ -117,27 +117,27 @@
     }
 }
 
-/// A filter whose matches all have the same score.
+/// Parameters of a `constant_score` clause, which assigns the same score to all matches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConstantScoreQuery {
-    /// The filter.
+    /// Clause that determines the matches.
     pub filter: Box<QueryClause>,
-    /// The score.
+    /// Score of every match.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boost: Option<f64>,
 }
 
-/// A query whose score is multiplied. No other score function is supported.
+/// Parameters of a `function_score` clause. The only supported score function is a constant weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FunctionScoreQuery {
-    /// The scored query.
+    /// Query whose score is multiplied.
     pub query: Box<QueryClause>,
-    /// Factor on the query's score.
+    /// Factor by which the score of the query is multiplied.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub weight: Option<f64>,
-    /// Factor on the clause's score.
+    /// Factor by which the score of the clause is multiplied.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boost: Option<f64>,
 }
--- a/crates/opensearch-gateway/src/query_dsl/deserialize.rs
+++ b/crates/opensearch-gateway/src/query_dsl/deserialize.rs
@@ -1,4 +1,4 @@
-//! Deserialization helpers shared by the DSL's types.
+//! Deserialization helpers for the types of the query DSL.
 
 use serde::de::{self, DeserializeOwned, Deserializer, MapAccess, Visitor};
 use serde::ser::{SerializeMap, Serializer};
@@ -7,12 +7,12 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// An object with exactly one entry, keyed by a field's name: `{"FIELD": value}`.
+/// An object with exactly one entry, whose key is the name of a field: `{"FIELD": value}`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FieldEntry<T> {
-    /// The field's name.
+    /// Name of the field.
     pub field: String,
-    /// The value or options that the clause, aggregation or sort key states for the field.
+    /// Value or options that the clause or sort key specifies for the field.
     pub value: T,
 }
 
@@ -52,8 +52,10 @@
     }
 }
 
-/// Deserializes from an object only. Derived implementations also accept an array that holds the
-/// fields in their order, which is not part of the DSL.
+/// Wrapper that deserializes `T` from a JSON object only.
+///
+/// Derived implementations also accept an array of the field values in declaration order, which is
+/// not part of the DSL.
 pub(super) struct Object<T>(pub(super) T);
 
 struct ObjectVisitor<T>(PhantomData<T>);
@@ -76,14 +78,14 @@
     }
 }
 
-/// For `deserialize_with`: accepts an object only.
+/// Deserializes `T` from an object only, for use with `deserialize_with`.
 pub(super) fn object<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
     deserializer: D,
 ) -> Result<T, D::Error> {
     Object::deserialize(deserializer).map(|object| object.0)
 }
 
-/// For `deserialize_with`: accepts a [`FieldEntry`] whose value is an object only.
+/// Deserializes a [`FieldEntry`] whose value must be an object, for use with `deserialize_with`.
 pub(super) fn field_object<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
     deserializer: D,
 ) -> Result<FieldEntry<T>, D::Error> {
@@ -94,7 +96,7 @@
     })
 }
 
-/// For `deserialize_with`: accepts one value or an array of values.
+/// Deserializes either one value or an array of values, for use with `deserialize_with`.
 pub(super) fn one_or_more<'de, D: Deserializer<'de>, T: DeserializeOwned>(
     deserializer: D,
 ) -> Result<Vec<T>, D::Error> {
@@ -107,7 +109,7 @@
     from_value(values)
 }
 
-/// Deserializes a JSON value and converts the error to that of the surrounding deserializer.
+/// Deserializes `T` from a JSON value and converts an error to the caller's error type.
 pub(super) fn from_value<T: DeserializeOwned, E: de::Error>(value: Value) -> Result<T, E> {
     serde_json::from_value(value).map_err(de::Error::custom)
 }
--- a/crates/opensearch-gateway/src/query_dsl/error.rs
+++ b/crates/opensearch-gateway/src/query_dsl/error.rs
@@ -1,16 +1,16 @@
-//! Errors of parsing and validating a search request.
+//! Errors from parsing and validating a search request.
 
 use super::limits::{
     MAX_AGGREGATIONS, MAX_BUCKETS, MAX_CLAUSES, MAX_CLAUSE_DEPTH, MAX_RESULT_WINDOW, MAX_SORT_KEYS,
 };
 
-/// Why a search request was rejected, with the field at fault.
+/// Error in a search request, with the path of the invalid field.
 #[derive(Debug, thiserror::Error)]
 #[error("[{path}] {cause}")]
 pub struct SearchRequestError {
-    /// Path of the field, as in `query.bool.must`.
+    /// Path of the invalid field, for example `query.bool.must`.
     pub path: String,
-    /// What is wrong with the field.
+    /// Reason why the field is invalid.
     #[source]
     pub cause: SearchRequestErrorCause,
 }
@@ -24,13 +24,13 @@
     }
 }
 
-/// Why a search request was rejected.
+/// Reason why a search request is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SearchRequestErrorCause {
-    /// The body is not JSON, or not of the supported form.
+    /// The body is not JSON, or does not have the structure of a supported request.
     #[error(transparent)]
     Syntax(#[from] serde_json::Error),
-    /// Clauses are nested too deep.
+    /// Clauses are nested too deeply.
     #[error("clauses are more than {MAX_CLAUSE_DEPTH} deep")]
     ClausesTooDeep,
     /// The query has too many clauses.
@@ -39,75 +39,75 @@
     /// One clause has too many values.
     #[error("a clause has more than {MAX_CLAUSES} values")]
     TooManyValues {
-        /// The number of values.
+        /// Number of values in the clause.
         values: usize,
     },
-    /// The requested page ends beyond the largest result window.
+    /// The requested page ends beyond the maximum result window.
     #[error("from + size is {window}, and {MAX_RESULT_WINDOW} at most")]
     ResultWindowTooLarge {
-        /// `from + size`.
+        /// The sum of `from` and `size` in the request.
         window: u64,
     },
     /// The sort has too many keys.
     #[error("has more than {MAX_SORT_KEYS} keys")]
     TooManySortKeys {
-        /// The number of keys.
+        /// Number of sort keys in the request.
         keys: usize,
     },
     /// The search has too many aggregations.
     #[error("are more than {MAX_AGGREGATIONS}")]
     TooManyAggregations {
-        /// The number of aggregations.
+        /// Number of aggregations in the request.
         aggregations: usize,
     },
-    /// The bucket count of an aggregation is zero or too large.
+    /// The bucket count of a `terms` aggregation is zero or exceeds the maximum.
     #[error("size has to be from 1 to {MAX_BUCKETS}")]
     BucketCountOutOfRange {
-        /// The requested bucket count.
+        /// Bucket count in the request.
         size: u64,
     },
-    /// `search_after` was given without `sort`.
+    /// The request has `search_after` but no `sort`.
     #[error("needs a sort")]
     SearchAfterWithoutSort,
     /// `search_after` and `sort` differ in length.
     #[error("has to have a value for each key of the sort")]
     SearchAfterLength {
-        /// The number of values in `search_after`.
+        /// Number of values in `search_after`.
         values: usize,
-        /// The number of keys in `sort`.
+        /// Number of keys in `sort`.
         keys: usize,
     },
-    /// `search_after` was combined with a non-zero `from`.
+    /// The request combines `search_after` with a non-zero `from`.
     #[error("has to be 0 with search_after")]
     FromWithSearchAfter {
-        /// The requested offset.
+        /// The value of `from` in the request.
         from: u64,
     },
-    /// `search_after` holds an object or an array.
+    /// `search_after` contains an object or an array.
     #[error("takes plain values only")]
     SearchAfterNotScalar,
-    /// `timeout` is not a time value.
+    /// `timeout` is not a valid time value.
     #[error("is no time as in 500ms or 2s")]
     InvalidTimeout {
-        /// The given value.
+        /// The value of `timeout` in the request.
         timeout: String,
     },
-    /// The interval of a histogram is not a finite number above zero.
+    /// The interval of a histogram is not a positive, finite number.
     #[error("interval has to be above 0")]
     InvalidInterval {
-        /// The given value.
+        /// Interval in the request.
         interval: f64,
     },
-    /// The interval of a date histogram is not a time value above zero.
+    /// The interval of a date histogram is not a time value greater than zero.
     #[error("fixed_interval is no time as in 1d or 30m")]
     InvalidFixedInterval {
-        /// The given value.
+        /// Interval in the request.
         fixed_interval: String,
     },
 }
 
 impl SearchRequestErrorCause {
-    /// Whether the request was well formed but exceeds a limit.
+    /// Returns whether the request exceeds a limit, as opposed to being malformed.
     pub fn exceeds_limit(&self) -> bool {
         matches!(
             self,
--- a/crates/opensearch-gateway/src/query_dsl/json_depth.rs
+++ b/crates/opensearch-gateway/src/query_dsl/json_depth.rs
@@ -1,14 +1,14 @@
-//! The nesting depth of a JSON text, found without parsing it.
+//! Determines the nesting depth of a JSON text without parsing it.
 
 use super::error::{SearchRequestError, SearchRequestErrorCause};
 use super::limits::MAX_CLAUSE_DEPTH;
 
-/// Brackets that one level of clauses may open: a clause's object and that of its parameters.
+/// Brackets per level of clauses: one for the clause and one for its parameters.
 const BRACKETS_PER_CLAUSE: usize = 2;
-/// Nested brackets that belong to no clause: the body, arrays of clauses and of values.
+/// Nested brackets outside of clauses: the body, arrays of clauses and arrays of values.
 const MAX_OTHER_BRACKETS: usize = 8;
 
-/// Checks that a body is not nested deeper than the deepest valid request.
+/// Checks that the nesting depth of a body does not exceed that of the deepest valid request.
 pub(super) fn check_json_depth(body: &[u8]) -> Result<(), SearchRequestError> {
     if json_depth(body) > BRACKETS_PER_CLAUSE * MAX_CLAUSE_DEPTH + MAX_OTHER_BRACKETS {
         return Err(SearchRequestError::new(
@@ -19,7 +19,7 @@
     Ok(())
 }
 
-/// The maximum nesting of brackets outside of strings.
+/// Returns the maximum nesting depth of brackets, ignoring brackets in strings.
 fn json_depth(body: &[u8]) -> usize {
     let mut depth = 0usize;
     let mut max_depth = 0;
--- a/crates/opensearch-gateway/src/query_dsl/leaf_clause.rs
+++ b/crates/opensearch-gateway/src/query_dsl/leaf_clause.rs
@@ -1,13 +1,13 @@
-//! Leaf query clauses: those that look at fields and hold no other clause.
+//! Leaf query clauses, which match on fields and contain no other clauses.
 //!
-//! The name of [`Scalar`] appears in error texts that clients see.
+//! The name of [`Scalar`] appears in error responses to clients and must not change.
 
 use super::deserialize::from_value;
 use serde::de::Deserializer;
 use serde::{Deserialize, Serialize};
 use serde_json::{Number, Value};
 
-/// A plain value to compare with.
+/// A scalar value to compare with a field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Scalar {
@@ -19,8 +19,8 @@
     String(String),
 }
 
-/// Defines a clause that the DSL accepts in two forms: the bare value, or an object that holds the
-/// value under the name of the first field, along with options.
+/// Defines the parameters of a clause that the DSL accepts in two forms: a bare value, or an object
+/// with the value, keyed by the name of the first field, and options.
 macro_rules! value_or_object {
     (
         $(#[$type_doc:meta])*
@@ -50,8 +50,8 @@
                     $value: $value_type,
                     $(#[serde(default)] $option: Option<$option_type>,)*
                 }
-                // Chosen by the JSON type, not by trying both: an error in the object form has to
-                // reach the client as it is.
+                // The form is selected by the JSON type. Trying both forms would hide the error
+                // in an invalid object from the client.
                 let value = Value::deserialize(deserializer)?;
                 if value.is_object() {
                     let ObjectForm { $value, $($option),* } = from_value(value)?;
@@ -66,69 +66,69 @@
 }
 
 value_or_object! {
-    /// Full-text match on one field.
+    /// Parameters of a `match` clause, a full-text match on one field.
     MatchQuery {
-        /// The text or value to match.
+        /// Text or value to match.
         query: Scalar,
-        /// How the terms of the text are combined.
+        /// Whether one or all terms of the text must match.
         operator: MatchOperator,
-        /// Factor on the clause's score.
+        /// Factor by which the score of the clause is multiplied.
         boost: f64,
     }
 }
 
 value_or_object! {
-    /// Exact match on one field.
+    /// Parameters of a `term` clause, an exact match on one field.
     TermQuery {
-        /// The value that the field has to have.
+        /// Value that the field must have.
         value: Scalar,
-        /// Factor on the clause's score.
+        /// Factor by which the score of the clause is multiplied.
         boost: f64,
     }
 }
 
 value_or_object! {
-    /// Prefix match on one field.
+    /// Parameters of a `prefix` clause, a prefix match on one field.
     PrefixQuery {
-        /// The prefix.
+        /// Prefix that the field's value must have.
         value: String,
-        /// Factor on the clause's score.
+        /// Factor by which the score of the clause is multiplied.
         boost: f64,
     }
 }
 
-/// How the terms of a [`MatchQuery`] are combined.
+/// Operator that combines the terms of a [`MatchQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MatchOperator {
-    /// One matching term suffices.
+    /// At least one term must match.
     #[serde(alias = "OR")]
     Or,
-    /// All terms have to match.
+    /// All terms must match.
     #[serde(alias = "AND")]
     And,
 }
 
-/// Matches every document.
+/// Parameters of a `match_all` clause, which matches every document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MatchAllQuery {
-    /// Factor on the clause's score.
+    /// Factor by which the score of the clause is multiplied.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boost: Option<f64>,
 }
 
-/// Full-text match on several fields.
+/// Parameters of a `multi_match` clause, a full-text match on several fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MultiMatchQuery {
-    /// The text or value to match.
+    /// Text or value to match.
     pub query: Scalar,
-    /// The fields to search.
+    /// Names of the fields to search.
     pub fields: Vec<String>,
 }
 
-/// Bounds on a field's value.
+/// Bounds of a `range` clause. A missing bound is unlimited.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RangeQuery {
@@ -144,23 +144,23 @@
     /// Inclusive upper bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lte: Option<Scalar>,
-    /// Factor on the clause's score.
+    /// Factor by which the score of the clause is multiplied.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boost: Option<f64>,
 }
 
-/// Matches documents that have a field.
+/// Parameters of an `exists` clause, which matches documents that have a field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExistsQuery {
-    /// The field's name.
+    /// Name of the field.
     pub field: String,
 }
 
-/// Matches documents by their ids.
+/// Parameters of an `ids` clause, which matches documents by id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IdsQuery {
-    /// The ids.
+    /// Document ids to match.
     pub values: Vec<String>,
 }
--- a/crates/opensearch-gateway/src/query_dsl/mod.rs
+++ b/crates/opensearch-gateway/src/query_dsl/mod.rs
@@ -1,8 +1,8 @@
 //! The supported subset of the OpenSearch query DSL.
 //!
 //! A request body is parsed once into a typed [`SearchRequest`]. Unknown fields are rejected with
-//! their path. Nesting depth, clause counts and numeric parameters are bounded (see [`limits`]), so
-//! that the cost of a search is bounded by the size of its body.
+//! their path. Nesting depth, clause counts and numeric parameters are limited (see [`limits`]), so
+//! that the size of the body bounds the cost of the search.
 
 mod aggregation;
 mod clause;
--- a/crates/opensearch-gateway/src/query_dsl/parse.rs
+++ b/crates/opensearch-gateway/src/query_dsl/parse.rs
@@ -1,23 +1,23 @@
-//! Parsing of request bodies.
+//! Parses request bodies.
 
 use super::deserialize::Object;
 use super::error::SearchRequestError;
 use super::json_depth::check_json_depth;
 use super::request::SearchRequest;
 
-/// Path under which errors are reported that concern no single field.
+/// Path of errors that do not concern a single field.
 const ROOT_PATH: &str = ".";
 
 impl SearchRequest {
-    /// Parses and validates a request body. An empty body matches everything.
+    /// Parses and validates a request body. An empty body matches every document.
     ///
     /// # Errors
-    /// The body is malformed, contradicts itself or exceeds a limit.
+    /// Returns an error if the body is malformed, has contradictory parameters or exceeds a limit.
     pub fn parse(body: &[u8]) -> Result<SearchRequest, SearchRequestError> {
         if body.trim_ascii().is_empty() {
             return Ok(SearchRequest::default());
         }
-        // Before the body is parsed, as parsing recurses as deep as the body is nested.
+        // Checked before parsing, because the parser recurses to the nesting depth of the body.
         check_json_depth(body)?;
         let request = deserialize(body)?;
         request.validate()?;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Deserializes a body without checking limits. Errors have the path of the field at fault.
+/// Deserializes a body without checking limits. Errors include the path of the invalid field.
 fn deserialize(body: &[u8]) -> Result<SearchRequest, SearchRequestError> {
     let mut deserializer = serde_json::Deserializer::from_slice(body);
     let Object(request): Object<SearchRequest> =
--- a/crates/opensearch-gateway/src/query_dsl/request.rs
+++ b/crates/opensearch-gateway/src/query_dsl/request.rs
@@ -8,65 +8,65 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Page size of a search that states none.
+/// Default number of hits in a page.
 const DEFAULT_PAGE_SIZE: u64 = 10;
 
-/// Which parts of the documents are returned.
-// Clients see this error text; it keeps the name that it was published with.
+/// Selection of the document fields to return.
+// Clients may depend on this error text, so it contains an earlier name of the type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(
     untagged,
     expecting = "data did not match any variant of untagged enum Source"
 )]
 pub enum SourceFilter {
-    /// All of the document, or nothing of it.
+    /// The whole document if `true`, no part of it if `false`.
     Enabled(bool),
-    /// The parts that match one pattern.
+    /// The fields that match the pattern.
     Pattern(String),
-    /// The parts that match one of several patterns.
+    /// The fields that match any of the patterns.
     Patterns(Vec<String>),
-    /// Patterns to include and to exclude.
+    /// Separate patterns of fields to include and to exclude.
     IncludesExcludes(SourceIncludesExcludes),
 }
 
-/// The long form of a [`SourceFilter`].
+/// The object form of a [`SourceFilter`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SourceIncludesExcludes {
-    /// Patterns of the parts to return.
+    /// Patterns of fields to return.
     pub includes: Vec<String>,
-    /// Patterns of the parts to leave out.
+    /// Patterns of fields to omit.
     pub excludes: Vec<String>,
 }
 
-/// Whether hits are counted, and up to which number.
-// Clients see this error text; it keeps the name that it was published with.
+/// Whether the total number of hits is counted, and up to which number.
+// Clients may depend on this error text, so it contains an earlier name of the type.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(
     untagged,
     expecting = "data did not match any variant of untagged enum Track"
 )]
 pub enum TrackTotalHits {
-    /// Count exactly, or not at all.
+    /// Counts all hits if `true`, and none if `false`.
     Enabled(bool),
-    /// Count exactly up to this number.
+    /// Counts hits exactly up to this number; a larger total is reported as a lower bound.
     UpTo(u64),
 }
 
-/// A search as its body states it.
+/// The body of a search request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SearchRequest {
-    /// The query; none matches every document.
+    /// Query to run; `None` matches every document.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub query: Option<QueryClause>,
-    /// Number of hits to skip.
+    /// Number of hits to skip; see [`SearchRequest::from`] for the default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub from: Option<u64>,
-    /// Number of hits to return.
+    /// Number of hits to return; see [`SearchRequest::size`] for the default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub size: Option<u64>,
-    /// Sort keys; empty sorts by score.
+    /// Sort keys in descending priority. Without sort keys, hits are sorted by score.
     #[serde(
         skip_serializing_if = "Vec::is_empty",
         deserialize_with = "one_or_more"
@@ -75,35 +75,36 @@
     /// Sort values of the last hit of the previous page.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub search_after: Option<Vec<Value>>,
-    /// Which parts of the documents are returned.
+    /// Fields of the documents to return.
     #[serde(rename = "_source", skip_serializing_if = "Option::is_none")]
     pub source: Option<SourceFilter>,
-    /// Whether hits are counted.
+    /// Extent to which hits are counted. By default, the gateway reports totals above 10,000 as a
+    /// lower bound.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub track_total_hits: Option<TrackTotalHits>,
-    /// Minimum score of a hit.
+    /// Minimum score of a returned hit.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub min_score: Option<f64>,
-    /// The client's timeout as a time value, as in `500ms`.
+    /// Client timeout as a time value, for example `500ms`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub timeout: Option<String>,
-    /// Aggregations by their names.
+    /// Aggregations by name.
     #[serde(alias = "aggregations", skip_serializing_if = "BTreeMap::is_empty")]
     pub aggs: BTreeMap<String, Aggregation>,
 }
 
 impl SearchRequest {
-    /// Number of hits to skip, with the default applied.
+    /// Returns the number of hits to skip; 0 by default.
     pub fn from(&self) -> u64 {
         self.from.unwrap_or(0)
     }
 
-    /// Number of hits to return, with the default applied.
+    /// Returns the number of hits to return; 10 by default.
     pub fn size(&self) -> u64 {
         self.size.unwrap_or(DEFAULT_PAGE_SIZE)
     }
 
-    /// Whether hits are sorted by their score alone.
+    /// Returns whether hits are sorted by score, which is the case without sort keys.
     pub fn is_sorted_by_score(&self) -> bool {
         self.sort.is_empty()
     }
--- a/crates/opensearch-gateway/src/query_dsl/shard_request.rs
+++ b/crates/opensearch-gateway/src/query_dsl/shard_request.rs
@@ -1,17 +1,19 @@
-//! Rewriting of a client's request into the request that is sent to each shard.
+//! Rewrites a client's request into the request that is sent to each shard.
 
 use super::aggregation::{Aggregation, TermsAggregation};
 use super::limits::MAX_BUCKETS;
 use super::request::SearchRequest;
 
-/// Buckets requested from a shard beyond one and a half times the client's bucket count.
+/// Number of buckets requested from a shard in addition to 1.5 times the client's bucket count.
 const EXTRA_SHARD_BUCKETS: u64 = 10;
 /// Maximum number of buckets requested from a shard.
 const MAX_SHARD_BUCKETS: u64 = 2 * MAX_BUCKETS;
 
 impl SearchRequest {
-    /// The request that is sent to each shard: its own best hits up to the end of the page, and
-    /// aggregations that can be reduced over shards.
+    /// Returns the request that is sent to each shard.
+    ///
+    /// Each shard is asked for its best hits up to the end of the client's page, and for partial
+    /// aggregations that can be reduced across shards.
     pub fn to_shard_request(&self) -> SearchRequest {
         let mut shard_request = self.clone();
         shard_request.size = Some(self.from() + self.size());
@@ -20,7 +22,7 @@
         shard_request.timeout = None;
         for aggregation in shard_request.aggs.values_mut() {
             match aggregation {
-                // Averages can't be averaged; their counts and sums can be added up.
+                // An overall average requires the count and the sum of each shard.
                 Aggregation::Avg(field) => *aggregation = Aggregation::Stats(field.clone()),
                 Aggregation::Terms(terms) => terms.size = shard_bucket_count(terms),
                 _ => {}
@@ -30,8 +32,10 @@
     }
 }
 
-/// More buckets than the client requested: a term just below the top in one shard may be among the
-/// top over all shards.
+/// Returns the number of buckets to request from each shard.
+///
+/// A shard returns more buckets than the client requested, because a term that just misses the top
+/// of one shard may be among the top terms across all shards.
 fn shard_bucket_count(terms: &TermsAggregation) -> u64 {
     (terms.size + terms.size / 2 + EXTRA_SHARD_BUCKETS).min(MAX_SHARD_BUCKETS)
 }
--- a/crates/opensearch-gateway/src/query_dsl/sort.rs
+++ b/crates/opensearch-gateway/src/query_dsl/sort.rs
@@ -1,26 +1,26 @@
-//! Sort keys.
+//! Sort keys of a search.
 
 use super::deserialize::{from_value, FieldEntry};
 use serde::de::Deserializer;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The pseudo field that sorts by relevance.
+/// Name of the pseudo field that sorts by relevance score.
 const SCORE_FIELD: &str = "_score";
 
 /// Direction of a sort.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SortOrder {
-    /// Ascending.
+    /// Smallest value first.
     #[default]
     Asc,
-    /// Descending.
+    /// Largest value first.
     Desc,
 }
 
 impl SortOrder {
-    /// The direction of a key that states none: best scores first, other fields ascending.
+    /// Returns the default direction: descending for scores, ascending for other fields.
     fn default_for(field: &str) -> SortOrder {
         if field == SCORE_FIELD {
             SortOrder::Desc
@@ -30,13 +30,13 @@
     }
 }
 
-/// One key to sort by: a field or `_score`.
+/// A sort key: a field or `_score`, with a direction.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "FieldEntry<SortOrder>")]
 pub struct SortKey {
-    /// The field's name.
+    /// Name of the field, or `_score`.
     pub field: String,
-    /// The direction.
+    /// Direction of the sort; does not affect the position of missing values.
     pub order: SortOrder,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// `{"order": "asc"}`, the long form of a sort key's value.
+/// The object form of a sort key's value, for example `{"order": "asc"}`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SortOptions {
--- a/crates/opensearch-gateway/src/query_dsl/time_value.rs
+++ b/crates/opensearch-gateway/src/query_dsl/time_value.rs
@@ -1,7 +1,8 @@
-//! Time values, as in `500ms` or `2s`.
+//! Parses time values, for example `500ms` or `2s`.
 
-/// Milliseconds of a whole number with one of the units `ms`, `s`, `m`, `h` and `d`; none if the
-/// text is no such value or overflows.
+/// Parses a whole number with one of the units `ms`, `s`, `m`, `h` and `d` into milliseconds.
+///
+/// Returns `None` if the text does not have this form or the result overflows.
 pub fn parse_time_value_ms(text: &str) -> Option<u64> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
--- a/crates/opensearch-gateway/src/query_dsl/validation.rs
+++ b/crates/opensearch-gateway/src/query_dsl/validation.rs
@@ -1,4 +1,4 @@
-//! Checks on a parsed search request: limits, and parameters that contradict each other.
+//! Validates a parsed search request: limits and contradictory parameters.
 
 use super::aggregation::Aggregation;
 use super::clause::QueryClause;
@@ -9,14 +9,15 @@
 use super::request::SearchRequest;
 use super::time_value::parse_time_value_ms;
 
-/// The depth of a request's own query.
+/// Depth of the outermost clause of a query.
 const TOP_LEVEL_DEPTH: usize = 1;
 
 impl SearchRequest {
-    /// Checks the limits and that the parameters do not contradict each other.
+    /// Checks that the request respects all limits and has no contradictory parameters.
     ///
     /// # Errors
-    /// The first violation. Clients see it, so the order of the checks must not change.
+    /// Returns the first violation. The response to the client contains it, so the order of the
+    /// checks must not change.
     pub fn validate(&self) -> Result<(), SearchRequestError> {
         check_result_window(self)?;
         check_search_after(self)?;
@@ -135,14 +136,14 @@
     }
 }
 
-/// Counts the clauses of a query.
+/// Counts and checks the clauses of a query.
 #[derive(Default)]
 struct ClauseCounter {
     clauses: usize,
 }
 
 impl ClauseCounter {
-    /// Checks a clause, which is nested `depth` deep, and the clauses in it.
+    /// Checks a clause at nesting depth `depth` and all clauses within it.
     fn check(&mut self, clause: &QueryClause, depth: usize) -> Result<(), SearchRequestError> {
         self.clauses += 1;
         if depth > MAX_CLAUSE_DEPTH {
@@ -171,7 +172,7 @@
     }
 }
 
-/// The number of values in the clause itself.
+/// Returns the number of values in a clause, without those of nested clauses.
 fn value_count(clause: &QueryClause) -> usize {
     match clause {
         QueryClause::Terms(terms) => terms.value.len(),
--- a/crates/opensearch-gateway/src/response.rs
+++ b/crates/opensearch-gateway/src/response.rs
@@ -1,4 +1,4 @@
-//! The JSON of successful responses.
+//! Renders successful responses as JSON.
 
 use crate::merge::{MergedResult, Relation, ShardFailure, ShardHit, Total};
 use crate::query_dsl::{SearchRequest, TrackTotalHits};
@@ -6,7 +6,7 @@
 use serde_json::{json, Map, Value};
 use std::time::Duration;
 
-/// The number up to which hits are counted if the search states none.
+/// Number of hits up to which totals are exact if the search does not set `track_total_hits`.
 const DEFAULT_TRACK_TOTAL_HITS: u64 = 10_000;
 
 /// A shard without a usable answer.
@@ -16,16 +16,17 @@
     pub(crate) failure: ShardFailure,
 }
 
-/// How many shards of a search answered, and which failed.
+/// Numbers of shards of a search, and the failures of individual shards.
 #[derive(Debug, Default)]
 pub(crate) struct ShardSummary {
     pub(crate) total: usize,
+    /// Number of shards with a usable answer.
     pub(crate) successful: usize,
     pub(crate) failures: Vec<FailedShard>,
 }
 
 impl ShardSummary {
-    /// The `_shards` member of a response.
+    /// Returns the `_shards` member of a response.
     fn to_json(&self, index: &str) -> Value {
         let mut summary = json!({
             "total": self.total,
@@ -39,7 +40,7 @@
         summary
     }
 
-    /// The failed shards with their reasons.
+    /// Returns the failed shards with their reasons, as a JSON array.
     pub(crate) fn failures_json(&self, index: &str) -> Value {
         let failure_json = |failed: &FailedShard| {
             let reason = json!({
@@ -71,7 +72,7 @@
     hits: Vec<IndexedHit<'a>>,
 }
 
-/// A hit with the name of its index.
+/// A hit with the name of the index that contains it.
 #[derive(Serialize)]
 struct IndexedHit<'a> {
     #[serde(rename = "_index")]
@@ -80,7 +81,10 @@
     hit: &'a ShardHit,
 }
 
-/// The total as the client requested it: none, exact, or capped to a lower bound.
+/// Returns the total in the form that the client requested.
+///
+/// The result is `None` if the client disabled counting. A total above the requested maximum is
+/// replaced by the maximum as a lower bound.
 fn reported_total(request: &SearchRequest, total: Option<Total>) -> Option<Total> {
     let max_value = match request.track_total_hits {
         Some(TrackTotalHits::Enabled(false)) => return None,
@@ -99,7 +103,7 @@
     })
 }
 
-/// The body of the response to a search.
+/// Returns the body of the response to a search.
 pub(crate) fn search_response(
     index: &str,
     request: &SearchRequest,
@@ -121,12 +125,12 @@
     })
 }
 
-/// The body of the response to a count.
+/// Returns the body of the response to a count.
 pub(crate) fn count_response(index: &str, shards: &ShardSummary, count: u64) -> Vec<u8> {
     to_json_bytes(&json!({"count": count, "_shards": shards.to_json(index)}))
 }
 
-/// Serializes a value. The maps of all responses have strings as keys, so it does not fail.
+/// Serializes a value as JSON. Serialization cannot fail, because all maps have string keys.
 pub(crate) fn to_json_bytes(value: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/opensearch-gateway/src/server/body.rs
+++ b/crates/opensearch-gateway/src/server/body.rs
@@ -1,4 +1,4 @@
-//! Reading request bodies.
+//! Reads request bodies.
 
 use super::context::header_text;
 use crate::compression;
@@ -10,10 +10,12 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Maximum duration of receiving a body, counted from the request's head.
+/// Maximum time to receive a body, measured from the end of the request's head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Receives a complete body and decompresses it. Neither form may exceed `max_bytes`.
+/// Receives a complete body and decompresses it if necessary.
+///
+/// `max_bytes` limits both the received body and the decompressed body.
 pub(super) async fn read_body(
     headers: &HeaderMap,
     body: Incoming,
@@ -21,7 +23,7 @@
 ) -> Result<Bytes, GatewayError> {
     let body = match timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(_)) => return Err(GatewayError::BodyTooLong { max_bytes }),
+        Ok(Err(_)) => return Err(GatewayError::TruncatedOrTooLongBody { max_bytes }),
         Err(_) => return Err(GatewayError::BodyTimeout),
     };
     match header_text(headers, CONTENT_ENCODING.as_str()) {
--- a/crates/opensearch-gateway/src/server/connection.rs
+++ b/crates/opensearch-gateway/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! Serving one connection: TLS, then HTTP requests, then its end.
+//! Serves one connection: the TLS handshake, HTTP requests and the shutdown.
 
 use super::context::{Gateway, Peer};
 use super::http;
@@ -15,22 +15,23 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How long connections stay open after listening has stopped, so that a new one can still send its
-/// first request. By then each response closes its connection.
-const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time for which connections stay open after the listener stops accepting, so that a connection
+/// from the backlog can still send its first request. During this time, every response closes its
+/// connection.
+const SHUTDOWN_DELAY: Duration = Duration::from_millis(100);
 /// Maximum duration of a TLS handshake.
 const TLS_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum size of a connection's read buffer, and so of a request's head.
+/// Maximum size of a connection's read buffer, which also limits the size of a request's head.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Serves a connection until it ends.
+/// Serves a connection until it is closed.
 pub(super) async fn serve_connection(
     gateway: Rc<Gateway>,
     tls: Option<&ReloadableTls>,
     stream: TcpStream,
     peer: SocketAddr,
 ) {
-    // A failure only makes the connection slower.
+    // Without TCP_NODELAY the connection works, but with higher latency.
     let _ = stream.set_nodelay(true);
     let peer = Peer {
         address: peer.ip(),
@@ -76,8 +77,8 @@
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     let result = tokio::select! {
         result = connection.as_mut() => result,
-        () = drain_ended(&gateway.aggregator) => {
-            // The request in flight is answered before the connection closes.
+        () = shutdown_delay_elapsed(&gateway.aggregator) => {
+            // Completes the response in flight before the connection closes.
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -87,8 +88,8 @@
     }
 }
 
-/// Returns once the aggregator has stopped accepting and the drain timeout is over.
-async fn drain_ended(aggregator: &InternalClient) {
+/// Completes [`SHUTDOWN_DELAY`] after the aggregator has stopped accepting connections.
+async fn shutdown_delay_elapsed(aggregator: &InternalClient) {
     aggregator.stopped().await;
-    sleep(DRAIN_TIMEOUT).await;
+    sleep(SHUTDOWN_DELAY).await;
 }
--- a/crates/opensearch-gateway/src/server/context.rs
+++ b/crates/opensearch-gateway/src/server/context.rs
@@ -1,4 +1,4 @@
-//! The gateway's state, and what the handlers know of one request.
+//! The state of the gateway and the context of one request.
 
 use crate::error::GatewayError;
 use crate::settings::{GatewaySettings, IndexSettings};
@@ -8,22 +8,23 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// The name that addresses all indices.
+/// The index name that refers to all indices.
 pub(super) const ALL_INDICES: &str = "_all";
-/// The pattern that addresses all indices.
+/// The index pattern that refers to all indices.
 const ALL_INDICES_PATTERN: &str = "*";
 
 /// The state of a running gateway.
 pub(super) struct Gateway {
     pub(super) settings: GatewaySettings,
     pub(super) aggregator: InternalClient,
-    /// Prefix of the names of this process's queries. It makes them unique over all aggregators and
-    /// restarts, as leaf servers require.
+    /// Prefix of query names, random for each process. Leaf servers require query names to be
+    /// unique across all aggregators and restarts.
     pub(super) instance_id: String,
+    /// Number of queries that have been named so far.
     last_query_number: Cell<u64>,
 }
 
-/// An index that a request addresses.
+/// A configured index with its name.
 #[derive(Clone, Copy)]
 pub(super) struct Index<'a> {
     pub(super) name: &'a str,
@@ -40,14 +41,16 @@
         }
     }
 
-    /// A unique name for a query.
+    /// Returns a new, unique query name.
     pub(super) fn next_query_name(&self) -> String {
         let number = self.last_query_number.get() + 1;
         self.last_query_number.set(number);
         format!("{}-{number}", self.instance_id)
     }
 
-    /// The index of this name. All indices may be addressed only if there is just one.
+    /// Returns the index with the given name.
+    ///
+    /// A name that refers to all indices is valid only if exactly one index is configured.
     pub(super) fn find_index(&self, name: &str) -> Result<Index<'_>, GatewayError> {
         if matches!(name, ALL_INDICES | ALL_INDICES_PATTERN) {
             return self.only_index();
@@ -68,20 +71,20 @@
     }
 }
 
-/// The other end of a connection.
+/// The remote end of a connection, which may be a proxy.
 #[derive(Clone)]
 pub(super) struct Peer {
     pub(super) address: IpAddr,
-    /// The common name in its certificate.
+    /// The common name in the peer's certificate, if the peer presented one.
     pub(super) certificate_name: Option<String>,
 }
 
-/// The headers of a request, and the client that sent it.
+/// The headers of a request and the identity of the client that sent it.
 pub(super) struct GatewayRequestHead {
     pub(super) headers: HeaderMap,
-    /// The client's own address, not that of a trusted proxy.
+    /// The client's address; differs from the peer's address behind a trusted proxy.
     pub(super) client_address: IpAddr,
-    /// The common name in the client's certificate.
+    /// The common name in the certificate of the connection's peer.
     pub(super) client_certificate_name: Option<String>,
 }
 
@@ -91,16 +94,16 @@
     }
 }
 
-/// The value of a header, if it is text.
+/// Returns the value of a header, or `None` if the header is missing or not visible ASCII.
 pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// What the handlers know of a request besides its target and body.
+/// The context in which a handler runs: the gateway and the request's head.
 #[derive(Clone)]
 pub(super) struct RequestContext {
     pub(super) gateway: Rc<Gateway>,
-    /// When the request's head arrived, in Unix nanoseconds.
+    /// Time at which the request's head arrived, in nanoseconds since the Unix epoch.
     pub(super) received_at_ns: u64,
     pub(super) head: Rc<GatewayRequestHead>,
 }
--- a/crates/opensearch-gateway/src/server/execution.rs
+++ b/crates/opensearch-gateway/src/server/execution.rs
@@ -1,4 +1,4 @@
-//! Execution of a search on its shards, as one query of the aggregator.
+//! Executes a search on its shards as one query of the aggregator.
 
 use super::context::{GatewayRequestHead, Index, RequestContext};
 use super::parameters::UrlParameters;
@@ -12,13 +12,13 @@
 use std::time::Duration;
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// Set to `1` by a client that retries a request.
+/// Header that a client sets to `1` when it retries a request.
 const X_RETRIED: &str = "x-retried";
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Maximum length of an idempotency key; longer ones are ignored.
+/// Maximum length of an idempotency key. Longer keys are ignored.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// Sends the search as one query with a part for each shard, and collects the shards' answers.
+/// Sends the search as one query with one part per shard and collects the answers of the shards.
 pub(super) async fn execute<'a>(
     context: &'a RequestContext,
     index_name: &str,
@@ -52,12 +52,12 @@
         index,
         AnswerRequirements {
             minimum_coverage: names.minimum_coverages.get(class).copied().unwrap_or(1.0),
-            all_shards: parameters.allow_partial_search_results == Some(false),
+            requires_all_shards: parameters.allow_partial_search_results == Some(false),
         },
     )
 }
 
-/// The number of the index's class among the platform's classes.
+/// Returns the position of the index's class in the platform's list of classes.
 fn find_class(index: Index, names: &NameTables) -> Result<usize, GatewayError> {
     let class = &index.settings.class;
     let mut classes = names.classes.iter();
@@ -69,8 +69,10 @@
         })
 }
 
-/// How long the client waits, at most until the deadline of the class. A timeout in the body takes
-/// precedence over one in the URL.
+/// Returns the client's timeout in nanoseconds, limited to the deadline of the class.
+///
+/// A timeout in the body takes precedence over one in the URL. The default is the deadline of the
+/// class.
 fn query_timeout_ns(
     request: &SearchRequest,
     parameters: &UrlParameters,
@@ -87,14 +89,14 @@
     }
 }
 
-/// The client's idempotency key, if it has a usable length.
+/// Returns the client's idempotency key, or `None` if the key is missing, empty or too long.
 fn idempotency_key(head: &GatewayRequestHead) -> Option<String> {
     head.header(IDEMPOTENCY_KEY)
         .filter(|key| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len()))
         .map(str::to_string)
 }
 
-/// The results of the parts, or the error for a query that was not answered.
+/// Returns the results of the parts, or the error that corresponds to a reply without results.
 fn answer_hits(
     reply: QueryReply,
     index: Index,
@@ -116,7 +118,7 @@
     }
 }
 
-/// Bounds the memory that merging the answers takes.
+/// Checks the total size of the answers, which bounds the memory that merging requires.
 fn check_answer_size(hits: &[QueryHit], max_bytes: usize) -> Result<(), GatewayError> {
     let bytes: usize = hits.iter().map(|hit| hit.doc.len()).sum();
     if bytes > max_bytes {
--- a/crates/opensearch-gateway/src/server/http.rs
+++ b/crates/opensearch-gateway/src/server/http.rs
@@ -1,4 +1,4 @@
-//! Handles one HTTP request: reads its body, has it routed, and renders the response.
+//! Handles one HTTP request: reads the body, calls the router and renders the response.
 
 use super::body::read_body;
 use super::context::{header_text, Gateway, GatewayRequestHead, Peer, RequestContext};
@@ -17,21 +17,21 @@
 use hyper::{Method, Request, Response, StatusCode};
 use std::rc::Rc;
 
-/// The client's own id of a request, which is returned to it.
+/// Header with an identifier that the client chooses and the response repeats.
 const X_OPAQUE_ID: &str = "x-opaque-id";
 const X_FORWARDED_FOR: &str = "x-forwarded-for";
 const JSON_CONTENT_TYPE: &str = "application/json; charset=UTF-8";
 
-/// The form in which the client expects the response.
+/// Properties of a request that determine the form of its response.
 #[derive(Clone, Copy)]
 struct ResponseOptions {
-    /// The request is a `HEAD`: the response has no body.
+    /// Whether the response has no body because the request's method is `HEAD`.
     omit_body: bool,
     accepts_gzip: bool,
 }
 
 impl ResponseOptions {
-    fn of_request(parts: &Parts) -> ResponseOptions {
+    fn from_request(parts: &Parts) -> ResponseOptions {
         let accepted_encodings = header_text(&parts.headers, ACCEPT_ENCODING.as_str());
         ResponseOptions {
             omit_body: parts.method == Method::HEAD,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Handles one request. Errors become responses.
+/// Handles one request. An error is rendered as a response.
 pub(super) async fn handle_request(
     gateway: Rc<Gateway>,
     peer: Peer,
@@ -48,12 +48,12 @@
 ) -> Response<Full<Bytes>> {
     let aggregator = gateway.aggregator.clone();
     let received_at_ns = aggregator.now();
-    // Counted as open until the response is returned.
+    // Counts the request as open until this function returns the response.
     let _open_request = aggregator.open_request();
     let (parts, body) = request.into_parts();
     let name = header_text(&parts.headers, X_OPAQUE_ID);
     tracing::debug!(address = %peer.address, name, "request read");
-    let options = ResponseOptions::of_request(&parts);
+    let options = ResponseOptions::from_request(&parts);
     let mut response = match run_request(gateway, peer, &parts, body, received_at_ns).await {
         Ok(body) => success_response(body, options),
         Err(error) => error_response(&error, options),
@@ -68,7 +68,7 @@
     response
 }
 
-/// Reads the body and calls the handler. Returns the body of the successful response.
+/// Reads the request's body, calls the handler and returns the body of the successful response.
 async fn run_request(
     gateway: Rc<Gateway>,
     peer: Peer,
@@ -121,7 +121,7 @@
     };
     let mut response = json_response(error.status, body);
     if let Some(delay) = error.retry_after {
-        // The header has whole seconds; the error's reason states the milliseconds.
+        // The header has a resolution of one second; the error's reason states milliseconds.
         let seconds = HeaderValue::from(delay.as_millis().div_ceil(1000) as u64);
         response.headers_mut().insert(RETRY_AFTER, seconds);
     }
--- a/crates/opensearch-gateway/src/server/listener.rs
+++ b/crates/opensearch-gateway/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepts connections.
 
 use super::connection::serve_connection;
 use super::context::Gateway;
@@ -11,8 +11,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Serves on `listener` until the aggregator stops. Has to be called in the aggregator's own
-/// `LocalSet`.
+/// Starts a task that serves connections to `listener` until the aggregator stops accepting
+/// connections.
+///
+/// Must be called within the `LocalSet` in which the aggregator runs.
 pub fn start(
     settings: GatewaySettings,
     tls: Option<Rc<ReloadableTls>>,
@@ -23,9 +25,10 @@
     tokio::task::spawn_local(accept_connections(gateway, tls, listener));
 }
 
-/// Accepts connections, as many at once as the settings allow; more wait in the listener's backlog.
-/// When the aggregator stops, those in the backlog are served as well: closing the listener would
-/// reset them.
+/// Accepts connections up to the configured maximum; further ones wait in the listener's backlog.
+///
+/// When the aggregator stops accepting connections, all connections in the backlog are accepted
+/// before the listener is closed, because closing it would reset them.
 async fn accept_connections(
     gateway: Rc<Gateway>,
     tls: Option<Rc<ReloadableTls>>,
@@ -50,18 +53,18 @@
     }
 }
 
-/// A new connection.
+/// A connection that has been accepted but is not served yet.
 struct AcceptedConnection {
     stream: TcpStream,
     peer: SocketAddr,
-    /// Counts against the maximum number of connections until the connection has ended. None for
-    /// those that are accepted while the aggregator stops.
+    /// Counts the connection towards the configured maximum until it is closed. `None` for a
+    /// connection from the backlog that is accepted during shutdown.
     permit: Option<OwnedSemaphorePermit>,
 }
 
-/// Accepts a connection once the settings allow one more.
+/// Waits until the number of connections is below the maximum, then accepts the next one.
 async fn accept_next(permits: &Arc<Semaphore>, listener: &TcpListener) -> AcceptedConnection {
-    // Fails only if the semaphore is closed, which it never is.
+    // Acquiring fails only on a closed semaphore, and this semaphore is never closed.
     let permit = permits.clone().acquire_owned().await.ok();
     loop {
         match listener.accept().await {
@@ -77,7 +80,7 @@
     }
 }
 
-/// Serves a connection, and holds its permit until it has ended.
+/// Starts a task that serves the connection and holds its permit until the connection is closed.
 fn spawn_connection(
     gateway: &Rc<Gateway>,
     tls: &Option<Rc<ReloadableTls>>,
--- a/crates/opensearch-gateway/src/server/metadata.rs
+++ b/crates/opensearch-gateway/src/server/metadata.rs
@@ -1,13 +1,13 @@
-//! Responses about the cluster and its indices.
+//! Responses that describe the cluster and its indices.
 //!
-//! Clients request these to identify the server. Names and versions in them are published and must
-//! not change.
+//! Clients use these responses to identify the server, so the names and versions in them must not
+//! change.
 
 use super::context::{Gateway, Index};
 use crate::settings::{GatewaySettings, IndexSettings};
 use serde_json::{json, Value};
 
-/// `GET /`
+/// Returns the body of the response to `GET /`.
 pub(super) fn cluster_info(gateway: &Gateway) -> Value {
     json!({
         "name": "mixer",
@@ -16,7 +16,7 @@
         "version": {
             "distribution": "opensearch",
             "number": "2.11.0",
-            // The program's earlier name, by which clients know this build.
+            // An earlier name of this program, which clients use to recognize it.
             "build_type": "cottonhill",
             "minimum_wire_compatibility_version": "7.10.0",
             "minimum_index_compatibility_version": "7.0.0",
@@ -25,7 +25,7 @@
     })
 }
 
-/// `GET /_cluster/health`
+/// Returns the body of the response to `GET /_cluster/health`.
 pub(super) fn cluster_health(settings: &GatewaySettings) -> Value {
     let indices = settings.indices.values();
     let shards: usize = indices.map(|index| index.shards.len()).sum();
@@ -40,7 +40,7 @@
     })
 }
 
-/// `GET /_cat/indices`
+/// Returns the body of the response to `GET /_cat/indices`.
 pub(super) fn list_indices(settings: &GatewaySettings) -> Value {
     let describe = |(name, index): (&String, &IndexSettings)| {
         let shards = index.shards.len().to_string();
@@ -49,7 +49,7 @@
     settings.indices.iter().map(describe).collect()
 }
 
-/// `GET /INDEX`
+/// Returns the body of the response to `GET /INDEX`.
 pub(super) fn index_settings(index: Index) -> Value {
     let shards = index.settings.shards.len().to_string();
     let settings = json!({"index": {"number_of_shards": shards}});
--- a/crates/opensearch-gateway/src/server/mod.rs
+++ b/crates/opensearch-gateway/src/server/mod.rs
@@ -1,25 +1,28 @@
-//! The HTTP server: one query to the aggregator for each search, one response for each request.
+//! The HTTP server, which sends one query to the aggregator for each search.
 //!
-//! The way of a search, by files of this folder:
+//! A search passes through the files of this module in the following order:
 //!
 //! 1. `listener.rs` accepts the connection, `connection.rs` serves it, `http.rs` handles one
-//!    request and `router.rs` finds its handler.
-//! 2. `search.rs` parses the body; `multi_search.rs` runs several searches.
-//! 3. `execution.rs` makes a [`QueryRequest`] of the search: the index determines the class,
+//!    request and `router.rs` selects its handler.
+//! 2. `search.rs` parses the body of one search; `multi_search.rs` runs several searches.
+//! 3. `execution.rs` turns the search into a [`QueryRequest`]: the index determines the class,
 //!    `tenant.rs` the tenant, and `shard_selection.rs` the parts. [`InternalClient::send_query`]
-//!    sends it to the engine.
-//! 4. `execution.rs` receives the [`QueryReply`], `shard_selection.rs` checks that the shards'
-//!    answers suffice, and `search.rs` merges them and renders the response.
+//!    passes the query to the engine.
+//! 4. `execution.rs` receives the [`QueryReply`], `shard_selection.rs` checks that the answers
+//!    cover enough of the index, and `search.rs` merges them and renders the response.
 //!
-//! From [`InternalClient::send_query`] on (`core/src/net/internal_client.rs`), a search is the same
-//! as a native query: both reach the engine as [`Input::RequestReceived`] with a [`QueryRequest`],
-//! each from a client that has connected. A query does not state its frontend: the engine and the
-//! policy treat both alike.
+//! From [`InternalClient::send_query`] on (`core/src/net/internal_client.rs`), a search is handled
+//! like a native query: both reach the engine as [`Input::RequestReceived`] with a [`QueryRequest`]
+//! from a connected client. A query does not state which frontend received it, so the engine and
+//! the policy cannot treat the two differently.
 //!
-//! Shutdown: while the aggregator drains, `http.rs` closes each connection with its response. Once
-//! it accepts no more connections, `listener.rs` accepts those in its backlog and ends, and
-//! `connection.rs` closes each connection after a short time and the response in flight. The
-//! process may exit when the last clone of the [`InternalClient`] is dropped.
+//! # Shutdown
+//!
+//! While the aggregator drains, `http.rs` closes each connection after its next response. When the
+//! aggregator stops accepting connections, `listener.rs` accepts the connections in its backlog and
+//! then closes the listener; `connection.rs` waits for a short delay, completes the response in
+//! flight and closes the connection. The process may exit when the last clone of the
+//! [`InternalClient`] is dropped.
 //!
 //! [`Input::RequestReceived`]: aggregator_core::engine::Input::RequestReceived
 //! [`InternalClient`]: aggregator_core::net::InternalClient
--- a/crates/opensearch-gateway/src/server/multi_search.rs
+++ b/crates/opensearch-gateway/src/server/multi_search.rs
@@ -1,8 +1,8 @@
-//! `_msearch`: several searches in one request.
+//! Handler for `_msearch`, which runs several searches in one request.
 //!
-//! The body has two lines for each search: its header and its body. A few searches run at a time,
-//! and the response has them in their order. A search that fails is answered with its error and
-//! does not affect the others.
+//! The body has two lines per search: a header and the body of the search. A limited number of
+//! searches run concurrently. The response lists the results in the order of the searches. A failed
+//! search is reported with its error and does not affect the others.
 
 use super::context::{RequestContext, ALL_INDICES};
 use super::parameters::UrlParameters;
@@ -17,13 +17,13 @@
 
 /// Maximum number of searches in one request.
 const MAX_SEARCHES_PER_REQUEST: usize = 256;
-/// Maximum number of searches of one request that run at the same time.
+/// Maximum number of searches of one request that run concurrently.
 const MAX_CONCURRENT_SEARCHES: usize = 8;
 /// The only supported `search_type`.
 const QUERY_THEN_FETCH: &str = "query_then_fetch";
 
 /// The header line of a search.
-// Clients see the type's published name in error texts.
+// Error responses contain the type name `Line`, which clients may depend on.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Line")]
 struct SearchHeader {
@@ -40,16 +40,16 @@
     body: Bytes,
 }
 
-/// What the request states for all of its searches. The header of a search takes precedence.
+/// Values that apply to all searches of a request. The header of a search takes precedence.
 #[derive(Clone)]
 struct SearchDefaults {
     context: RequestContext,
-    /// The index in the URL.
+    /// The index in the URL, if any.
     index: Option<String>,
     parameters: UrlParameters,
 }
 
-/// Runs all searches of a request. Returns the body of the response.
+/// Runs all searches of a request and returns the body of the response.
 pub(super) async fn multi_search(
     context: &RequestContext,
     index: Option<&str>,
@@ -67,6 +67,7 @@
     Ok(join_responses(started.elapsed(), &responses))
 }
 
+/// Splits the body into the header and body lines of each search.
 fn split_searches(body: &Bytes) -> Result<Vec<SearchLines>, GatewayError> {
     let mut lines: Vec<&[u8]> = body
         .split(|byte| *byte == b'\n')
@@ -94,16 +95,16 @@
         .collect())
 }
 
-/// The response to one search, with the search's position in the request.
+/// The response to one search, with the position of the search in the request.
 struct PositionedResponse {
     position: usize,
     body: Vec<u8>,
 }
 
-/// The responses' bodies in the order of the searches.
+/// Runs the searches and returns the bodies of their responses in the order of the searches.
 async fn run_searches(searches: Vec<SearchLines>, defaults: &SearchDefaults) -> Vec<Vec<u8>> {
     let mut responses = vec![Vec::new(); searches.len()];
-    // Dropped if the client disconnects, which cancels the searches in flight.
+    // If the client disconnects, dropping the set cancels the searches in flight.
     let mut running = JoinSet::new();
     for (position, search) in searches.into_iter().enumerate() {
         while running.len() >= MAX_CONCURRENT_SEARCHES {
@@ -145,14 +146,14 @@
     search(&defaults.context, index, &parameters, &search_lines.body).await
 }
 
-/// The parameters of a search: those of its header, else those of the URL.
+/// Returns the URL parameters, overridden by the options in the header of the search.
 fn search_parameters(
     header: &SearchHeader,
     url_parameters: UrlParameters,
 ) -> Result<UrlParameters, GatewayError> {
     let mut parameters = url_parameters;
     if let Some(preference) = &header.preference {
-        // Parsed as a URL's parameter: it has the same form and the same errors.
+        // Parsed as a URL parameter, which has the same syntax and the same errors.
         let query = format!("preference={preference}");
         parameters.shards = UrlParameters::parse("/_msearch", Some(&query))?.shards;
     }
@@ -168,7 +169,7 @@
     header.routing.is_some() || has_other_type
 }
 
-/// Parses a header line; an empty one has no options.
+/// Parses a header line. An empty line is a header without options.
 fn parse_header(line: &[u8]) -> Result<SearchHeader, GatewayError> {
     if line.is_empty() {
         return Ok(SearchHeader::default());
@@ -176,7 +177,9 @@
     serde_json::from_slice(line).map_err(GatewayError::InvalidSearchHeader)
 }
 
-/// The index in the header, if it has one.
+/// Returns the index that the header names, or `None` if the header names no index.
+///
+/// Fails if the index is neither a string nor an array with exactly one string.
 fn header_index(header: &SearchHeader) -> Result<Option<&str>, GatewayError> {
     let Some(index) = &header.index else {
         return Ok(None);
@@ -189,7 +192,7 @@
     name.map(Some).ok_or(GatewayError::NotOneIndex)
 }
 
-/// The response to one search: the body that it has alone, with the status as a member.
+/// Returns the response body that `_search` would have, with the HTTP status added as a member.
 fn response_with_status(result: Result<Vec<u8>, GatewayError>) -> Vec<u8> {
     match result {
         Ok(mut body) if body.last() == Some(&b'}') => {
@@ -202,6 +205,7 @@
     }
 }
 
+/// Joins the responses to the single searches into the body of the whole response.
 fn join_responses(took: Duration, responses: &[Vec<u8>]) -> Vec<u8> {
     let head = format!("{{\"took\":{},\"responses\":[", took.as_millis());
     let mut body = head.into_bytes();
--- a/crates/opensearch-gateway/src/server/parameters.rs
+++ b/crates/opensearch-gateway/src/server/parameters.rs
@@ -1,25 +1,25 @@
-//! URL parameters.
+//! Parses URL parameters.
 
 use crate::error::GatewayError;
 use crate::query_dsl::{parse_time_value_ms, TrackTotalHits};
 
-/// Prefix of a `preference` that names shards.
+/// Prefix of a `preference` that selects shards.
 const SHARDS_PREFERENCE_PREFIX: &str = "_shards:";
 
-/// The parameters in the URL of a request.
+/// The supported URL parameters of a request; `None` for each missing parameter.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UrlParameters {
     pub(super) from: Option<u64>,
     pub(super) size: Option<u64>,
     pub(super) timeout_ms: Option<u64>,
     pub(super) track_total_hits: Option<TrackTotalHits>,
-    /// The shards to search, by the preference; all of the index without it.
+    /// The shards selected by `preference`, or `None` to search all shards of the index.
     pub(super) shards: Option<Vec<u32>>,
     pub(super) allow_partial_search_results: Option<bool>,
 }
 
 impl UrlParameters {
-    /// Parses the query string of a URL.
+    /// Parses the query string of a URL. Error responses include `path`.
     pub(super) fn parse(path: &str, query: Option<&str>) -> Result<UrlParameters, GatewayError> {
         let mut parameters = UrlParameters::default();
         let pairs = query.unwrap_or_default().split('&');
@@ -41,7 +41,7 @@
                 self.allow_partial_search_results = Some(parameter.flag()?);
             }
             "preference" => self.shards = Some(parameter.shards()?),
-            // Ignored: they change the layout of the response's JSON, not its content.
+            // Ignored, because these parameters affect only the formatting of the response.
             "pretty" | "human" | "error_trace" => {}
             _ => {
                 return Err(GatewayError::UnknownParameter {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Decodes the separators, the only escaped characters that valid values can have.
+/// Decodes escaped colons and commas, the only characters that need escaping in valid values.
 fn decode(value: &str) -> String {
     value
         .replace("%3A", ":")
@@ -63,7 +63,7 @@
         .replace("%2c", ",")
 }
 
-/// One parameter, with its value decoded.
+/// One parameter with its decoded value.
 struct Parameter<'a> {
     name: &'a str,
     value: String,
@@ -81,7 +81,7 @@
         self.value.parse().map_err(|_| self.invalid())
     }
 
-    /// A parameter without a value is set.
+    /// Parses a flag. An empty value means `true`.
     fn flag(&self) -> Result<bool, GatewayError> {
         match self.value.as_str() {
             "" | "true" => Ok(true),
@@ -101,7 +101,8 @@
         }
     }
 
-    /// The shards in `_shards:0,2`. Another preference may follow after `|`, which is ignored.
+    /// Parses a list of shards, for example `_shards:0,2`. A further preference after `|` is
+    /// ignored.
     fn shards(&self) -> Result<Vec<u32>, GatewayError> {
         let preference = self
             .value
--- a/crates/opensearch-gateway/src/server/search.rs
+++ b/crates/opensearch-gateway/src/server/search.rs
@@ -1,4 +1,4 @@
-//! The handlers of `_search` and `_count`.
+//! Handlers for `_search` and `_count`.
 
 use super::context::RequestContext;
 use super::execution::execute;
@@ -10,7 +10,7 @@
 use crate::response::{count_response, search_response};
 use std::time::Instant;
 
-/// Runs a search. Returns the body of the response.
+/// Runs a search and returns the body of the response.
 pub(super) async fn search(
     context: &RequestContext,
     index: &str,
@@ -31,7 +31,7 @@
     ))
 }
 
-/// Runs a count. Returns the body of the response.
+/// Counts the matching documents and returns the body of the response.
 pub(super) async fn count(
     context: &RequestContext,
     index: &str,
@@ -39,9 +39,9 @@
     body: &[u8],
 ) -> Result<Vec<u8>, GatewayError> {
     let mut request = parse_request(parameters, body)?;
-    let has_page = request.size.is_some() || request.from.is_some();
-    if has_page || !request.sort.is_empty() || !request.aggs.is_empty() {
-        return Err(GatewayError::NotACount);
+    let has_paging = request.size.is_some() || request.from.is_some();
+    if has_paging || !request.sort.is_empty() || !request.aggs.is_empty() {
+        return Err(GatewayError::UnsupportedCountOption);
     }
     request.size = Some(0);
     request.track_total_hits = Some(TrackTotalHits::Enabled(true));
@@ -56,7 +56,7 @@
     Ok(count_response(index.name, &shards, count))
 }
 
-/// Parses a search. Parameters of the URL take precedence over the body.
+/// Parses and validates a search. URL parameters take precedence over the body.
 fn parse_request(parameters: &UrlParameters, body: &[u8]) -> Result<SearchRequest, GatewayError> {
     let mut request = SearchRequest::parse(body)?;
     request.from = parameters.from.or(request.from);
--- a/crates/opensearch-gateway/src/server/shard_selection.rs
+++ b/crates/opensearch-gateway/src/server/shard_selection.rs
@@ -1,4 +1,4 @@
-//! The shards of a search, and whether their answers suffice.
+//! Selects the shards of a search and checks that their answers cover enough of the index.
 
 use super::context::Index;
 use crate::error::GatewayError;
@@ -8,18 +8,21 @@
 use crate::settings::ShardWeight;
 use aggregator_core::protocol::query::{QueryHit, QueryPart};
 
-/// Tolerance on a sum of weights that is compared with the minimum coverage.
+/// Tolerance for rounding errors when a sum of weights is compared with the minimum coverage.
 const COVERAGE_TOLERANCE: f64 = 1e-6;
 
-/// The shards that a search goes to.
+/// The shards that a search is sent to.
 pub(super) struct ShardSelection {
     shards: Vec<ShardWeight>,
-    /// The sum of the shards' weights, less than 1 if the client selected some of them.
+    /// Sum of the weights of the selected shards; less than 1 if the client selected only some
+    /// shards of the index.
     total_weight: f64,
 }
 
 impl ShardSelection {
-    /// Selects all shards of the index, or the `preferred` ones.
+    /// Selects the `preferred` shards of the index, or all of its shards if there is no preference.
+    ///
+    /// Fails if the index lacks a preferred shard.
     pub(super) fn new(
         index: Index,
         preferred: Option<&[u32]>,
@@ -41,6 +44,7 @@
         })
     }
 
+    /// Returns one query part per shard, with weights that add up to 1.
     pub(super) fn query_parts(&self) -> Vec<QueryPart> {
         let part = |shard: &ShardWeight| QueryPart {
             shard: shard.shard,
@@ -50,7 +54,7 @@
         self.shards.iter().map(part).collect()
     }
 
-    /// A summary before any answer.
+    /// Returns a summary in which no shard has answered yet.
     pub(super) fn summary(&self) -> ShardSummary {
         ShardSummary {
             total: self.shards.len(),
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Parses the answer of each shard. One without a usable answer counts as failed.
+    /// Parses the answer of each shard. A shard without a usable answer counts as failed.
     pub(super) fn collect_answers(
         &self,
         hits: &[QueryHit],
@@ -90,34 +94,34 @@
     }
 }
 
-/// What the answers to a search have to cover.
+/// Conditions that the answers to a search must meet.
 pub(super) struct AnswerRequirements {
-    /// The minimum weight of the shards with a usable answer, from 0 to 1.
+    /// Minimum total weight of the shards with a usable answer, from 0 to 1.
     pub(super) minimum_coverage: f64,
-    /// The client accepts no partial results.
-    pub(super) all_shards: bool,
+    /// Whether every shard must have a usable answer, because the client rejects partial results.
+    pub(super) requires_all_shards: bool,
 }
 
-/// The outcome of a search that can be answered, in part at least.
+/// The outcome of a search whose results are complete or acceptably partial.
 pub(super) struct SearchOutcome<'a> {
     pub(super) index: Index<'a>,
     pub(super) shards: ShardSummary,
     pub(super) results: Vec<ShardResult>,
 }
 
-/// The answers of all shards of a search, usable or not.
+/// The parsed answers to a search, with the failures of the shards that lack a usable answer.
 pub(super) struct CollectedAnswers {
     shards: ShardSummary,
     results: Vec<ShardResult>,
-    /// The weight of the shards with a usable answer, from 0 to 1.
+    /// Total weight of the shards with a usable answer, from 0 to 1.
     coverage: f64,
 }
 
 impl CollectedAnswers {
     /// Checks that the answers meet the requirements.
     ///
-    /// The aggregator has checked the coverage already, but counts every shard that has answered.
-    /// Here a shard that has answered with an error counts as failed.
+    /// The aggregator's own check of the coverage counts every shard that has answered. This check
+    /// counts a shard that has answered with an error as failed.
     pub(super) fn into_outcome(
         self,
         index: Index<'_>,
@@ -132,7 +136,7 @@
             let index = index.name.to_string();
             return Err(GatewayError::BelowMinimumCoverage { index, shards });
         }
-        if requirements.all_shards && shards.successful < shards.total {
+        if requirements.requires_all_shards && shards.successful < shards.total {
             let index = index.name.to_string();
             return Err(GatewayError::PartialResults { index, shards });
         }
--- a/crates/opensearch-gateway/src/server/tenant.rs
+++ b/crates/opensearch-gateway/src/server/tenant.rs
@@ -1,10 +1,12 @@
-//! Attribution of requests to tenants.
+//! Determines the tenant of a request.
 
 use super::context::RequestContext;
 use crate::error::GatewayError;
 use crate::settings::TenantSource;
 
-/// The number of the tenant among the platform's `tenants`; 0 on a platform without tenants.
+/// Returns the position of the request's tenant in `tenants`, the platform's list of tenants.
+///
+/// Returns 0 if the platform has no tenants.
 pub(super) fn resolve_tenant(
     context: &RequestContext,
     tenants: &[String],
@@ -21,7 +23,7 @@
         })
 }
 
-/// The tenant's name by the configured source; without one, the default tenant.
+/// Returns the tenant's name from the configured source, or else the default tenant.
 fn tenant_name(context: &RequestContext) -> Option<&str> {
     let settings = &context.gateway.settings;
     let head = &context.head;
--- a/crates/opensearch-gateway/src/settings/index.rs
+++ b/crates/opensearch-gateway/src/settings/index.rs
@@ -1,56 +1,58 @@
-//! `[index NAME]`: an index with its class, shards and weights.
+//! Reads the sections `[index NAME]`, each of which configures one index.
 
 use super::schema::INDEX_SECTION;
 use super::section::required_text;
 use ini_config::{Problems, Schema, SectionValues, Settings};
 use std::collections::BTreeMap;
 
-/// Tolerance on the sum of weights, as operators write them with few digits.
+/// Tolerance for the sum of the weights, which operators write with few digits.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
-/// Maximum difference between the last and the first shard of a range.
+/// Maximum difference between the last and the first shard number of a range.
 const MAX_SHARD_RANGE: u32 = 100_000;
 
-/// A shard of an index, with its weight.
+/// A shard of an index and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardWeight {
-    /// The shard's number.
+    /// Number of the shard within the index.
     pub shard: u32,
-    /// The shard's weight; all weights of an index add up to 1.
+    /// Weight of the shard, from 0 to 1. All weights of an index add up to about 1.
     pub weight: f64,
 }
 
-/// One index.
+/// Settings of one index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexSettings {
-    /// The name of the class of its queries.
+    /// Name of the class that queries to this index belong to.
     pub class: String,
-    /// Its shards.
+    /// Shards of the index in the order of the settings; each shard occurs once.
     pub shards: Vec<ShardWeight>,
 }
 
-/// Why the value of `shards` can't be used.
+/// Error in the value of `shards`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum ShardListError {
-    #[error("'{entry}' is no number or range")]
+    #[error("'{entry}' is not a shard number or a range of shard numbers")]
     NotANumber { entry: String },
-    #[error("'{entry}' is no range")]
+    #[error(
+        "'{entry}' is not a valid range: the last shard must be 0 to {MAX_SHARD_RANGE} above the first"
+    )]
     InvalidRange { entry: String },
-    #[error("shard {shard} is named twice")]
+    #[error("shard {shard} is listed more than once")]
     Duplicate { shard: u32 },
 }
 
-/// Why the value of `weights` can't be used.
+/// Error in the value of `weights`.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 enum WeightsError {
-    #[error("have to be numbers")]
+    #[error("'{text}' is not a comma-separated list of numbers")]
     NotANumber { text: String },
-    #[error("are {weights}, and there are {shards} shards")]
+    #[error("found {weights} weights for {shards} shards; expected one weight per shard")]
     CountMismatch { weights: usize, shards: usize },
-    #[error("have to be shares that add up to 1")]
-    NotShares { sum: f64 },
+    #[error("each weight must be from 0 to 1 and their sum must be 1; the sum is {sum}")]
+    NotNormalized { sum: f64 },
 }
 
-/// Reads all indices.
+/// Reads the settings of all indices, by name.
 pub(super) fn read_indices(
     settings: &Settings,
     schema: &Schema,
@@ -65,7 +67,8 @@
 
 fn read_index(section: &SectionValues, name: &str) -> Result<IndexSettings, Problems> {
     if !is_valid_index_name(name) {
-        let reason = "an index's name has small letters, digits, '-', '_' and '.'";
+        let reason = "the index name must consist of lowercase letters, digits, '-', '_' and '.', \
+                      and must not start with '-' or '_'";
         return Err(section.problem("class", reason));
     }
     let class = required_text(section, "class")?.to_string();
@@ -88,7 +91,7 @@
     !name.starts_with(['_', '-']) && name.bytes().all(is_allowed)
 }
 
-/// Parses shard numbers and ranges, as in `0-7,12`. Each shard may occur once.
+/// Parses a list of shard numbers and ranges, for example `0-7,12`. Each shard may occur only once.
 fn parse_shards(text: &str) -> Result<Vec<u32>, ShardListError> {
     let mut shards = Vec::new();
     for entry in text.split(',').map(str::trim) {
@@ -109,13 +112,14 @@
     }
 }
 
+/// Parses a shard number, which is a part of the list entry `entry`.
 fn parse_shard_number(text: &str, entry: &str) -> Result<u32, ShardListError> {
     text.trim().parse().map_err(|_| ShardListError::NotANumber {
         entry: entry.to_string(),
     })
 }
 
-/// The weights of an index with `shards` shards; equal weights if there is no text.
+/// Parses the weights of an index with `shards` shards. Without a text, all weights are equal.
 fn read_weights(text: Option<&str>, shards: usize) -> Result<Vec<f64>, WeightsError> {
     let weights = match text {
         Some(text) => parse_weights(text)?,
@@ -134,15 +138,16 @@
         })
 }
 
+/// Checks the number of weights, their range and their sum.
 fn check_weights(weights: &[f64], shards: usize) -> Result<(), WeightsError> {
     if weights.len() != shards {
         let weights = weights.len();
         return Err(WeightsError::CountMismatch { weights, shards });
     }
     let sum: f64 = weights.iter().sum();
-    let are_shares = weights.iter().all(|weight| (0.0..=1.0).contains(weight));
-    if !are_shares || (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
-        return Err(WeightsError::NotShares { sum });
+    let in_range = weights.iter().all(|weight| (0.0..=1.0).contains(weight));
+    if !in_range || (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
+        return Err(WeightsError::NotNormalized { sum });
     }
     Ok(())
 }
--- a/crates/opensearch-gateway/src/settings/mod.rs
+++ b/crates/opensearch-gateway/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway's settings: the listener, the indices, and how requests are attributed to tenants.
+//! Settings of the gateway: the listener, the indices, and the attribution of requests to tenants.
 
 mod index;
 mod schema;
@@ -19,42 +19,43 @@
 use std::time::Duration;
 use tenant::{read_tenant_networks, read_tenant_source};
 
-/// The settings of a gateway that is enabled.
+/// Settings of an enabled gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// The address to listen on.
+    /// Address to listen on.
     pub listen: SocketAddr,
     /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Maximum length of a request body, compressed or not.
+    /// Maximum length of a request body, both compressed and decompressed.
     pub max_body_bytes: usize,
-    /// Maximum length of all shards' answers to one search together.
+    /// Maximum total length of the shards' answers to one search.
     pub max_answer_bytes: usize,
-    /// How long a connection may stay open without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
-    /// The cluster name that clients are given.
+    /// Cluster name that is reported to clients.
     pub cluster_name: String,
-    /// The header that names the tenant, in lower case.
+    /// Name of the header that contains the tenant, in lower case.
     pub tenant_header: String,
-    /// The tenant of requests for which none can be determined.
+    /// Tenant of requests whose tenant cannot be determined. If `None`, such requests are rejected
+    /// on a platform with tenants.
     pub default_tenant: Option<String>,
-    /// What determines the tenant.
+    /// Property of a request that determines its tenant.
     pub tenant_source: TenantSource,
-    /// The TLS files; plain HTTP without them.
+    /// Certificate and key files; `None` serves plain HTTP.
     pub tls: Option<TlsFiles>,
     /// Networks of proxies whose `X-Forwarded-For` is trusted.
     pub trusted_proxies: NetworkSet,
-    /// Tenants by network.
+    /// Tenants by network; empty if the tenant source does not use networks.
     pub tenant_networks: TenantNetworks,
-    /// Indices by their names; at least one.
+    /// Settings of the indices by name; never empty.
     pub indices: BTreeMap<String, IndexSettings>,
 }
 
 impl GatewaySettings {
-    /// Reads the settings; `None` if the gateway is disabled.
+    /// Reads the settings. Returns `None` if the gateway is disabled.
     ///
     /// # Errors
-    /// A value is missing, can't be used, or contradicts another one.
+    /// Returns an error if a value is missing, invalid, or contradicts another value.
     pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<Self>, Problems> {
         let section = settings.section(schema, GATEWAY_SECTION.name);
         let Some(listen) = section.address("listen") else {
@@ -62,7 +63,7 @@
         };
         let indices = index::read_indices(settings, schema)?;
         if indices.is_empty() {
-            return Err(section.problem("listen", "there is no [index NAME] to search"));
+            return Err(section.problem("listen", "requires at least one [index NAME] section"));
         }
         let tenant_source = read_tenant_source(&section);
         let tls = read_tls_files(&section)?;
@@ -72,7 +73,7 @@
         let max_connections = required(&section, "connections", section.count("connections"))?;
         let max_body_bytes = required(&section, "body", section.bytes("body"))?;
         let max_answer_bytes = required(&section, "answer", section.bytes("answer"))?;
-        // A key that is set to an empty text counts as unset, also where the schema has a default.
+        // `text` returns `None` for a key that is set to an empty text, even if it has a default.
         let cluster_name = section.text("cluster").unwrap_or(DEFAULT_CLUSTER_NAME);
         let tenant_header = section.text("tenant-header");
         Ok(Some(GatewaySettings {
@@ -106,13 +107,15 @@
             client_ca,
         })),
         (None, None, None) => Ok(None),
-        (Some(_), None, _) => Err(section.problem("certificate", "needs 'key'")),
-        (None, Some(_), _) => Err(section.problem("key", "needs 'certificate'")),
-        (None, None, Some(_)) => Err(section.problem("client-ca", "needs 'certificate' and 'key'")),
+        (Some(_), None, _) => Err(section.problem("certificate", "requires 'key' to be set")),
+        (None, Some(_), _) => Err(section.problem("key", "requires 'certificate' to be set")),
+        (None, None, Some(_)) => {
+            Err(section.problem("client-ca", "requires 'certificate' and 'key' to be set"))
+        }
     }
 }
 
-/// Tenants can be determined by certificates only if clients' certificates are verified.
+/// Checks that client certificates are verified if they determine the tenant.
 fn check_client_ca(
     section: &SectionValues,
     tenant_source: TenantSource,
@@ -120,7 +123,7 @@
 ) -> Result<(), Problems> {
     let has_client_ca = tls.is_some_and(|tls| tls.client_ca.is_some());
     if tenant_source == TenantSource::Certificate && !has_client_ca {
-        let reason = "goes by certificates, and there is no 'client-ca'";
+        let reason = "the value 'certificate' requires 'client-ca' to be set";
         return Err(section.problem("tenant-by", reason));
     }
     Ok(())
--- a/crates/opensearch-gateway/src/settings/schema.rs
+++ b/crates/opensearch-gateway/src/settings/schema.rs
@@ -1,21 +1,22 @@
-//! The sections of the INI file that configure the gateway. Section names, keys, defaults and texts
-//! are published: operators write them and see them in the output of `check`.
+//! Schema of the INI sections that configure the gateway.
+//!
+//! Names of sections and keys, valid values and defaults must not change: operators' files contain
+//! them, and the `check` command prints them.
 
 use ini_config::{Key, Kind, Section};
 
-/// The cluster name that clients are given by default. A published name, kept from earlier
-/// versions.
+/// Default cluster name. Clients may depend on this name from earlier versions of the program.
 pub(super) const DEFAULT_CLUSTER_NAME: &str = "cottonhill";
-/// The header that names the tenant by default.
+/// Default name of the header that contains the tenant.
 pub(super) const DEFAULT_TENANT_HEADER: &str = "X-Tenant-Id";
 
-/// Values of `tenant-by`.
+// Valid values of `tenant-by`.
 pub(super) const TENANT_BY_HEADER: &str = "header";
 pub(super) const TENANT_BY_NETWORK: &str = "network";
 pub(super) const TENANT_BY_HEADER_OR_NETWORK: &str = "header-or-network";
 pub(super) const TENANT_BY_CERTIFICATE: &str = "certificate";
 
-/// `[opensearch]`: the listener and what applies to all indices.
+/// Section `[opensearch]`: the listener and the settings that apply to all indices.
 pub const GATEWAY_SECTION: Section = Section::new(
     "opensearch",
     &[
@@ -23,37 +24,37 @@
             "listen",
             Kind::Address,
             None,
-            "The address that the frontend listens on, of its own. Off without it.",
+            "Separate address on which the OpenSearch frontend listens; disabled if unset.",
         ),
         Key::new(
             "connections",
             Kind::Count(1, 100_000),
             Some("64"),
-            "Most connections at once; more wait unaccepted.",
+            "Maximum number of open connections; further connections wait to be accepted.",
         ),
         Key::new(
             "body",
             Kind::Bytes,
             Some("64KiB"),
-            "The longest body that is read.",
+            "Maximum size of a request body, compressed or decompressed.",
         ),
         Key::new(
             "answer",
             Kind::Bytes,
             Some("8MiB"),
-            "Most that the shards' answers to one search may hold together.",
+            "Maximum total size of the shards' answers to one search.",
         ),
         Key::new(
             "idle",
             Kind::Time,
             Some("60s"),
-            "A connection that asks nothing for so long is closed.",
+            "Time after which a connection without a request is closed.",
         ),
         Key::new(
             "cluster",
             Kind::Text,
             Some(DEFAULT_CLUSTER_NAME),
-            "The cluster name that clients are told.",
+            "Cluster name that is reported to clients.",
         ),
         Key::new(
             "tenant-by",
@@ -64,49 +65,49 @@
                 TENANT_BY_CERTIFICATE,
             ]),
             Some(TENANT_BY_HEADER),
-            "What tells the tenant: a header, the network, the header where there is one, \
-             or a certificate.",
+            "What determines the tenant of a request: a header, the client's network, the header or \
+             else the network, or the client's certificate.",
         ),
         Key::new(
             "certificate",
             Kind::Text,
             None,
-            "PEM file of the certificate chain; plain HTTP without it.",
+            "PEM file with the certificate chain; plain HTTP is served if unset.",
         ),
         Key::new(
             "key",
             Kind::Text,
             None,
-            "PEM file of its key, which nobody else may read.",
+            "PEM file with the certificate's private key; only the owner may have access to the file.",
         ),
         Key::new(
             "client-ca",
             Kind::Text,
             None,
-            "PEM file of the certificate authorities for clients; client certificates are optional.",
+            "PEM file with the certificate authorities for clients; client certificates are optional.",
         ),
         Key::new(
             "proxies",
             Kind::Text,
             None,
-            "Networks of trusted proxies: only their X-Forwarded-For is believed.",
+            "Networks of trusted proxies; X-Forwarded-For from other peers is ignored.",
         ),
         Key::new(
             "tenant-header",
             Kind::Text,
             Some(DEFAULT_TENANT_HEADER),
-            "The header that names the tenant.",
+            "Name of the header that contains the tenant.",
         ),
         Key::new(
             "tenant",
             Kind::Text,
             None,
-            "The tenant of a search that names none.",
+            "Tenant of a search whose tenant cannot be determined.",
         ),
     ],
 );
 
-/// `[index NAME]`: one index.
+/// Section `[index NAME]`: one index.
 pub const INDEX_SECTION: Section = Section::named(
     "index",
     &[
@@ -114,24 +115,24 @@
             "class",
             Kind::Text,
             None,
-            "The class of its searches, by the platform's name.",
+            "Class of the searches on this index, one of the platform's classes.",
         ),
         Key::new(
             "shards",
             Kind::Text,
             None,
-            "Its shards: numbers and ranges, as in 0-7,12.",
+            "Shards of the index: numbers and ranges, for example 0-7,12.",
         ),
         Key::new(
             "weights",
             Kind::Text,
             None,
-            "Their weights in that order, adding up to 1; equal ones if unset.",
+            "Weights of the shards in the same order, adding up to 1; equal weights if unset.",
         ),
     ],
 );
 
-/// `[network NAME]`: the networks of a tenant.
+/// Section `[network NAME]`: networks that belong to one tenant.
 pub const NETWORK_SECTION: Section = Section::named(
     "network",
     &[
@@ -139,8 +140,13 @@
             "prefixes",
             Kind::Text,
             None,
-            "Networks, as in 10.1.0.0/16, 2001:db8::/32; the longest prefix wins.",
+            "Networks, for example 10.1.0.0/16, 2001:db8::/32; the longest prefix takes precedence.",
+        ),
+        Key::new(
+            "tenant",
+            Kind::Text,
+            None,
+            "Tenant that the networks belong to.",
         ),
-        Key::new("tenant", Kind::Text, None, "The tenant whose they are."),
     ],
 );
--- a/crates/opensearch-gateway/src/settings/section.rs
+++ b/crates/opensearch-gateway/src/settings/section.rs
@@ -1,18 +1,18 @@
-//! Reading one section: values that are required, and paths.
+//! Helpers to read required values and paths from a section.
 
 use ini_config::{Problems, SectionValues};
 use std::path::PathBuf;
 
-/// The value of a key, or an error that it is missing.
+/// Returns the value of a key, or an error if the key has no value.
 pub(super) fn required<T>(
     section: &SectionValues,
     key: &str,
     value: Option<T>,
 ) -> Result<T, Problems> {
-    value.ok_or_else(|| section.problem(key, "is missing"))
+    value.ok_or_else(|| section.problem(key, "required value is missing"))
 }
 
-/// The text of a key, or an error that it is missing.
+/// Returns the text of a key, or an error if the key has no value.
 pub(super) fn required_text<'a>(
     section: &SectionValues<'a>,
     key: &str,
@@ -20,7 +20,7 @@
     required(section, key, section.text(key))
 }
 
-/// The path of a key, if it is set.
+/// Returns the value of a key as a path, or `None` if the key has no value.
 pub(super) fn path(section: &SectionValues, key: &str) -> Option<PathBuf> {
     section.text(key).map(PathBuf::from)
 }
--- a/crates/opensearch-gateway/src/settings/tenant.rs
+++ b/crates/opensearch-gateway/src/settings/tenant.rs
@@ -1,4 +1,4 @@
-//! How requests are attributed to tenants: `tenant-by`, and the sections `[network NAME]`.
+//! Reads the settings that determine the tenant: `tenant-by` and the sections `[network NAME]`.
 
 use super::schema::{
     NETWORK_SECTION, TENANT_BY_CERTIFICATE, TENANT_BY_HEADER_OR_NETWORK, TENANT_BY_NETWORK,
@@ -8,16 +8,16 @@
 use ini_config::{Problems, Schema, SectionValues, Settings};
 use ipnet::IpNet;
 
-/// What determines the tenant of a request.
+/// Property of a request that determines its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TenantSource {
-    /// A header.
+    /// The tenant header.
     Header,
-    /// The network of the client's address.
+    /// The network that contains the client's address.
     Network,
-    /// The header if there is one, else the network.
+    /// The tenant header if the request has one, otherwise the network.
     HeaderOrNetwork,
-    /// The common name of the client's certificate.
+    /// The common name in the client's certificate.
     Certificate,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Reads `tenant-by`.
+/// Reads the value of `tenant-by`.
 pub(super) fn read_tenant_source(section: &SectionValues) -> TenantSource {
     match section.text("tenant-by") {
         Some(TENANT_BY_NETWORK) => TenantSource::Network,
@@ -37,14 +37,17 @@
     }
 }
 
-/// A network of a tenant, and the section that it was read from.
+/// A network of a tenant, with the section that defines it.
 struct TenantNetworkRule<'a> {
     network: IpNet,
     tenant: &'a str,
     section: SectionValues<'a>,
 }
 
-/// Reads all sections `[network NAME]`, which are an error where the tenant source ignores them.
+/// Reads the sections `[network NAME]`.
+///
+/// Returns an error if the tenant source does not use networks and such a section exists, or if the
+/// tenant source uses networks and no section defines one.
 pub(super) fn read_tenant_networks(
     settings: &Settings,
     schema: &Schema,
@@ -55,7 +58,7 @@
     for name in settings.section_names(NETWORK_SECTION.name) {
         let section = settings.named_section(schema, NETWORK_SECTION.name, name);
         if !tenant_source.uses_networks() {
-            let reason = "is never used, as [opensearch] tenant-by does not go by networks";
+            let reason = "has no effect: [opensearch] tenant-by does not select tenants by network";
             return Err(section.problem("tenant", reason));
         }
         let tenant = required_text(&section, "tenant")?;
@@ -68,7 +71,7 @@
             section,
         }));
     }
-    // From the widest to the narrowest: the order in the file does not matter.
+    // `TenantNetworks` requires this order; the order in the file does not matter.
     rules.sort_by_key(|rule| rule.network.prefix_len());
     let mut tenant_networks = TenantNetworks::default();
     for rule in rules {
@@ -77,7 +80,7 @@
             .map_err(|error| rule.section.problem("prefixes", error))?;
     }
     if tenant_networks.is_empty() && tenant_source.uses_networks() {
-        let reason = "goes by networks, and there is no [network NAME]";
+        let reason = "selects tenants by network, but no [network NAME] section defines a network";
         return Err(gateway_section.problem("tenant-by", reason));
     }
     Ok(tenant_networks)
--- a/crates/opensearch-gateway/src/tls.rs
+++ b/crates/opensearch-gateway/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS with a certificate that can be reloaded without closing connections.
+//! TLS configuration that can be reloaded without closing connections.
 
 use rustls::crypto::CryptoProvider;
 use rustls::pki_types::pem::{self, PemObject};
@@ -12,111 +12,115 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio_rustls::TlsAcceptor;
 
-/// Permission bits that let anyone but the owner access a file.
+/// Permission bits that grant access to a file to its group and to others.
 const GROUP_AND_OTHERS_MASK: u32 = 0o077;
 /// All permission bits of a file's mode.
 const PERMISSIONS_MASK: u32 = 0o777;
-/// The only protocol that is negotiated by ALPN.
+/// The only protocol offered in ALPN negotiation.
 const ALPN_HTTP_1_1: &[u8] = b"http/1.1";
 
-/// The files that the settings name.
+/// Paths of the files from which the TLS configuration is loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsFiles {
-    /// PEM file of the certificate chain.
+    /// PEM file with the certificate chain.
     pub certificate: PathBuf,
-    /// PEM file of the private key.
+    /// PEM file with the private key.
     pub key: PathBuf,
-    /// PEM file of the authorities that sign clients' certificates. Clients are not asked for
-    /// certificates without it.
+    /// PEM file with the authorities that sign client certificates. If `None`, no certificate is
+    /// requested from clients.
     pub client_ca: Option<PathBuf>,
 }
 
-/// Why the TLS files can't be used.
+/// Error from loading the TLS files.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// The key file can't be inspected.
-    #[error("{}: {source}", path.display())]
+    /// The metadata of the key file cannot be read.
+    #[error("{}: cannot read the file's metadata: {source}", path.display())]
     KeyMetadata {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// I/O error of the system call.
         source: io::Error,
     },
-    /// Others than the owner have access to the key file.
-    #[error("{}: others may read it (mode {mode:03o}); chmod 600 it", path.display())]
+    /// Users other than the owner have access to the key file.
+    #[error(
+        "{}: private key file is accessible by group or others (mode {mode:03o}); expected mode 600",
+        path.display()
+    )]
     KeyPermissions {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Its permission bits.
+        /// Permission bits of the file.
         mode: u32,
     },
-    /// A file can't be read, or is not PEM of the expected kind.
-    #[error("{}: {source}", path.display())]
+    /// A file cannot be read, or is not a PEM file of the expected kind.
+    #[error("{}: cannot load the PEM file: {source}", path.display())]
     Pem {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// I/O error or syntax error in the PEM file.
         source: pem::Error,
     },
-    /// A file holds no certificate.
-    #[error("{}: there is no certificate in it", path.display())]
+    /// A PEM file contains no certificate.
+    #[error("{}: the PEM file contains no certificate", path.display())]
     NoCertificate {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// A certificate can't serve as a client authority.
-    #[error("{}: {source}", path.display())]
+    /// A certificate cannot be used as an authority for client certificates.
+    #[error("{}: invalid authority for client certificates: {source}", path.display())]
     InvalidAuthority {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Error of the TLS library.
         source: rustls::Error,
     },
-    /// The verifier of client certificates can't be built.
+    /// The verifier for client certificates cannot be built.
     #[error(transparent)]
     ClientVerifier(#[from] VerifierBuilderError),
-    /// The protocol versions are not supported.
+    /// The crypto provider does not support the default protocol versions.
     #[error(transparent)]
     Protocol(rustls::Error),
-    /// Certificate and key do not fit together.
-    #[error("{} and {}: {source}", certificate.display(), key.display())]
+    /// The certificate cannot be used with the private key.
+    #[error("certificate {} cannot be used with private key {}: {source}", certificate.display(), key.display())]
     CertificateKeyMismatch {
-        /// The certificate's file.
+        /// Path of the certificate file.
         certificate: PathBuf,
-        /// The key's file.
+        /// Path of the key file.
         key: PathBuf,
-        /// The cause.
+        /// Error of the TLS library.
         source: rustls::Error,
     },
 }
 
-/// The TLS configuration of new connections.
+/// The TLS configuration for new connections, which can be replaced at run time.
 pub struct ReloadableTls {
     files: TlsFiles,
     config: Mutex<Arc<ServerConfig>>,
 }
 
 impl ReloadableTls {
-    /// Loads certificate and key.
+    /// Loads the TLS configuration from `files`.
     ///
     /// # Errors
-    /// A file can't be used.
+    /// Returns an error if a file cannot be read or its content is invalid.
     pub fn load(files: TlsFiles) -> Result<ReloadableTls, TlsError> {
         let config = Mutex::new(Arc::new(load_config(&files)?));
         Ok(ReloadableTls { files, config })
     }
 
-    /// Loads the files again. Open connections are not affected.
+    /// Loads the files again for new connections. Open connections are not affected.
     ///
     /// # Errors
-    /// A file can't be used; the previous configuration stays in force.
+    /// Returns an error if a file cannot be read or its content is invalid. The previous
+    /// configuration then remains in use.
     pub fn reload(&self) -> Result<(), TlsError> {
         let config = Arc::new(load_config(&self.files)?);
         *self.config.lock().unwrap_or_else(PoisonError::into_inner) = config;
         Ok(())
     }
 
-    /// Accepts connections with the current configuration.
+    /// Returns an acceptor that uses the current configuration.
     pub fn acceptor(&self) -> TlsAcceptor {
         let config = self.config.lock().unwrap_or_else(PoisonError::into_inner);
         TlsAcceptor::from(config.clone())
@@ -145,7 +149,7 @@
     Ok(config)
 }
 
-/// Loads the private key, which only its owner may access.
+/// Loads the private key and checks that only the owner has access to its file.
 fn load_key(path: &Path) -> Result<PrivateKeyDer<'static>, TlsError> {
     let metadata = std::fs::metadata(path).map_err(|source| TlsError::KeyMetadata {
         path: path.into(),
@@ -178,7 +182,9 @@
     }
 }
 
-/// Verifies clients' certificates against the authorities in a file. A client may have none.
+/// Returns a verifier that checks client certificates against the authorities in a file.
+///
+/// Clients without a certificate are accepted.
 fn load_client_verifier(
     path: &Path,
     provider: Arc<CryptoProvider>,
@@ -198,7 +204,10 @@
     Ok(verifier)
 }
 
-/// The common name in a client's certificate, which was verified in the handshake.
+/// Returns the common name in a certificate, or `None` if there is none or the certificate is
+/// malformed.
+///
+/// The handshake must have verified the certificate.
 pub fn common_name(certificate: &CertificateDer) -> Option<String> {
     let (_, certificate) = x509_parser::parse_x509_certificate(certificate).ok()?;
     let name = certificate.subject().iter_common_name().next()?;
--- a/crates/opensearch-gateway/tests/merge.rs
+++ b/crates/opensearch-gateway/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Merging of the shards' answers.
+//! Tests of merging the answers of shards.
 
 mod support;
 
@@ -52,27 +52,31 @@
     assert_eq!(
         ids(reversed),
         expected,
-        "the order of arrival does not matter"
+        "expected an order that does not depend on the order of arrival"
     );
     let total = merge(&request, results()).total.unwrap();
     assert_eq!(
         (total.value, total.relation),
         (15, Relation::Gte),
-        "a lower bound in one shard makes the sum a lower bound"
+        "expected a lower bound as the total, because the total of one shard is a lower bound"
     );
 }
 
 #[test]
-fn merged_terms_state_their_error_bound() {
+fn merged_terms_report_an_upper_bound_on_their_error() {
     let request =
         parse_request(&json!({"size": 0, "aggs": {"t": {"terms": {"field": "x", "size": 2}}}}))
             .unwrap();
-    let partial = |shard: u32, buckets: &[(&str, u64)], other: u64| {
+    let partial = |shard: u32, buckets: &[(&str, u64)], omitted_doc_count: u64| {
         let buckets: Vec<Value> = buckets
             .iter()
             .map(|(key, doc_count)| json!({"key": key, "doc_count": doc_count}))
             .collect();
-        let terms = json!({"doc_count_error_upper_bound": 0, "sum_other_doc_count": other, "buckets": buckets});
+        let terms = json!({
+            "doc_count_error_upper_bound": 0,
+            "sum_other_doc_count": omitted_doc_count,
+            "buckets": buckets,
+        });
         shard_result(
             shard,
             json!([]),
@@ -93,7 +97,7 @@
 }
 
 #[test]
-fn an_unusable_shard_answer_is_a_failure_with_its_type_and_reason() {
+fn an_unusable_shard_answer_is_reported_with_a_type_and_a_reason() {
     let request =
         parse_request(&json!({"sort": ["a"], "aggs": {"m": {"max": {"field": "a"}}}})).unwrap();
     let cases = [
@@ -132,7 +136,7 @@
     }
 }
 
-/// A hit by the values that it is sorted by.
+/// The values that determine the position of a hit.
 struct ExpectedHit {
     score: u8,
     shard: u32,
@@ -142,8 +146,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A merged page is that page of all hits in order, however the hits are spread over the
-    /// shards.
+    /// A merged page equals the same page of the sorted list of all hits, regardless of the
+    /// distribution of hits over shards.
     #[test]
     fn a_merged_page_equals_the_page_of_all_sorted_hits(
         scores in prop::collection::vec((0u8..4, 0u32..5), 0..60), from in 0u64..30, size in 0u64..30,
--- a/crates/opensearch-gateway/tests/networks.rs
+++ b/crates/opensearch-gateway/tests/networks.rs
@@ -1,4 +1,4 @@
-//! Tenants by network, and client addresses behind proxies.
+//! Tests of tenant lookup by network and of client addresses behind proxies.
 
 use ipnet::Ipv4Net;
 use opensearch_gateway::networks::{
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_and_ineffective_rules_are_rejected() {
+fn the_longest_prefix_takes_precedence_and_redundant_networks_are_rejected() {
     let networks = tenant_networks(&[
         ("10.0.0.0/8", "a"),
         ("10.1.0.0/16", "b"),
@@ -39,12 +39,12 @@
     assert!(tenant_networks(&[("10.0.0.0/8", "a"), ("10.0.0.0/8", "b")])
         .unwrap_err()
         .to_string()
-        .contains("already"));
+        .contains("already assigned to tenant 'a'"));
     assert!(
         tenant_networks(&[("10.0.0.0/8", "a"), ("10.1.0.0/16", "a")])
             .unwrap_err()
             .to_string()
-            .contains("changes nothing")
+            .contains("has no effect")
     );
     assert!(
         parse_networks("10.1.0.1/16")
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn forwarded_addresses_are_trusted_from_trusted_proxies_only() {
+fn forwarded_addresses_are_used_only_from_trusted_proxies() {
     let mut proxies = NetworkSet::default();
     parse_networks("10.0.0.0/24, ::1")
         .unwrap()
@@ -94,10 +94,10 @@
     fn longest_prefix_lookup_agrees_with_a_linear_scan(
         rules in prop::collection::vec((0u32..64, 0u8..=6, 0u8..3), 0..20), address in 0u32..64,
     ) {
-        // Six significant bits in front, so that the networks overlap often.
-        let spread = |bits: u32| Ipv4Addr::from(bits << 26);
+        // Only the six leading bits vary, so that networks often overlap.
+        let address_from_bits = |bits: u32| Ipv4Addr::from(bits << 26);
         let mut rules: Vec<(Ipv4Net, u8)> = rules.iter().map(|(bits, length, tenant)| {
-            (Ipv4Net::new(spread(*bits), *length).unwrap().trunc(), *tenant)
+            (Ipv4Net::new(address_from_bits(*bits), *length).unwrap().trunc(), *tenant)
         }).collect();
         rules.sort_by_key(|(network, _)| network.prefix_len());
         let mut networks = TenantNetworks::default();
@@ -107,7 +107,7 @@
                 accepted.push((network, tenant));
             }
         }
-        let address = spread(address);
+        let address = address_from_bits(address);
         let containing = accepted.iter().filter(|(network, _)| network.contains(&address));
         let narrowest = containing.max_by_key(|(network, _)| network.prefix_len());
         let expected = narrowest.map(|(_, tenant)| tenant.to_string());
--- a/crates/opensearch-gateway/tests/query_dsl.rs
+++ b/crates/opensearch-gateway/tests/query_dsl.rs
@@ -1,4 +1,4 @@
-//! Parsing, validation and rewriting of search requests.
+//! Tests of parsing, validating and rewriting search requests.
 
 mod support;
 
@@ -10,8 +10,8 @@
 use support::parse_request;
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "one list of cases")]
-fn unsupported_requests_are_rejected_with_the_path_at_fault() {
+#[allow(clippy::too_many_lines, reason = "the test is one list of cases")]
+fn invalid_requests_are_rejected_with_the_path_of_the_invalid_field() {
     let nested = |depth: usize| {
         (0..depth).fold(
             json!({"match_all": {}}),
@@ -112,7 +112,7 @@
         );
     }
     assert!(parse_request(&json!({"query": nested(MAX_CLAUSE_DEPTH - 1)})).is_ok());
-    // As deep as a body can be: it is rejected before the parser recurses into it.
+    // A body of extreme depth is rejected before the recursive parser can overflow the stack.
     let deep = [b"[".repeat(60_000), b"]".repeat(60_000)].concat();
     assert!(SearchRequest::parse(&deep)
         .unwrap_err()
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn shard_requests_cover_every_hit_of_the_page() {
+fn shard_requests_ask_for_all_hits_and_buckets_that_a_page_may_need() {
     let request = parse_request(
         &json!({"from": 30, "size": 20, "timeout": "1s", "aggregations": {
         "a": {"avg": {"field": "x"}}, "t": {"terms": {"field": "x", "size": 4}}}}),
@@ -151,9 +151,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Parsing never panics, and a parsed request is unchanged by serializing and parsing it again.
+    /// Parsing never panics, and serializing and parsing a valid request again does not change it.
     #[test]
-    fn parsing_arbitrary_bytes_never_panics_and_requests_round_trip(
+    fn parsing_arbitrary_bytes_never_panics_and_valid_requests_round_trip(
         pieces in prop::collection::vec(prop::sample::select(vec![
             "{", "}", "[", "]", ",", ":", "\"query\"", "\"bool\"", "\"must\"", "\"term\"", "\"match_all\"", "\"size\"",
             "\"sort\"", "\"aggs\"", "\"a\"", "1", "-1", "1e308", "null", "true", "\"desc\"", "\"\\", "\u{1f3b5}",
--- a/crates/opensearch-gateway/tests/tls.rs
+++ b/crates/opensearch-gateway/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS certificates: reload, and the names of clients.
+//! Tests of TLS: reloading of certificates and verification of client certificates.
 
 use opensearch_gateway::tls::{common_name, ReloadableTls, TlsFiles};
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, DnType, IsCa, KeyPair};
@@ -13,10 +13,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio_rustls::{client, server, TlsConnector};
 
-/// A certificate authority.
+/// Capacity of the in-memory stream between client and server.
+const STREAM_BUFFER_BYTES: usize = 65_536;
+
+/// A self-signed certificate authority.
 struct Authority(CertifiedIssuer<'static, KeyPair>);
 
-/// A certificate and its key, in PEM.
+/// A certificate and its private key in PEM format.
 struct Identity {
     certificate: String,
     key: String,
@@ -30,6 +33,7 @@
         Authority(CertifiedIssuer::self_signed(params, key).unwrap())
     }
 
+    /// Issues a certificate for a host name, with a common name.
     fn issue(&self, host: &str, common_name: &str) -> Identity {
         let mut params = CertificateParams::new(vec![host.to_string()]).unwrap();
         params
@@ -42,7 +46,7 @@
         }
     }
 
-    /// A client that trusts this authority.
+    /// Returns the configuration of a client that trusts this authority.
     fn client(&self, identity: Option<Identity>) -> ClientConfig {
         let root = CertificateDer::from_pem_slice(self.0.pem().as_bytes()).unwrap();
         let mut roots = RootCertStore::empty();
@@ -63,14 +67,14 @@
     }
 }
 
-/// The server's files, in a directory that is removed with them.
+/// The TLS files of the server, in a temporary directory that is removed on drop.
 struct ServerFiles {
     _directory: TempDir,
     paths: TlsFiles,
 }
 
 impl ServerFiles {
-    /// Writes the client authority and the certificate, but not yet the key.
+    /// Writes the client authority and the certificate. The caller writes the key.
     fn new(client_ca: &Authority, identity: &Identity) -> ServerFiles {
         let directory = tempfile::tempdir().unwrap();
         let path_of = |name: &str| directory.path().join(name);
@@ -93,7 +97,7 @@
     fs::set_permissions(path, fs::Permissions::from_mode(mode)).unwrap();
 }
 
-/// Both ends of an established connection.
+/// Both ends of an established TLS connection.
 struct Connection {
     client: client::TlsStream<DuplexStream>,
     server: server::TlsStream<DuplexStream>,
@@ -104,7 +108,7 @@
     client: ClientConfig,
     host: &'static str,
 ) -> std::io::Result<Connection> {
-    let (client_stream, server_stream) = tokio::io::duplex(65_536);
+    let (client_stream, server_stream) = tokio::io::duplex(STREAM_BUFFER_BYTES);
     let acceptor = tls.acceptor();
     let server = tokio::spawn(async move { acceptor.accept(server_stream).await });
     let connector = TlsConnector::from(Arc::new(client));
@@ -118,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_reload_affects_new_connections_and_ignores_unusable_files() {
+async fn a_reload_affects_only_new_connections_and_rejects_invalid_files() {
     let authority = Authority::new();
     let identity = authority.issue("one.example", "one");
     let files = ServerFiles::new(&authority, &identity);
@@ -127,7 +131,7 @@
         .err()
         .unwrap()
         .to_string()
-        .contains("others may read it"));
+        .contains("accessible by group or others (mode 640)"));
     write_file(&files.paths.key, &identity.key, 0o600);
     let tls = ReloadableTls::load(files.paths.clone()).unwrap();
     let mut before = connect(&tls, authority.client(None), "one.example")
@@ -135,9 +139,9 @@
         .unwrap();
     assert!(
         before.server.get_ref().1.peer_certificates().is_none(),
-        "a client's certificate is optional"
+        "expected a connection without a client certificate to be accepted"
     );
-    // A new certificate without its key first.
+    // The new certificate does not match the private key, which is still the previous one.
     let next_identity = authority.issue("two.example", "two");
     write_file(&files.paths.certificate, &next_identity.certificate, 0o644);
     assert!(tls.reload().is_err());
@@ -145,7 +149,7 @@
         connect(&tls, authority.client(None), "one.example")
             .await
             .is_ok(),
-        "the previous certificate stays in force"
+        "expected the previous certificate to remain in use after a failed reload"
     );
     write_file(&files.paths.key, &next_identity.key, 0o600);
     tls.reload().unwrap();
@@ -161,12 +165,12 @@
     before.server.read_exact(&mut received).await.unwrap();
     assert_eq!(
         &received, b"still here",
-        "the connection from before the reload stays open"
+        "expected the connection from before the reload to stay open"
     );
 }
 
 #[tokio::test]
-async fn certificates_name_clients_and_unknown_authorities_are_rejected() {
+async fn client_certificates_provide_names_and_unknown_authorities_are_rejected() {
     let authority = Authority::new();
     let unknown_authority = Authority::new();
     let identity = authority.issue("one.example", "one");
