--- a/crates/aggregator/tests/command_line.rs
+++ b/crates/aggregator/tests/command_line.rs
@@ -11,16 +11,16 @@
 
 /// Settings that are invalid, and what is reported after the name of their file.
 const INVALID_SETTINGS: &[(&str, &str)] = &[
-    ("[loge]\nlevel = info\n", "1: there is no section [loge]; the nearest is 'log'"),
-    ("[log]\n\nlevl = info\n", "3: [log] has no key 'levl'; the nearest is 'level'"),
+    ("[loge]\nlevel = info\n", "1: unknown section [loge]; did you mean 'log'?"),
+    ("[log]\n\nlevl = info\n", "3: unknown key 'levl' in [log]; did you mean 'level'?"),
     ("[log]\nlevel = loud\n", "2: [log] level = loud"),
-    ("[usage]\ndirectory = x\nstall = 5\n", "3: [usage] stall = 5: has to be a whole number and a unit"),
+    ("[usage]\ndirectory = x\nstall = 5\n", "3: [usage] stall = 5: must be a whole number with a unit"),
     ("[usage]\ndirectory = x\nsegment = 8MB\n", "3: [usage] segment = 8MB"),
     ("[usage]\nlisten = 127.0.0.1:1\n", "2: [usage] listen: there is no log to collect"),
     ("[usage]\ndirectory = x\nkeep = 1MiB\n", "3: [usage] keep: must be at least twice 'segment'"),
-    ("[log]\nlevel = info\nlevel = warn\n", "3: [log] level is set twice"),
-    ("[log]\n[log]\n", "2: [log] stands twice"),
-    ("[price]\nwhole = 1\n", "1: [price] has to be of the form [price NAME]"),
+    ("[log]\nlevel = info\nlevel = warn\n", "3: [log] level is set more than once"),
+    ("[log]\n[log]\n", "2: duplicate section [log]"),
+    ("[price]\nwhole = 1\n", "1: [price] must have the form [price NAME]"),
     ("[price x]\npartial = 1\n", "1: [price x] whole: is missing"),
     ("[member n0]\naddress = localhost:1\n", "2: [member n0] address"),
     ("[periods]\nevery = weekly\n", "2: [periods] every = weekly"),
@@ -33,7 +33,7 @@
          [network x]\ntenant = t\nprefixes = 10.0.0.0/8\n[network y]\ntenant = t\nprefixes = 10.1.0.0/16\n",
         "12: [network y] prefixes: 10.1.0.0/16 is already covered by a wider network of tenant 't'",
     ),
-    ("level = info\n", "1: 'level' stands in no section"),
+    ("level = info\n", "1: key 'level' is outside of any section"),
 ];
 
 /// Calls that fail: arguments, exit code, and a part of the message.
--- a/crates/ini-config/src/file_values.rs
+++ b/crates/ini-config/src/file_values.rs
@@ -1,20 +1,20 @@
-//! The values of a settings file, each with its line.
+//! Values of a settings file with their line numbers.
 
 use std::collections::BTreeMap;
 
-/// A value as the file states it.
+/// A value in a file.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct SourceValue {
     pub(crate) text: String,
-    /// Counted from 1.
+    /// Line number, counted from 1.
     pub(crate) line: usize,
 }
 
-/// Identifies one value of a file.
+/// Identifies a value in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ValueKey {
     section: String,
-    /// Empty where the section has no name.
+    /// Name of the section `[section name]`; empty for `[section]`.
     name: String,
     key: String,
 }
@@ -29,11 +29,11 @@
     }
 }
 
-/// The values of a file that has been checked against a schema.
+/// Values of a file that has been checked against a schema.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct FileValues {
     values: BTreeMap<ValueKey, SourceValue>,
-    /// The line of each named section's header, by section and name.
+    /// Line number of the header of each named section, by section and name.
     header_lines: BTreeMap<String, BTreeMap<String, usize>>,
 }
 
@@ -51,12 +51,12 @@
         self.values.get(&ValueKey::new(section, name, key))
     }
 
-    /// The line of a named section's header.
+    /// Returns the line number of the header `[section name]`.
     pub(crate) fn header_line(&self, section: &str, name: &str) -> Option<usize> {
         self.header_lines.get(section)?.get(name).copied()
     }
 
-    /// The names with which a named section appears, in alphabetical order.
+    /// Returns the names of all sections `[section NAME]`, in alphabetical order.
     pub(crate) fn section_names(&self, section: &str) -> Vec<&str> {
         let lines = self.header_lines.get(section).into_iter();
         lines.flat_map(BTreeMap::keys).map(String::as_str).collect()
--- a/crates/ini-config/src/invalid_value.rs
+++ b/crates/ini-config/src/invalid_value.rs
@@ -1,44 +1,45 @@
-//! Why a value does not have its key's kind.
+//! Error of a value that does not match the kind of its key.
 
 use crate::suggestion::Suggestion;
 
-/// Why a text is no value of a [`Kind`](crate::Kind).
+/// Reason why a text is not a valid value of a [`Kind`](crate::Kind).
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidValue {
-    /// No [`Kind::Flag`](crate::Kind::Flag).
-    #[error("has to be 'yes' or 'no'")]
+    /// The text is not a [`Kind::Flag`](crate::Kind::Flag).
+    #[error("must be 'yes' or 'no'")]
     NotFlag,
-    /// No [`Kind::Count`](crate::Kind::Count), or out of its bounds.
-    #[error("has to be a whole number from {min} to {max}")]
+    /// The text is not a [`Kind::Count`](crate::Kind::Count), or the number is out of bounds.
+    #[error("must be a whole number from {min} to {max}")]
     NotCount {
-        /// The smallest valid number.
+        /// Smallest valid number.
         min: u64,
-        /// The largest valid number.
+        /// Largest valid number.
         max: u64,
     },
-    /// No [`Kind::Address`](crate::Kind::Address).
-    #[error("has to be ADDRESS:PORT, in numbers")]
+    /// The text is not a [`Kind::Address`](crate::Kind::Address).
+    #[error("must be a numeric IP address and port (for example 127.0.0.1:8080)")]
     NotAddress,
-    /// None of the words of a [`Kind::Choice`](crate::Kind::Choice).
-    #[error("{0}")]
+    /// The text is not one of the words of a [`Kind::Choice`](crate::Kind::Choice).
+    #[error("unknown value; {0}")]
     UnknownChoice(Suggestion),
-    /// No number with one of the units.
-    #[error("has to be a whole number and a unit ({units}), as in {example}")]
+    /// The text is not a whole number with one of the valid units.
+    #[error("must be a whole number with a unit ({units}), for example {example}")]
     NotQuantity {
-        /// The valid units, separated by commas.
+        /// Valid units, separated by commas.
         units: String,
-        /// A valid value.
+        /// Example of a valid value.
         example: &'static str,
     },
-    /// A number with a unit that does not fit 64 bits in the smallest unit.
-    #[error("is too large")]
+    /// The quantity, expressed in the smallest unit, does not fit in 64 bits.
+    #[error("must be less than 2^64 when expressed in the smallest unit")]
     TooLarge,
-    /// Neither a length of time nor one of the words of a [`Kind::TimeOr`](crate::Kind::TimeOr).
-    #[error("{source}, or {words}")]
+    /// The text is neither a duration nor one of the words of a
+    /// [`Kind::TimeOr`](crate::Kind::TimeOr).
+    #[error("{source}, or one of: {words}")]
     NotTimeOrWord {
-        /// Why it is no length of time.
+        /// Reason why the text is not a valid duration.
         source: Box<InvalidValue>,
-        /// The valid words, separated by commas.
+        /// Valid words, separated by commas.
         words: String,
     },
 }
--- a/crates/ini-config/src/kind.rs
+++ b/crates/ini-config/src/kind.rs
@@ -1,36 +1,36 @@
-//! Kinds of values.
+//! Kinds of values and their validation.
 
 use crate::invalid_value::InvalidValue;
 use crate::quantity::{parse_bytes, parse_time};
 use crate::suggestion::Suggestion;
 use std::net::SocketAddr;
 
-/// What a value has to be.
+/// The kind of a key's values, which determines the valid texts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     /// Any text.
     Text,
     /// `yes` or `no`.
     Flag,
-    /// An integer within these bounds, both included.
+    /// An unsigned integer between these bounds, both inclusive.
     Count(u64, u64),
-    /// A length of time with its unit: `us`, `ms`, `s`, `m`, `h` or `d`.
+    /// A duration with one of the units `us`, `ms`, `s`, `m`, `h` and `d`.
     Time,
-    /// An amount of memory or disk with its unit: `B`, `KiB`, `MiB` or `GiB`.
+    /// An amount of memory or disk space with one of the units `B`, `KiB`, `MiB` and `GiB`.
     Bytes,
-    /// `ADDRESS:PORT`, numeric.
+    /// A numeric IP address and port, as `ADDRESS:PORT`.
     Address,
     /// One of these words.
     Choice(&'static [&'static str]),
-    /// A length of time, or one of these words.
+    /// A duration (see [`Kind::Time`]) or one of these words.
     TimeOr(&'static [&'static str]),
 }
 
 impl Kind {
-    /// Checks that `text` is a value of this kind.
+    /// Checks that `text` is a valid value of this kind.
     ///
     /// # Errors
-    /// Why it is not.
+    /// Returns the reason why `text` is invalid.
     pub fn check(&self, text: &str) -> Result<(), InvalidValue> {
         let text = text.trim();
         match self {
--- a/crates/ini-config/src/lib.rs
+++ b/crates/ini-config/src/lib.rs
@@ -1,10 +1,11 @@
-//! INI settings files, checked against a schema.
+//! INI settings files that are checked against a schema.
 //!
-//! A program declares its sections and keys as a [`Schema`]: the [`Kind`] of each value, its
-//! default, and whether a running program applies a change. [`Settings::read`] checks a file
-//! against the schema and reports all [`Problems`] at once, each with file, line, key and the
-//! nearest valid name. [`Settings::section`] gives typed access to the values of one section. Each
-//! value has an [`Origin`], so that a program can show where a value in force came from.
+//! A program declares its sections and keys as a [`Schema`], which defines the [`Kind`] and the
+//! default of each value and whether a running program applies a change. [`Settings::read`] checks
+//! a file against the schema and reports all [`Problems`] at once, each with the file, the line,
+//! the key and a suggestion for a misspelled name. [`Settings::section`] provides typed access to
+//! the values of one section. Each effective value has an [`Origin`], which tells whether the file
+//! or the schema defines the value.
 
 mod file_values;
 mod invalid_value;
--- a/crates/ini-config/src/line_index.rs
+++ b/crates/ini-config/src/line_index.rs
@@ -1,25 +1,27 @@
 //! Line numbers of sections and keys.
 //!
-//! The INI parser reports values without their lines, so the text is scanned a second time.
+//! The INI parser reports no line numbers for values, so the text is scanned a second time.
 
 use std::collections::BTreeMap;
 
-/// The lines of a text's sections and keys, counted from 1.
+/// Line numbers of the sections and keys of a text, counted from 1.
 pub(crate) struct LineIndex {
+    /// Lines of all headers, by header.
     sections: BTreeMap<String, Vec<usize>>,
-    keys: BTreeMap<KeyPosition, Vec<usize>>,
+    /// Lines of all assignments, by section and key.
+    keys: BTreeMap<QualifiedKey, Vec<usize>>,
 }
 
-/// A key and the header of its section.
+/// A key with the header of its section.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct KeyPosition {
+struct QualifiedKey {
     header: String,
     key: String,
 }
 
-impl KeyPosition {
-    fn new(header: &str, key: &str) -> KeyPosition {
-        KeyPosition {
+impl QualifiedKey {
+    fn new(header: &str, key: &str) -> QualifiedKey {
+        QualifiedKey {
             header: header.to_string(),
             key: key.to_string(),
         }
@@ -33,40 +35,46 @@
             keys: BTreeMap::new(),
         };
         let mut current_header = "";
-        for (line_index, line) in text.lines().enumerate() {
-            let line_number = line_index + 1;
+        for (lines_before, line) in text.lines().enumerate() {
+            let line_number = lines_before + 1;
             let line = line.trim();
             if let Some(header) = section_header(line) {
                 current_header = header;
                 let lines = index.sections.entry(header.to_string()).or_default();
                 lines.push(line_number);
             } else if let Some(key) = assigned_key(line) {
-                let position = KeyPosition::new(current_header, key);
-                index.keys.entry(position).or_default().push(line_number);
+                let qualified_key = QualifiedKey::new(current_header, key);
+                index
+                    .keys
+                    .entry(qualified_key)
+                    .or_default()
+                    .push(line_number);
             }
         }
         index
     }
 
-    /// The line of the `occurrence`-th header of this section, counted from 0.
-    pub(crate) fn section(&self, header: &str, occurrence: usize) -> Option<usize> {
+    /// Returns the line of a section's header. `occurrence` selects among equal headers, counted
+    /// from 0.
+    pub(crate) fn section_line(&self, header: &str, occurrence: usize) -> Option<usize> {
         self.sections.get(header)?.get(occurrence).copied()
     }
 
-    /// The line of the `occurrence`-th assignment to a key of a section, counted from 0.
-    pub(crate) fn key(&self, header: &str, key: &str, occurrence: usize) -> Option<usize> {
-        let lines = self.keys.get(&KeyPosition::new(header, key))?;
+    /// Returns the line of an assignment to a key. `occurrence` selects among the assignments to
+    /// the same key of a section, counted from 0.
+    pub(crate) fn key_line(&self, header: &str, key: &str, occurrence: usize) -> Option<usize> {
+        let lines = self.keys.get(&QualifiedKey::new(header, key))?;
         lines.get(occurrence).copied()
     }
 }
 
-/// The header in a line `[header]`, without its brackets.
+/// Returns the header in a line `[header]`, without the brackets.
 fn section_header(line: &str) -> Option<&str> {
     let rest = line.strip_prefix('[')?;
     rest.split(']').next().map(str::trim)
 }
 
-/// The key in a line `key = value` or `key: value`.
+/// Returns the key in a line `key = value` or `key: value`; `None` for comments and other lines.
 fn assigned_key(line: &str) -> Option<&str> {
     if line.starts_with([';', '#']) {
         return None;
--- a/crates/ini-config/src/parser.rs
+++ b/crates/ini-config/src/parser.rs
@@ -1,4 +1,4 @@
-//! Parses a file and checks its sections, keys and values against a schema.
+//! Parses a settings file and checks its sections, keys and values against a schema.
 
 use crate::file_values::{FileValues, SourceValue};
 use crate::line_index::LineIndex;
@@ -7,7 +7,9 @@
 use crate::suggestion::Suggestion;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Parses `text`, the content of `file`, and collects all problems before it fails.
+/// Parses `text`, the content of `file`.
+///
+/// A syntax error is reported alone; otherwise, all violations of the schema are reported together.
 pub(crate) fn parse(schema: &Schema, file: &str, text: &str) -> Result<FileValues, Problems> {
     let ini = ini::Ini::load_from_str(text).map_err(|error| {
         Problems(vec![Problem {
@@ -30,7 +32,7 @@
     parser.finish()
 }
 
-/// The state of one pass over a file.
+/// State of the parser for one file.
 struct Parser<'a> {
     schema: &'a Schema,
     file: &'a str,
@@ -40,11 +42,11 @@
     problems: Vec<Problem>,
 }
 
-/// A section of the file that the schema has.
-struct KnownSection<'a> {
-    /// The header without its brackets.
+/// A section of the file with its schema.
+struct ResolvedSection<'a> {
+    /// Header without the brackets.
     header: &'a str,
-    /// The section's own name; empty if it has none.
+    /// Name of the section `[section name]`; empty for `[section]`.
     name: &'a str,
     schema: &'static Section,
 }
@@ -59,11 +61,11 @@
             let kind = ProblemKind::DuplicateSection {
                 header: header.into(),
             };
-            self.report(self.lines.section(header, 1), kind);
+            self.report(self.lines.section_line(header, 1), kind);
             return;
         }
-        let line = self.lines.section(header, 0);
-        let section = match self.known_section(header) {
+        let line = self.lines.section_line(header, 0);
+        let section = match self.resolve_section(header) {
             Ok(section) => section,
             Err(kind) => return self.report(line, kind),
         };
@@ -83,31 +85,31 @@
     fn report_keys_outside_sections(&mut self, properties: &ini::Properties) {
         for (key, _) in properties {
             let kind = ProblemKind::KeyOutsideSection { key: key.into() };
-            self.report(self.lines.key("", key, 0), kind);
+            self.report(self.lines.key_line("", key, 0), kind);
         }
     }
 
-    /// Finds the schema of a section by its header.
-    fn known_section<'h>(&self, header: &'h str) -> Result<KnownSection<'h>, ProblemKind> {
-        let (kind, name) = header
+    /// Looks up the schema of a section by its header.
+    fn resolve_section<'h>(&self, header: &'h str) -> Result<ResolvedSection<'h>, ProblemKind> {
+        let (section_name, name) = header
             .split_once(char::is_whitespace)
             .unwrap_or((header, ""));
         let name = name.trim().trim_matches('"');
-        let Some(schema) = self.schema.section(kind) else {
+        let Some(schema) = self.schema.section(section_name) else {
             let valid = self.schema.0.iter().map(|section| section.name);
             return Err(ProblemKind::UnknownSection {
-                section: kind.into(),
-                suggestion: Suggestion::for_name(kind, valid),
+                section: section_name.into(),
+                suggestion: Suggestion::for_name(section_name, valid),
             });
         };
         if schema.named == name.is_empty() {
-            return Err(ProblemKind::SectionForm {
+            return Err(ProblemKind::InvalidHeader {
                 header: header.into(),
-                section: kind.into(),
+                section: section_name.into(),
                 named: schema.named,
             });
         }
-        Ok(KnownSection {
+        Ok(ResolvedSection {
             header,
             name,
             schema,
@@ -116,18 +118,18 @@
 
     fn parse_property(
         &mut self,
-        section: &KnownSection<'_>,
+        section: &ResolvedSection<'_>,
         key: &str,
         text: &str,
         occurrence: usize,
     ) {
-        let line = self.lines.key(section.header, key, occurrence);
+        let line = self.lines.key_line(section.header, key, occurrence);
         let header = section.header.to_string();
         if occurrence > 0 {
             let key = key.into();
             return self.report(line, ProblemKind::DuplicateKey { header, key });
         }
-        let Some(known) = section.schema.key(key) else {
+        let Some(key_schema) = section.schema.key(key) else {
             let valid = section.schema.keys.iter().map(|key| key.name);
             let kind = ProblemKind::UnknownKey {
                 header,
@@ -136,7 +138,7 @@
             };
             return self.report(line, kind);
         };
-        if let Err(source) = known.kind.check(text) {
+        if let Err(source) = key_schema.kind.check(text) {
             let kind = ProblemKind::InvalidValue {
                 header,
                 key: key.into(),
@@ -150,7 +152,7 @@
             line: line.unwrap_or_default(),
         };
         self.values
-            .insert(section.schema.name, section.name, known.name, value);
+            .insert(section.schema.name, section.name, key_schema.name, value);
     }
 
     fn report(&mut self, line: Option<usize>, kind: ProblemKind) {
@@ -161,6 +163,7 @@
         });
     }
 
+    /// Returns the values, or all problems in the order of their lines.
     fn finish(mut self) -> Result<FileValues, Problems> {
         if self.problems.is_empty() {
             return Ok(self.values);
--- a/crates/ini-config/src/problem.rs
+++ b/crates/ini-config/src/problem.rs
@@ -1,100 +1,100 @@
-//! What is wrong with a settings file.
+//! Problems of a settings file.
 
 use crate::invalid_value::InvalidValue;
 use crate::suggestion::Suggestion;
 use std::fmt;
 
-/// One problem of a file.
+/// A problem at one place in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}{}: {kind}", .line.map(|line| format!(":{line}")).unwrap_or_default())]
 pub struct Problem {
-    /// The file's path, as it was given.
+    /// Path of the file, as passed by the caller.
     pub file: String,
-    /// The line, counted from 1, where the problem belongs to one.
+    /// Line number, counted from 1, or `None` if the problem does not belong to a single line.
     pub line: Option<usize>,
-    /// What is wrong.
+    /// Kind of the problem, with the names and values involved.
     pub kind: ProblemKind,
 }
 
-/// What is wrong at one place of a file.
+/// Kind of a [`Problem`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProblemKind {
-    /// The text is not an INI file.
-    #[error("cannot be read: {0}")]
+    /// The text is not a well-formed INI file.
+    #[error("invalid INI syntax: {0}")]
     Syntax(String),
     /// A key is set before the first section.
-    #[error("'{key}' stands in no section")]
+    #[error("key '{key}' is outside of any section")]
     KeyOutsideSection {
-        /// The key.
+        /// Name of the key.
         key: String,
     },
-    /// A section header appears a second time.
-    #[error("[{header}] stands twice")]
+    /// A section header appears more than once.
+    #[error("duplicate section [{header}]")]
     DuplicateSection {
-        /// The header without its brackets.
+        /// Section header without the brackets.
         header: String,
     },
-    /// The schema has no such section.
-    #[error("there is no section [{section}]; {suggestion}")]
+    /// The schema does not define the section.
+    #[error("unknown section [{section}]; {suggestion}")]
     UnknownSection {
-        /// The section's name in the file.
+        /// Name of the section in the file.
         section: String,
-        /// What may have been meant.
+        /// Valid names that may have been intended.
         suggestion: Suggestion,
     },
-    /// A header lacks its name, or has one that it must not have.
-    #[error("[{header}] has to be of the form [{section}{}]", if *.named { " NAME" } else { "" })]
-    SectionForm {
-        /// The header without its brackets.
+    /// A header lacks a required name, or has a name although the section is unnamed.
+    #[error("[{header}] must have the form [{section}{}]", if *.named { " NAME" } else { "" })]
+    InvalidHeader {
+        /// Section header without the brackets.
         header: String,
-        /// The section's name in the schema.
+        /// Name of the section in the schema.
         section: String,
         /// Whether the schema requires a name.
         named: bool,
     },
-    /// A key is set a second time in one section.
-    #[error("[{header}] {key} is set twice")]
+    /// A key is set more than once in the same section.
+    #[error("[{header}] {key} is set more than once")]
     DuplicateKey {
-        /// The header without its brackets.
+        /// Section header without the brackets.
         header: String,
-        /// The key.
+        /// Name of the key.
         key: String,
     },
-    /// The section has no such key.
-    #[error("[{header}] has no key '{key}'; {suggestion}")]
+    /// The schema of the section does not define the key.
+    #[error("unknown key '{key}' in [{header}]; {suggestion}")]
     UnknownKey {
-        /// The header without its brackets.
+        /// Section header without the brackets.
         header: String,
-        /// The key in the file.
+        /// Name of the key in the file.
         key: String,
-        /// What may have been meant.
+        /// Valid names that may have been intended.
         suggestion: Suggestion,
     },
-    /// A value does not have its key's kind.
+    /// A value does not match the kind of its key.
     #[error("[{header}] {key} = {value}: {source}")]
     InvalidValue {
-        /// The header without its brackets.
+        /// Section header without the brackets.
         header: String,
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// The value in the file.
+        /// Text of the value in the file.
         value: String,
-        /// Why it is not valid.
+        /// Reason why the value is invalid.
         source: InvalidValue,
     },
-    /// A value has its key's kind, but the program that uses it can't accept it.
+    /// A value matches the kind of its key, but the program rejects it.
     #[error("[{header}] {key}: {reason}")]
     Rejected {
-        /// The header without its brackets.
+        /// Section header without the brackets.
         header: String,
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// Why the program can't accept it.
+        /// Reason why the program rejects the value.
         reason: String,
     },
 }
 
-/// All problems of a file, in the order of its lines.
+/// All problems of a settings file, in the order of their lines.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Problems(pub Vec<Problem>);
 
--- a/crates/ini-config/src/quantity.rs
+++ b/crates/ini-config/src/quantity.rs
@@ -1,12 +1,12 @@
-//! Lengths of time and amounts of memory or disk: a whole number with a unit.
+//! Parses quantities, which are whole numbers with a unit: durations and numbers of bytes.
 
 use crate::invalid_value::InvalidValue;
 use std::time::Duration;
 
-/// A unit of time, memory or disk.
+/// A unit of time or of data size.
 struct Unit {
     name: &'static str,
-    /// How many of the smallest unit it is.
+    /// Size of the unit, as a multiple of the smallest unit.
     factor: u64,
 }
 
@@ -14,7 +14,7 @@
     Unit { name, factor }
 }
 
-/// Units of time, in microseconds.
+/// Units of time; the smallest unit is the microsecond.
 const TIME_UNITS: [Unit; 6] = [
     unit("us", 1),
     unit("ms", 1_000),
@@ -24,7 +24,7 @@
     unit("d", 86_400_000_000),
 ];
 
-/// Units of memory and disk, in bytes.
+/// Units of data size; the smallest unit is the byte.
 const BYTE_UNITS: [Unit; 4] = [
     unit("B", 1),
     unit("KiB", 1 << 10),
@@ -32,23 +32,23 @@
     unit("GiB", 1 << 30),
 ];
 
-/// Parses a length of time with its unit.
+/// Parses a duration with a unit, for example `250ms`.
 ///
 /// # Errors
-/// Why `text` is none.
+/// Returns the reason why `text` is not a valid duration.
 pub fn parse_time(text: &str) -> Result<Duration, InvalidValue> {
     parse_quantity(text, &TIME_UNITS, "250ms").map(Duration::from_micros)
 }
 
-/// Parses an amount of memory or disk with its unit, into bytes.
+/// Parses an amount of memory or disk space with a unit, for example `8MiB`, into bytes.
 ///
 /// # Errors
-/// Why `text` is none.
+/// Returns the reason why `text` is not a valid amount.
 pub fn parse_bytes(text: &str) -> Result<u64, InvalidValue> {
     parse_quantity(text, &BYTE_UNITS, "8MiB")
 }
 
-/// Parses a number with a unit into a number of the smallest unit.
+/// Parses a whole number with one of `units` and converts the quantity to the smallest unit.
 fn parse_quantity(text: &str, units: &[Unit], example: &'static str) -> Result<u64, InvalidValue> {
     let text = text.trim();
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
--- a/crates/ini-config/src/schema.rs
+++ b/crates/ini-config/src/schema.rs
@@ -1,24 +1,24 @@
-//! Schemas: the sections and keys that a settings file may have.
+//! Schemas, which define the valid sections and keys of a settings file.
 
 use crate::kind::Kind;
 
-/// One key of a section.
+/// Definition of a key within a section.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
-    /// Its name, which the file has before the `=`.
+    /// Name of the key, which precedes the `=` in the file.
     pub name: &'static str,
-    /// The kind of its values.
+    /// Kind that the key's values must have.
     pub kind: Kind,
-    /// The value where the file has none; without a default the key is then unset.
+    /// Value that applies if the file does not set the key. If `None`, the key is then unset.
     pub default: Option<&'static str>,
-    /// Whether a running program applies a change on SIGHUP.
+    /// Whether a running program applies a change on SIGHUP; otherwise, a restart is required.
     pub reloadable: bool,
-    /// One sentence for the operator.
+    /// Description for operators, in one sentence.
     pub doc: &'static str,
 }
 
 impl Key {
-    /// A key whose change takes effect at the next start.
+    /// Creates a key whose changes take effect at the next start of the program.
     pub const fn new(
         name: &'static str,
         kind: Kind,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A key whose change takes effect on SIGHUP.
+    /// Creates a key whose changes take effect on SIGHUP.
     pub const fn reloadable(
         name: &'static str,
         kind: Kind,
@@ -48,19 +48,19 @@
     }
 }
 
-/// One section; a named one may appear several times, as `[name NAME]`.
+/// Definition of a section. A named section may appear several times, as `[section NAME]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
-    /// Its name, which the file has in brackets.
+    /// Name of the section, which is the first word in the brackets of the header.
     pub name: &'static str,
-    /// Whether the header has to have a name after that of the section.
+    /// Whether the header must contain a further name after the name of the section.
     pub named: bool,
-    /// The keys that it may have.
+    /// Keys that the section may contain.
     pub keys: &'static [Key],
 }
 
 impl Section {
-    /// A section that may appear once, as `[name]`.
+    /// Creates a section that may appear once, as `[name]`.
     pub const fn new(name: &'static str, keys: &'static [Key]) -> Section {
         Section {
             name,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A section that may appear several times, as `[name NAME]`.
+    /// Creates a section that may appear several times, as `[name NAME]`.
     pub const fn named(name: &'static str, keys: &'static [Key]) -> Section {
         Section {
             name,
@@ -83,7 +83,7 @@
     }
 }
 
-/// All sections that a file may have.
+/// Definitions of all sections that a file may contain.
 #[derive(Clone, Copy, Debug)]
 pub struct Schema(pub &'static [Section]);
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// A section's header without its brackets. `name` is empty where the section has none.
+/// Returns the header of a section without the brackets. `name` is empty for an unnamed section.
 pub(crate) fn header(section: &str, name: &str) -> String {
     if name.is_empty() {
         section.to_string()
--- a/crates/ini-config/src/section_values.rs
+++ b/crates/ini-config/src/section_values.rs
@@ -8,23 +8,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The values of one section.
+/// The values of one section, with the defaults of the schema.
 ///
-/// All were checked when the file was read, so a method returns `None` only for a key that is unset
-/// or of another kind.
+/// The values were checked when the file was read, so the methods return `None` only if the key is
+/// unset or has a different kind.
 #[derive(Clone, Copy)]
 pub struct SectionValues<'a> {
     pub(crate) file: &'a str,
     pub(crate) values: &'a FileValues,
     pub(crate) section: &'a str,
-    /// The name of a named section, else empty.
+    /// Name of the section `[section name]`; empty for `[section]`.
     pub(crate) name: &'a str,
-    /// None if the schema has no such section: all its keys are unset.
+    /// `None` if the schema does not define the section. All keys are then unset.
     pub(crate) schema: Option<&'static Section>,
 }
 
 impl<'a> SectionValues<'a> {
-    /// The value of a key as text; `None` if it is unset or empty.
+    /// Returns the value of a key as text, or `None` if the key is unset or its value is empty.
     pub fn text(&self, key: &str) -> Option<&'a str> {
         let key = self.schema?.key(key)?;
         let source = self.values.get(self.section, self.name, key.name);
@@ -34,34 +34,35 @@
             .filter(|text| !text.is_empty())
     }
 
-    /// Whether a [`Kind::Flag`](crate::Kind::Flag) is `yes`.
+    /// Returns whether a [`Kind::Flag`](crate::Kind::Flag) is `yes`.
     pub fn flag(&self, key: &str) -> bool {
         self.text(key) == Some("yes")
     }
 
-    /// The value of a [`Kind::Count`](crate::Kind::Count).
+    /// Returns the value of a [`Kind::Count`](crate::Kind::Count).
     pub fn count(&self, key: &str) -> Option<u64> {
         self.text(key)?.parse().ok()
     }
 
-    /// The value of a [`Kind::Time`](crate::Kind::Time).
+    /// Returns the value of a [`Kind::Time`](crate::Kind::Time).
     pub fn time(&self, key: &str) -> Option<Duration> {
         parse_time(self.text(key)?).ok()
     }
 
-    /// The value of a [`Kind::Bytes`](crate::Kind::Bytes).
+    /// Returns the value of a [`Kind::Bytes`](crate::Kind::Bytes), in bytes.
     pub fn bytes(&self, key: &str) -> Option<u64> {
         parse_bytes(self.text(key)?).ok()
     }
 
-    /// The value of a [`Kind::Address`](crate::Kind::Address).
+    /// Returns the value of a [`Kind::Address`](crate::Kind::Address).
     pub fn address(&self, key: &str) -> Option<SocketAddr> {
         self.text(key)?.parse().ok()
     }
 
-    /// A problem with the value of a key that only the program that uses it can detect.
+    /// Returns a problem with the value of a key, for checks that go beyond the schema.
     ///
-    /// It has the line of the value or, where the file does not set it, of its named section.
+    /// The problem has the line of the value. If the file does not set the key, the problem has the
+    /// line of the named section's header, or no line if the section is unnamed.
     pub fn problem(&self, key: &str, reason: impl Display) -> Problems {
         let value = self.values.get(self.section, self.name, key);
         let line = value
--- a/crates/ini-config/src/settings.rs
+++ b/crates/ini-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings in force: the values of a file, and the schema's defaults.
+//! Effective settings: the values of a file, with the defaults of a schema.
 
 use crate::file_values::FileValues;
 use crate::parser;
@@ -7,56 +7,58 @@
 use crate::section_values::SectionValues;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The name of a section that has none.
-const NO_NAME: &str = "";
-/// Stands for a value that is unset and has no default.
+/// Internal name of an unnamed section.
+const UNNAMED: &str = "";
+/// Text that is shown for a key without a value.
 const NOT_SET: &str = "(not set)";
 
-/// Where a value came from.
+/// Origin of an effective value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A line of the file, counted from 1.
+    /// The given line of the file, counted from 1.
     Line(usize),
-    /// The schema's default.
+    /// The default in the schema.
     Default,
 }
 
-/// One value in force, as text for operators.
+/// An effective value in text form, to show to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveValue {
-    /// The section's header without its brackets.
+    /// Header of the section without the brackets.
     pub section: String,
-    /// The key.
+    /// Name of the key.
     pub key: &'static str,
-    /// The value as text, or `(not set)`.
+    /// Text of the value, or `(not set)` if the key has no value.
     pub value: String,
-    /// Where the value came from.
+    /// Line or default that defines the value.
     pub origin: Origin,
-    /// Whether a running program applies a change on SIGHUP.
+    /// Whether a running program applies a change on SIGHUP; otherwise, a restart is required.
     pub reloadable: bool,
 }
 
-/// The values of a file, and the schema's defaults where it has none.
+/// The values of a settings file.
+///
+/// The methods that return values take the schema as an argument and apply its defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The file's path, as it was given.
+    /// Path of the file, as passed by the caller.
     file: String,
     values: FileValues,
 }
 
 impl Settings {
-    /// Settings without a file: the defaults.
+    /// Returns settings without a file, in which every key has its default.
     pub fn defaults() -> Settings {
         Settings {
-            file: "no file".into(),
+            file: "(no settings file)".into(),
             values: FileValues::default(),
         }
     }
 
-    /// Reads `text`, the content of `file`, and checks it against `schema`.
+    /// Parses `text`, the content of `file`, and checks it against `schema`.
     ///
     /// # Errors
-    /// Everything in the text that does not match the schema.
+    /// Returns the syntax error or all violations of the schema.
     pub fn read(schema: &Schema, file: &str, text: &str) -> Result<Settings, Problems> {
         Ok(Settings {
             file: file.into(),
@@ -64,19 +66,19 @@
         })
     }
 
-    /// The names with which a named section appears, in alphabetical order.
+    /// Returns the names of all sections `[section NAME]`, in alphabetical order.
     pub fn section_names(&self, section: &str) -> Vec<&str> {
         self.values.section_names(section)
     }
 
-    /// Every value in force, with its origin, in the order of the schema.
+    /// Returns all effective values with their origins, in the order of the schema.
     pub fn effective_values(&self, schema: &Schema) -> Vec<EffectiveValue> {
         let mut values = Vec::new();
         for section in schema.0 {
             let names = if section.named {
                 self.section_names(section.name)
             } else {
-                vec![NO_NAME]
+                vec![UNNAMED]
             };
             for name in names {
                 let keys = section.keys.iter();
@@ -98,20 +100,20 @@
         }
     }
 
-    /// The values that differ in `next` and that a running program does not apply, as
-    /// `[section] key`.
+    /// Returns the keys whose values differ in `next` and require a restart to take effect, in the
+    /// form `[section] key`.
     pub fn needs_restart(&self, next: &Settings, schema: &Schema) -> Vec<String> {
         let before = self.restart_values(schema);
         let after = next.restart_values(schema);
-        let keys: BTreeSet<&FullKey> = before.keys().chain(after.keys()).collect();
+        let keys: BTreeSet<&QualifiedKey> = before.keys().chain(after.keys()).collect();
         keys.into_iter()
             .filter(|key| before.get(*key) != after.get(*key))
             .map(|key| format!("[{}] {}", key.section, key.key))
             .collect()
     }
 
-    /// The values that need a restart to change.
-    fn restart_values(&self, schema: &Schema) -> BTreeMap<FullKey, String> {
+    /// Returns the values that can change only with a restart.
+    fn restart_values(&self, schema: &Schema) -> BTreeMap<QualifiedKey, String> {
         let mut values = BTreeMap::new();
         for EffectiveValue {
             section,
@@ -122,18 +124,18 @@
         } in self.effective_values(schema)
         {
             if !reloadable {
-                values.insert(FullKey { section, key }, value);
+                values.insert(QualifiedKey { section, key }, value);
             }
         }
         values
     }
 
-    /// The values of a section, with the defaults of `schema`.
+    /// Returns the values of the section `[section]`, with the defaults of `schema`.
     pub fn section<'a>(&'a self, schema: &Schema, section: &'a str) -> SectionValues<'a> {
-        self.named_section(schema, section, NO_NAME)
+        self.named_section(schema, section, UNNAMED)
     }
 
-    /// The values of the section `[section name]`, with the defaults of `schema`.
+    /// Returns the values of the section `[section name]`, with the defaults of `schema`.
     pub fn named_section<'a>(
         &'a self,
         schema: &Schema,
@@ -150,9 +152,9 @@
     }
 }
 
-/// A key with the header of its section, ordered by section.
+/// A key with the header of its section.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct FullKey {
+struct QualifiedKey {
     section: String,
     key: &'static str,
 }
--- a/crates/ini-config/src/suggestion.rs
+++ b/crates/ini-config/src/suggestion.rs
@@ -1,21 +1,21 @@
-//! Suggestions for a name that is not valid.
+//! Suggestions for unknown names.
 
 use std::fmt;
 
-/// Jaro-Winkler similarity, from 0 to 1, above which one name counts as a misspelling of another.
+/// Jaro-Winkler similarity, from 0 to 1, above which a name counts as a misspelling of another.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// The valid names that may have been meant by an unknown one.
+/// Valid names that may have been intended instead of an unknown name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Suggestion {
-    /// The valid name that is most similar.
+    /// The most similar valid name.
     Nearest(String),
-    /// No valid name is similar: all of them.
+    /// All valid names, because none is similar to the unknown name.
     AnyOf(Vec<String>),
 }
 
 impl Suggestion {
-    /// The suggestion for `name`, given the `valid` names.
+    /// Returns the suggestion for the unknown name `name`, given the valid names.
     pub(crate) fn for_name<'a>(
         name: &str,
         valid: impl Iterator<Item = &'a str> + Clone,
@@ -30,12 +30,13 @@
 impl fmt::Display for Suggestion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Suggestion::Nearest(name) => write!(f, "the nearest is '{name}'"),
-            Suggestion::AnyOf(names) => write!(f, "there are {}", names.join(", ")),
+            Suggestion::Nearest(name) => write!(f, "did you mean '{name}'?"),
+            Suggestion::AnyOf(names) => write!(f, "expected one of: {}", names.join(", ")),
         }
     }
 }
 
+/// Returns the most similar valid name, or `None` if no name is similar enough.
 fn nearest<'a>(name: &str, valid: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let similarity = |candidate: &str| strsim::jaro_winkler(name, candidate);
     valid
--- a/crates/ini-config/tests/settings.rs
+++ b/crates/ini-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files against a schema: values, defaults, origins and the exact texts of problems.
+//! Tests of reading settings files: values, defaults, origins and the exact texts of problems.
 
 use ini_config::{
     parse_bytes, parse_time, Key, Kind, Origin, Problem, ProblemKind, Schema, Section, Settings,
@@ -30,10 +30,10 @@
     problems.0.iter().map(Problem::to_string).collect()
 }
 
-/// A file as operators wrote it for earlier versions: both kinds of comments and separators, quoted
-/// names, spaces anywhere.
+/// Files written for earlier versions must remain readable. They contain both kinds of comments and
+/// separators, quoted names, and whitespace in any place.
 #[test]
-fn a_file_of_an_earlier_version_is_read() {
+fn files_for_earlier_versions_remain_readable() {
     let text = "; comment\n\
         # another = comment\n\
         [log]\n\
@@ -87,36 +87,37 @@
     assert_eq!(
         problems(text),
         [
-            "file.ini:1: 'stray' stands in no section",
-            "file.ini:3: [log] flush = 2: has to be a whole number and a unit \
-             (us, ms, s, m, h, d), as in 250ms",
-            "file.ini:4: [log] has no key 'segmnt'; the nearest is 'segment'",
-            "file.ini:5: [log] queue = 101: has to be a whole number from 1 to 100",
-            "file.ini:6: [log] queue is set twice",
-            "file.ini:7: [log] format = jsn: the nearest is 'json'",
-            "file.ini:8: [log] colour = on: has to be 'yes' or 'no'",
-            "file.ini:9: [log] every = weekly: has to be a whole number and a unit \
-             (us, ms, s, m, h, d), as in 250ms, or daily, monthly",
-            "file.ini:10: there is no section [logs]; the nearest is 'log'",
-            "file.ini:11: [member] has to be of the form [member NAME]",
-            "file.ini:12: [log here] has to be of the form [log]",
-            "file.ini:14: [member n0] address = localhost:1: has to be ADDRESS:PORT, in numbers",
-            "file.ini:15: [member n0] has no key 'qq'; there are address",
-            "file.ini:16: [member n0] stands twice",
+            "file.ini:1: key 'stray' is outside of any section",
+            "file.ini:3: [log] flush = 2: must be a whole number with a unit \
+             (us, ms, s, m, h, d), for example 250ms",
+            "file.ini:4: unknown key 'segmnt' in [log]; did you mean 'segment'?",
+            "file.ini:5: [log] queue = 101: must be a whole number from 1 to 100",
+            "file.ini:6: [log] queue is set more than once",
+            "file.ini:7: [log] format = jsn: unknown value; did you mean 'json'?",
+            "file.ini:8: [log] colour = on: must be 'yes' or 'no'",
+            "file.ini:9: [log] every = weekly: must be a whole number with a unit \
+             (us, ms, s, m, h, d), for example 250ms, or one of: daily, monthly",
+            "file.ini:10: unknown section [logs]; did you mean 'log'?",
+            "file.ini:11: [member] must have the form [member NAME]",
+            "file.ini:12: [log here] must have the form [log]",
+            "file.ini:14: [member n0] address = localhost:1: must be a numeric IP address and port \
+             (for example 127.0.0.1:8080)",
+            "file.ini:15: unknown key 'qq' in [member n0]; expected one of: address",
+            "file.ini:16: duplicate section [member n0]",
         ]
     );
 }
 
 #[test]
-fn a_text_that_is_no_ini_file_is_one_problem() {
+fn a_syntax_error_is_reported_as_a_single_problem() {
     let found = problems("[log\n");
     assert_eq!(found.len(), 1);
     assert!(found[0].starts_with("file.ini:"), "{found:?}");
-    assert!(found[0].contains(": cannot be read: "), "{found:?}");
+    assert!(found[0].contains(": invalid INI syntax: "), "{found:?}");
 }
 
 #[test]
-fn a_problem_names_the_unknown_name_and_the_suggestion() {
+fn an_unknown_section_is_reported_with_all_valid_names() {
     let problems = Settings::read(&SCHEMA, "file.ini", "[zzz]\n").unwrap_err();
     assert_eq!(
         problems.0[0].kind,
@@ -127,12 +128,12 @@
     );
     assert_eq!(
         problems.to_string(),
-        "file.ini:1: there is no section [zzz]; there are log, member"
+        "file.ini:1: unknown section [zzz]; expected one of: log, member"
     );
 }
 
 #[test]
-fn a_rejected_value_carries_its_line_or_that_of_its_section() {
+fn a_rejected_value_is_reported_with_its_line_or_its_section_line() {
     let text = "[log]\nqueue = 5\n[member n0]\n";
     let settings = Settings::read(&SCHEMA, "file.ini", text).unwrap();
     let reject = |section, name, key| {
@@ -154,13 +155,13 @@
 }
 
 #[test]
-fn effective_values_have_origins_and_some_changes_need_a_restart() {
+fn effective_values_have_origins_and_changes_may_require_a_restart() {
     let before = Settings::read(&SCHEMA, "a", "[log]\nflush = 1s\nqueue = 5\n").unwrap();
-    let shown = before.effective_values(&SCHEMA);
-    let origin = |key| shown.iter().find(|shown| shown.key == key).unwrap().origin;
+    let values = before.effective_values(&SCHEMA);
+    let origin = |key| values.iter().find(|value| value.key == key).unwrap().origin;
     assert_eq!(origin("queue"), Origin::Line(3));
     assert_eq!(origin("segment"), Origin::Default);
-    assert_eq!(shown[0].value, "(not set)");
+    assert_eq!(values[0].value, "(not set)");
     let after = Settings::read(&SCHEMA, "b", "[log]\nflush = 2s\nqueue = 6\n").unwrap();
     assert_eq!(before.needs_restart(&after, &SCHEMA), ["[log] queue"]);
     assert_eq!(
@@ -180,10 +181,10 @@
         parse_bytes("18446744073709551615KiB")
             .unwrap_err()
             .to_string(),
-        "is too large"
+        "must be less than 2^64 when expressed in the smallest unit"
     );
     assert_eq!(
         parse_bytes("8").unwrap_err().to_string(),
-        "has to be a whole number and a unit (B, KiB, MiB, GiB), as in 8MiB"
+        "must be a whole number with a unit (B, KiB, MiB, GiB), for example 8MiB"
     );
 }
