--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -101,7 +101,7 @@
 
     /// Returns once the drain period of a shutdown is over: the frontend must accept no more
     /// connections.
-    pub async fn stopped(&self) {
+    pub async fn listening_stopped(&self) {
         self.shared.listening_stopped().await;
     }
 
--- a/crates/core/tests/frontends.rs
+++ b/crates/core/tests/frontends.rs
@@ -24,7 +24,7 @@
     Box::new(move |aggregator: InternalClient| {
         tokio::task::spawn_local(async move {
             let _open = aggregator.open_request();
-            aggregator.stopped().await;
+            aggregator.listening_stopped().await;
             sleep(delay).await;
             let late_query = query("late", 1, &[1.0], 1000);
             let received = aggregator.send_query(aggregator.now(), late_query).await;
--- a/crates/opensearch-gateway/src/server/connection.rs
+++ b/crates/opensearch-gateway/src/server/connection.rs
@@ -90,6 +90,6 @@
 
 /// Completes [`SHUTDOWN_DELAY`] after the aggregator has stopped accepting connections.
 async fn shutdown_delay_elapsed(aggregator: &InternalClient) {
-    aggregator.stopped().await;
+    aggregator.listening_stopped().await;
     sleep(SHUTDOWN_DELAY).await;
 }
--- a/crates/opensearch-gateway/src/server/listener.rs
+++ b/crates/opensearch-gateway/src/server/listener.rs
@@ -38,7 +38,7 @@
     loop {
         let connection = tokio::select! {
             accepted = accept_next(&permits, &listener) => accepted,
-            () = gateway.aggregator.stopped() => break,
+            () = gateway.aggregator.listening_stopped() => break,
         };
         spawn_connection(&gateway, &tls, connection);
     }
