--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -48,7 +48,7 @@
         self.writer.max_reply_delay()
     }
 
-    fn note_unrecorded_reply(&mut self) {
+    fn count_unrecorded_reply(&mut self) {
         self.writer.count_unrecorded_reply();
     }
 
--- a/crates/core/src/net/pending_replies.rs
+++ b/crates/core/src/net/pending_replies.rs
@@ -77,7 +77,7 @@
         let written = *self.written.borrow();
         match self.latest_record.take() {
             Some(sequence) if written < sequence && !self.may_wait(written) => {
-                self.recorder.note_unrecorded_reply();
+                self.recorder.count_unrecorded_reply();
                 Some(outgoing)
             }
             Some(sequence) if written < sequence => {
@@ -145,7 +145,7 @@
         }
         if !is_written {
             self.stalled_at = Some(*self.written.borrow());
-            self.recorder.note_unrecorded_reply();
+            self.recorder.count_unrecorded_reply();
         }
         self.pending.pop_front().map(|pending| pending.outgoing)
     }
--- a/crates/core/src/net/usage_recorder.rs
+++ b/crates/core/src/net/usage_recorder.rs
@@ -17,7 +17,7 @@
     /// The longest that a reply waits for its record.
     fn max_reply_delay(&self) -> Duration;
     /// Counts a reply that was sent before its record was written.
-    fn note_unrecorded_reply(&mut self);
+    fn count_unrecorded_reply(&mut self);
     /// Writes what is queued, for a bounded time.
     fn close(&mut self);
 }
--- a/crates/core/tests/pending_replies.rs
+++ b/crates/core/tests/pending_replies.rs
@@ -28,7 +28,7 @@
     fn max_reply_delay(&self) -> Duration {
         Duration::from_millis(5)
     }
-    fn note_unrecorded_reply(&mut self) {
+    fn count_unrecorded_reply(&mut self) {
         self.unrecorded_replies
             .set(self.unrecorded_replies.get() + 1);
     }
--- a/crates/core/tests/stalled_usage_log.rs
+++ b/crates/core/tests/stalled_usage_log.rs
@@ -35,7 +35,7 @@
     fn max_reply_delay(&self) -> Duration {
         Duration::from_secs(60)
     }
-    fn note_unrecorded_reply(&mut self) {}
+    fn count_unrecorded_reply(&mut self) {}
     /// Closing a stalled log takes long, and blocks everything else.
     fn close(&mut self) {
         self.is_closed.set(true);
