--- a/crates/core/src/config/addresses.rs
+++ b/crates/core/src/config/addresses.rs
@@ -1,17 +1,17 @@
-//! The addresses of other processes.
+//! Addresses of other processes.
 
 use std::net::SocketAddr;
 
-/// The addresses of the processes that the aggregator exchanges messages with, besides clients and
+/// Addresses of the processes with which the aggregator exchanges messages, apart from clients and
 /// leaf servers.
 #[derive(Clone, Debug)]
 pub struct Addresses {
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Where gossip messages are received; none if gossip is off.
+    /// Address on which gossip messages are received; `None` if gossip is off.
     pub gossip_listen: Option<SocketAddr>,
-    /// The other aggregators, by number.
+    /// Addresses of the other aggregators, indexed by their numbers.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all other aggregators at once.
+    /// Address that reaches all other aggregators at once; `None` if there is no such address.
     pub gossip_broadcast: Option<SocketAddr>,
 }
--- a/crates/core/src/config/aggregator_settings.rs
+++ b/crates/core/src/config/aggregator_settings.rs
@@ -1,54 +1,56 @@
-//! The settings that the aggregator needs outside of the policy. The keys are the platform's; only
-//! here they are mapped to fields.
+//! Settings of the aggregator apart from those of the policy. Only this file maps the platform's
+//! keys to their fields.
 
 use super::key_values::KeyValues;
 use super::PlatformSettingsError;
 use crate::api::Nanos;
 
-// Bounds on memory and waiting times, used if the setting is absent.
+// Defaults for absent settings; they bound memory use and waiting times.
 const DEFAULT_MAX_OPEN: usize = 4096;
 const DEFAULT_MAX_ATTEMPTS: usize = u8::MAX as usize;
 const DEFAULT_CONNECT_TIMEOUT_NS: Nanos = 250_000_000;
 const DEFAULT_IDLE_TIMEOUT_NS: Nanos = 30_000_000_000;
 
-/// The settings of the aggregator that are not the policy's.
+/// Settings of the aggregator that do not belong to the policy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AggregatorSettings {
-    /// The names of the query classes, by number.
+    /// Names of the query classes, indexed by class number.
     pub classes: Vec<String>,
-    /// The names of the tenants, by number.
+    /// Names of the tenants, indexed by tenant number.
     pub tenants: Vec<String>,
-    /// The names of the zones, by number.
+    /// Names of the zones, indexed by zone number.
     pub zones: Vec<String>,
-    /// The zone of this aggregator, by number.
+    /// Number of the zone of this aggregator.
     pub zone: u16,
-    /// For each class, the longest that a client waits.
+    /// For each class, the maximum time that a client waits, in nanoseconds.
     pub deadlines: Vec<Nanos>,
-    /// For each class, the share of the weight that a complete answer covers.
+    /// For each class, the share of the weight that a complete answer must cover, from 0 to 1.
     pub completeness_thresholds: Vec<f64>,
-    /// For each class, the minimum share of the weight that an answer must cover.
+    /// For each class, the minimum share of the weight that any answer must cover, from 0 to 1.
     pub minimum_coverages: Vec<f64>,
-    /// The number of shards.
+    /// Number of shards, at least 1.
     pub shards: u32,
-    /// The most parts of one call to a leaf server.
+    /// Maximum number of parts per call to a leaf server, at least 1.
     pub max_parts_per_call: usize,
-    /// The most parts that are in flight on one connection.
+    /// Maximum number of parts in flight on one connection, at least 1.
     pub max_streams: usize,
-    /// The most attempts of one part.
+    /// Maximum number of attempts at one part.
     pub max_attempts: usize,
-    /// No query is accepted while so many queries and parts, in sum, are open.
+    /// Total of open queries and parts at which no further query is accepted.
     pub max_open: usize,
-    /// How long a connection to a leaf server may take to open.
+    /// Maximum time to open a connection to a leaf server, in nanoseconds.
     pub connect_timeout: Nanos,
-    /// A leaf server closes a connection that has been idle for this time; we close it earlier.
+    /// Idle time after which a leaf server closes a connection, in nanoseconds. The aggregator
+    /// closes the connection earlier.
     pub idle_timeout: Nanos,
-    /// The `Retry-After` for a client rejected on arrival; none where the settings allow none.
+    /// `Retry-After` for a client that is rejected on arrival, in nanoseconds; `None` if the
+    /// settings do not allow the header.
     pub retry_after: Option<Nanos>,
-    /// Aggregators may exchange gossip messages.
+    /// Whether aggregators may exchange gossip messages.
     pub gossip_allowed: bool,
-    /// Leaf servers may be sent health checks.
+    /// Whether health checks may be sent to leaf servers.
     pub health_checks_allowed: bool,
-    /// Names of the values in a load report; empty where nothing is reported.
+    /// Names of the values in a load report; empty if leaf servers report no load.
     pub load_report_fields: Vec<String>,
 }
 
@@ -56,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// A required key is missing, or the value of a key can't be used.
+/// Returns an error if a required key is missing or a value is invalid.
 pub fn parse_aggregator_settings(text: &str) -> Result<AggregatorSettings, PlatformSettingsError> {
     let values = KeyValues::parse(text)?;
     let classes = values.names("classes")?;
@@ -97,7 +99,8 @@
     })
 }
 
-/// The protocol has no messages for a second step, and answers without it would be incomplete.
+/// Returns an error if a class requires a second step: the protocol has no messages for it, and
+/// answers without it would be incomplete.
 fn reject_second_steps(
     values: &KeyValues,
     class_count: usize,
--- a/crates/core/src/config/error.rs
+++ b/crates/core/src/config/error.rs
@@ -1,68 +1,68 @@
-//! Why a configuration can't be used. Each message is one line for the operator.
+//! Errors in a configuration. Each message is a single line for the operator.
 
-/// Why the platform's configuration can't be used.
+/// Why the platform's configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file is not JSON of the expected form.
+    /// The file is not JSON with the expected fields.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The field `settings` holds something else than an object.
-    #[error("settings are no object")]
+    /// The field `settings` is not a JSON object.
+    #[error("'settings' is not a JSON object")]
     SettingsNotAnObject,
-    /// One of the settings is unusable.
+    /// One of the settings is invalid.
     #[error(transparent)]
     Settings(#[from] PlatformSettingsError),
     /// The seed is not a hexadecimal number of 64 bits.
-    #[error("bad seed '{seed}'")]
+    #[error("seed '{seed}' is not a hexadecimal number of 64 bits")]
     InvalidSeed {
-        /// The seed as given.
+        /// Seed as given.
         seed: String,
     },
 }
 
-/// Why one of the settings is unusable.
+/// Why one of the settings is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformSettingsError {
-    /// A line holds no key and value.
-    #[error("settings line without '=': {line}")]
+    /// A line is not of the form `key=value`.
+    #[error("settings line '{line}' has no '='")]
     MalformedLine {
-        /// The line as given.
+        /// Line as given.
         line: String,
     },
     /// A required setting is missing.
     #[error("setting {key} is missing")]
     Missing {
-        /// The setting's key.
+        /// Key of the setting.
         key: String,
     },
     /// A list has too few items.
     #[error("setting {key} has no item {index}")]
     MissingItem {
-        /// The setting's key.
+        /// Key of the setting.
         key: String,
-        /// The item's index, from 0.
+        /// Index of the missing item, from 0.
         index: usize,
     },
-    /// A value is of the wrong type, or not one of those that are known.
-    #[error("setting {key}: bad value '{value}'")]
+    /// A value is of the wrong type, or not one of the known values.
+    #[error("setting {key}: invalid value '{value}'")]
     InvalidValue {
-        /// The setting's key.
+        /// Key of the setting.
         key: String,
-        /// The value as given.
+        /// Value as given.
         value: String,
     },
-    /// A number is outside of its range.
+    /// A number is outside its range.
     #[error("setting {key}: {value} is out of range")]
     OutOfRange {
-        /// The setting's key.
+        /// Key of the setting.
         key: String,
-        /// The number.
+        /// Number as text.
         value: String,
     },
     /// A class requires a second step, for which the protocol has no messages.
-    #[error("setting {key}: a second step can't be served")]
+    #[error("setting {key}: second steps are not supported")]
     UnsupportedSecondStep {
-        /// The setting's key.
+        /// Key of the setting.
         key: &'static str,
     },
 }
--- a/crates/core/src/config/flatten.rs
+++ b/crates/core/src/config/flatten.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 /// Flattens nested JSON to lines of `path=value`. A list of objects becomes its `count` and one
-/// path for each item; other lists are joined by commas.
+/// path per item. The items of other lists are joined with commas.
 pub(super) fn flatten_settings(settings: &Value) -> Result<String, ConfigError> {
     if !settings.is_object() {
         return Err(ConfigError::SettingsNotAnObject);
@@ -37,7 +37,7 @@
 }
 
 fn append_line(lines: &mut String, path: &str, value: &str) {
-    // Writing to a `String` can't fail.
+    // Writing to a `String` never fails.
     let _ = writeln!(lines, "{path}={value}");
 }
 
@@ -49,7 +49,8 @@
     }
 }
 
-/// A scalar without separators: a blank or comma would split it, a line end would forge a setting.
+/// Returns a scalar as text, with separators replaced by `_`. A blank or comma would split the
+/// value, and a line end would forge a setting.
 fn scalar_text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
--- a/crates/core/src/config/key_values.rs
+++ b/crates/core/src/config/key_values.rs
@@ -1,15 +1,15 @@
-//! The settings' text as keys and values, with typed access. Unknown keys are skipped; each error
-//! names the key at fault.
+//! Typed access to settings in the form of `key=value` lines. Unknown keys are ignored. An error
+//! names the key or the line at fault.
 
 use super::PlatformSettingsError;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Settings by their keys.
+/// Settings indexed by key.
 pub(super) struct KeyValues<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> KeyValues<'a> {
-    /// Splits the text into lines of `key=value`; of two lines with one key, the last counts.
+    /// Parses lines of `key=value`. If a key occurs more than once, the last line counts.
     pub(super) fn parse(text: &'a str) -> Result<Self, PlatformSettingsError> {
         text.lines()
             .filter(|line| !line.trim().is_empty())
@@ -21,12 +21,12 @@
             .map(KeyValues)
     }
 
-    /// The value as it is given.
+    /// Returns the value of `key` as given.
     pub(super) fn raw(&self, key: &str) -> Option<&'a str> {
         self.0.get(key).copied()
     }
 
-    /// An optional value.
+    /// Parses the value of an optional key.
     pub(super) fn optional<T: FromStr>(
         &self,
         key: &str,
@@ -34,13 +34,13 @@
         self.raw(key).map(|text| parse_value(key, text)).transpose()
     }
 
-    /// A value that has to be there.
+    /// Parses the value of a required key.
     pub(super) fn required<T: FromStr>(&self, key: &str) -> Result<T, PlatformSettingsError> {
         self.optional(key)?
             .ok_or_else(|| PlatformSettingsError::missing(key))
     }
 
-    /// A value whose default is that of its type: false, 0 or empty.
+    /// Parses the value of an optional key, whose default is that of its type: `false`, 0 or empty.
     pub(super) fn or_default<T: FromStr + Default>(
         &self,
         key: &str,
@@ -48,7 +48,7 @@
         Ok(self.optional(key)?.unwrap_or_default())
     }
 
-    /// An optional number that is finite and not negative.
+    /// Parses an optional number, which must be finite and not negative.
     pub(super) fn non_negative(&self, key: &str) -> Result<Option<f64>, PlatformSettingsError> {
         let value = self.optional::<f64>(key)?;
         match value {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A required integer above zero.
+    /// Parses a required integer, which must be greater than 0.
     pub(super) fn positive(&self, key: &str) -> Result<u64, PlatformSettingsError> {
         match self.required(key)? {
             0 => Err(PlatformSettingsError::out_of_range(key, 0)),
@@ -67,13 +67,13 @@
         }
     }
 
-    /// A required integer above zero, of 32 bits.
+    /// Parses a required 32-bit integer, which must be greater than 0.
     pub(super) fn positive_u32(&self, key: &str) -> Result<u32, PlatformSettingsError> {
         let number = self.positive(key)?;
         u32::try_from(number).map_err(|_| PlatformSettingsError::out_of_range(key, number))
     }
 
-    /// The items of a list of scalars.
+    /// Returns the items of a list of scalars, without empty ones.
     pub(super) fn list(&self, key: &str) -> Vec<String> {
         let items = self.raw(key).into_iter().flat_map(|text| text.split(','));
         items
@@ -82,7 +82,7 @@
             .collect()
     }
 
-    /// The names of a list of objects.
+    /// Returns the names of the objects in a list.
     pub(super) fn names(&self, list: &str) -> Result<Vec<String>, PlatformSettingsError> {
         let count = self.or_default::<usize>(&format!("{list}.count"))?;
         (0..count)
@@ -90,7 +90,7 @@
             .collect()
     }
 
-    /// One item of a required list of scalars.
+    /// Parses one item of a required list of scalars.
     pub(super) fn item<T: FromStr>(
         &self,
         key: &str,
@@ -109,7 +109,7 @@
         parse_value(key, item)
     }
 
-    /// One item of a required list of numbers from 0 to 1.
+    /// Parses one item of a required list of numbers from 0 to 1.
     pub(super) fn ratio_item(&self, key: &str, index: usize) -> Result<f64, PlatformSettingsError> {
         let ratio: f64 = self.item(key, index)?;
         if (0.0..=1.0).contains(&ratio) {
@@ -119,7 +119,8 @@
         }
     }
 
-    /// The longest `Retry-After`; none where the settings allow none.
+    /// Returns the maximum `Retry-After` in nanoseconds, or `None` if the settings do not allow the
+    /// header.
     pub(super) fn max_retry_after(&self) -> Result<Option<u64>, PlatformSettingsError> {
         let longest = self.or_default("limits.max_retry_after_ns")?;
         let allowed = self.or_default::<bool>("limits.retry_after")?;
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,6 +1,8 @@
-//! The configuration of an aggregator: one JSON file of the platform. Its settings are flattened to
-//! the text that the simulator sends too, so that one parser serves both. They are parsed into two
-//! types: the settings of the policy, and those of the rest of the aggregator.
+//! Configuration of an aggregator: one JSON file, written by the platform.
+//!
+//! The settings in the file are flattened to lines of `key=value`. The simulator sends its settings
+//! in the same format, so one parser serves both. The lines are parsed into two types: the settings
+//! of the policy, and those of the rest of the aggregator.
 
 mod addresses;
 mod aggregator_settings;
--- a/crates/core/src/config/platform.rs
+++ b/crates/core/src/config/platform.rs
@@ -11,10 +11,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The most file descriptors of one aggregator, also where the configuration allows more.
+/// Maximum number of file descriptors of one aggregator, even if the configuration allows more.
 const MAX_DESCRIPTORS: usize = 1024;
 
-/// The file as the platform writes it; the names of the fields are the platform's.
+/// The file as the platform writes it, with the platform's names for the fields.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -37,35 +37,36 @@
     sockets: usize,
 }
 
-/// Everything that an aggregator is started with.
+/// Configuration with which an aggregator is started.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The name of this aggregator.
+    /// Name of this aggregator.
     pub name: String,
-    /// The address that clients connect to.
+    /// Address that clients of the native protocol connect to.
     pub listen: SocketAddr,
-    /// The settings beyond the policy's.
+    /// Settings that do not belong to the policy.
     pub aggregator_settings: AggregatorSettings,
-    /// The policy's settings.
+    /// Settings of the policy.
     pub policy_settings: PolicySettings,
-    /// The seed of the policy's random numbers.
+    /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// The most file descriptors that may be open.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// The endpoint list to start with.
+    /// Endpoint list that is used until discovery sends an update.
     pub initial_endpoints: EndpointUpdate,
-    /// The addresses of the other processes.
+    /// Addresses of the other processes.
     pub addresses: Addresses,
-    /// The names that requests refer to.
+    /// Names that requests refer to, and the limits of a query.
     pub names: NameTables,
 }
 
 impl Config {
-    /// Parses and checks the text of a configuration file.
+    /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
     ///
-    /// The text is no JSON of the expected form, or one of its settings or addresses can't be used.
+    /// Returns an error if the text is not JSON with the expected fields, or if the seed, a setting
+    /// or an address is invalid.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let file: ConfigFile = serde_json::from_str(text)?;
         let settings_text = flatten_settings(&file.settings)?;
@@ -96,7 +97,7 @@
         })
     }
 
-    /// The fields in which `next` differs and that only a restart can change.
+    /// Returns the fields that differ in `next` and that only a restart can change.
     pub fn needs_restart(&self, next: &Config) -> Vec<&'static str> {
         let mut changed = Vec::new();
         if self.name != next.name {
--- a/crates/core/src/config/policy_settings.rs
+++ b/crates/core/src/config/policy_settings.rs
@@ -1,17 +1,17 @@
-//! The settings of the policy. The keys are the platform's; only here they are mapped to fields.
+//! Settings of the policy. Only this file maps the platform's keys to their fields.
 
 use super::key_values::KeyValues;
 use super::PlatformSettingsError;
 use crate::api::{Idempotency, Nanos, PolicySettings, QueryClass, RetryBudget};
 
-/// Used if the setting is absent: a leaf server that drains gets no new work after 2 s.
+/// Default if the setting is absent: a draining leaf server gets no new work after 2 s.
 const DEFAULT_DRAIN_NOTICE_NS: Nanos = 2_000_000_000;
 
 /// Parses the policy's settings from lines of `key=value`.
 ///
 /// # Errors
 ///
-/// A required key is missing, or the value of a key can't be used.
+/// Returns an error if a required key is missing or a value is invalid.
 pub fn parse_policy_settings(text: &str) -> Result<PolicySettings, PlatformSettingsError> {
     let values = KeyValues::parse(text)?;
     let class_count = values.positive("classes.count")? as usize;
--- a/crates/core/src/net/buffer_pool.rs
+++ b/crates/core/src/net/buffer_pool.rs
@@ -1,4 +1,4 @@
-//! Reusable buffers of one size: each connection uses two while it is open.
+//! Pool of reusable buffers of one size. Each open connection uses two of them.
 
 use bytes::BytesMut;
 use std::cell::RefCell;
@@ -6,12 +6,12 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Encoder, Framed, FramedParts};
 
-/// The size of a buffer: holds the head of a request and nearly every frame and response.
+/// Size of a buffer, which holds the head of a request and nearly every frame and response.
 pub(super) const BUFFER_BYTES: usize = 16 * 1024;
-/// The most unused buffers that are retained: 4 MiB in total.
+/// Maximum number of unused buffers that are kept, 4 MiB in total.
 const MAX_FREE_BUFFERS: usize = 256;
 
-/// The unused buffers.
+/// The unused buffers. All clones refer to the same pool.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BufferPool(Rc<RefCell<Vec<BytesMut>>>);
 
@@ -23,8 +23,8 @@
             .unwrap_or_else(|| BytesMut::with_capacity(BUFFER_BYTES))
     }
 
-    /// Retains a buffer, unless it has grown for a large message. Otherwise all buffers would grow
-    /// in the end.
+    /// Keeps a buffer for reuse, unless it has grown for a large message. Otherwise, all buffers
+    /// would be large in the end.
     fn put_back(&self, mut buffer: BytesMut) {
         buffer.clear();
         let mut free = self.0.borrow_mut();
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Frames a connection on which messages of type `M` are written.
+    /// Wraps a connection, on which messages of type `M` are written, with a codec and two buffers
+    /// of the pool.
     pub(super) fn frame<M, T: AsyncRead + AsyncWrite, C: Encoder<M>>(
         &self,
         io: T,
@@ -46,7 +47,7 @@
         Framed::from_parts(parts)
     }
 
-    /// Takes the buffers of a connection back and closes it.
+    /// Returns the buffers of a connection to the pool and closes the connection.
     pub(super) fn recover<T: AsyncRead + AsyncWrite, C>(&self, framed: Framed<T, C>) {
         let parts = framed.into_parts();
         self.put_back(parts.read_buf);
--- a/crates/core/src/net/client_command.rs
+++ b/crates/core/src/net/client_command.rs
@@ -1,19 +1,18 @@
-//! Commands from the driver to the task of a client's connection.
+//! Commands from the driver to the tasks of client connections.
 
 use crate::protocol::query::QueryReply;
 
-/// One command to the task of a client's connection.
+/// Command to the task of a client connection.
 pub(super) enum ClientCommand {
-    /// Send the reply to the request that the engine has.
+    /// Send the reply to the open request.
     Reply {
-        /// The reply.
         reply: Box<QueryReply>,
-        /// Close the connection after it.
+        /// Whether to close the connection after the reply.
         close: bool,
     },
-    /// Close the connection, unless a complete request was received on it.
+    /// Close the connection, unless a complete request has arrived on it.
     Close,
-    /// Close the connection at the end of the drain period, when a request that is on its way is
-    /// waited for. See `engine/shutdown.rs`.
+    /// Close the connection at the end of the drain period (`engine/shutdown.rs`), after a short
+    /// wait for a request in transit.
     Drain,
 }
--- a/crates/core/src/net/client_connection/ending.rs
+++ b/crates/core/src/net/client_connection/ending.rs
@@ -1,4 +1,4 @@
-//! How a client's connection ends, and its last log line.
+//! How a client's connection ends, and the log line for the end.
 
 use crate::engine::ClientId;
 use std::io;
@@ -6,34 +6,35 @@
 /// How a connection ended.
 #[derive(Debug)]
 pub(super) enum Ending {
-    /// The client has closed it.
+    /// The client has closed the connection.
     Disconnected,
-    /// This side closes it.
+    /// The aggregator closes the connection.
     Closed(CloseReason),
 }
 
-/// Why this side closes a connection.
+/// Why the aggregator closes a connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum CloseReason {
-    /// The engine has requested it while no request was open.
+    /// The engine has requested the close while no request was open.
     Requested,
-    /// Its last response was sent: the client or the engine wanted no other request on it.
+    /// The last response was sent: the client or the engine did not want the connection to be kept
+    /// alive.
     LastResponse,
-    /// It was new, and no request arrived.
+    /// The connection was new, and no request arrived in time.
     Silent,
     /// The event loop has ended.
     Stopped,
 }
 
-/// What a connection has carried so far.
+/// Numbers of requests and responses on a connection so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ExchangeCounts {
     pub(super) requests_read: u64,
     pub(super) responses_sent: u64,
 }
 
-/// Logs how a connection has ended. An open request is an error only where this side stopped: a
-/// client that has disconnected gets no response, nor does what follows an invalid request.
+/// Logs the end of a connection. An open request is an error only if the aggregator has stopped: a
+/// client that has disconnected gets no response, and neither do requests after an invalid one.
 pub(super) fn log_ending(client: ClientId, counts: ExchangeCounts, ending: &io::Result<Ending>) {
     let ExchangeCounts {
         requests_read: requests,
@@ -54,7 +55,12 @@
             "client connection ended"
         ),
         Err(error) => {
-            tracing::debug!(client, requests, responses, "client connection: {error}");
+            tracing::debug!(
+                client,
+                requests,
+                responses,
+                "client connection failed: {error}"
+            );
         }
     }
 }
--- a/crates/core/src/net/client_connection/linger.rs
+++ b/crates/core/src/net/client_connection/linger.rs
@@ -1,4 +1,4 @@
-//! The last step of a connection that this side closes: its client may still be sending.
+//! The last step in closing a connection, whose client may still be sending.
 
 use super::ClientStream;
 use crate::net::shared::Shared;
@@ -6,14 +6,14 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{timeout, Duration};
 
-/// How long input is still read and discarded after the last response.
+/// Maximum time for which input is read and discarded after the last response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Shuts the writing side down and reads on until the client has closed its own.
+/// Shuts down the write side and reads until the client has closed its side.
 ///
-/// Closing with unread bytes, or while some are on their way, would reset the connection, and the
-/// reset can overtake the last response. What is read is discarded, even if it is the first request
-/// of the connection: its client gets the end of the connection in place of a response.
+/// Closing a connection while bytes are unread or in transit would reset it, and the reset can
+/// overtake the last response. All input is discarded, even the first request of the connection:
+/// its client gets the end of the connection instead of a response.
 pub(super) async fn linger(shared: &Shared, stream: &mut ClientStream) {
     stream.codec_mut().discard_input();
     let _ = stream.get_mut().shutdown().await;
--- a/crates/core/src/net/client_connection/mod.rs
+++ b/crates/core/src/net/client_connection/mod.rs
@@ -1,9 +1,9 @@
-//! The connections of clients: one request at a time goes to the engine, and its reply back.
+//! Client connections. Each hands over one request at a time to the engine and sends the reply.
 //!
-//! A connection ends in four steps, also at a shutdown (see `net/mod.rs`): the last response is
-//! written (`serving.rs`), the end is reported to the engine as `Input::ClientDisconnected` and
-//! logged (`ending.rs`), and input is read and discarded until the client has closed its side
-//! (`linger.rs`).
+//! A connection ends in the same four steps at any time, including a shutdown (see `net/mod.rs`):
+//! the last response is written (`serving.rs`), the end is reported to the engine as
+//! `Input::ClientDisconnected`, the end is logged (`ending.rs`), and input is read and discarded
+//! until the client has closed its side (`linger.rs`).
 
 mod ending;
 mod linger;
@@ -22,10 +22,10 @@
 use tokio::sync::mpsc;
 use tokio_util::codec::Framed;
 
-/// A client's connection that is read as requests and written as responses.
+/// A client's connection, from which requests are decoded and to which responses are encoded.
 type ClientStream = Framed<TcpStream, ServerCodec>;
 
-/// Serves a client that was announced to the engine, until either side ends the connection.
+/// Serves a client that was announced to the engine, until either side closes the connection.
 pub(super) async fn run(
     shared: Shared,
     client: ClientId,
@@ -39,7 +39,8 @@
         .frame::<Response, _, _>(stream, ServerCodec::default());
     let mut connection = ClientConnection::new(&shared, client, stream, commands);
     let ending = connection.serve_requests().await;
-    // From here on no command is sent to it; it only counts as a connection until it is removed.
+    // From here on, the engine sends this client no commands. The connection still counts towards
+    // the maximum until it is removed from the registry.
     let disconnected = Input::ClientDisconnected { client };
     let _ = shared.inputs.send(disconnected).await;
     connection.log_end(&ending);
--- a/crates/core/src/net/client_connection/next_request.rs
+++ b/crates/core/src/net/client_connection/next_request.rs
@@ -1,4 +1,4 @@
-//! Waits for the next request on a connection on which none is open.
+//! Waits for the next request on an idle connection.
 
 use super::ending::CloseReason;
 use super::pipelined_requests::DecodedRequest;
@@ -11,12 +11,12 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout, Duration, Instant};
 
-/// A request that has begun must be complete within this time, or it gets status 408. The first one
-/// begins with the connection, so a silent connection is closed.
+/// Maximum time from the beginning of a request to its end; a slower request gets status 408. The
+/// first request counts from the opening of the connection, so a silent connection is closed.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection that is closed at the end of the drain period waits for the rest of a
-/// request, or for the first one, which follows a new connection at once. Short enough that it is
-/// answered before the answer deadline of `engine/shutdown.rs`.
+/// Time for which a connection that is closed at the end of the drain period waits for the rest of
+/// a request, or for the first request, which clients send at once on a new connection. Short
+/// enough to answer the request before the answer deadline of `engine/shutdown.rs`.
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
 const REQUEST_TOO_SLOW: RequestError = RequestError {
@@ -24,49 +24,49 @@
     why: "the request took too long",
 };
 
-/// What arrives on an idle connection.
+/// Outcome of the wait for the next request.
 pub(super) enum NextRequest {
     Received(DecodedRequest),
     /// The client has closed the connection.
     Disconnected,
-    /// The connection is to be closed.
+    /// The aggregator has to close the connection.
     Close(CloseReason),
 }
 
-/// Waits for the next request; on a connection that has just `opened`, no longer than for a
-/// complete request.
+/// Waits for the next request. `opened_at` is the time at which the connection opened if no request
+/// has arrived yet; the wait then ends after [`REQUEST_TIMEOUT`].
 pub(super) async fn next_request(
     stream: &mut ClientStream,
     commands: &mut mpsc::Receiver<ClientCommand>,
-    opened: Option<Instant>,
+    opened_at: Option<Instant>,
 ) -> io::Result<NextRequest> {
-    let mut begun = opened.or_else(|| is_in_request(stream).then(Instant::now));
+    let mut began_at = opened_at.or_else(|| is_in_request(stream).then(Instant::now));
     loop {
         tokio::select! {
             biased;
-            read = read_message(stream, &mut begun, REQUEST_TIMEOUT) => match read? {
+            read = read_message(stream, &mut began_at, REQUEST_TIMEOUT) => match read? {
                 MessageRead::Received(request) => return Ok(NextRequest::Received(request)),
                 MessageRead::EndOfStream => return Ok(NextRequest::Disconnected),
                 MessageRead::TimedOut if is_in_request(stream) => {
                     stream.codec_mut().discard_input();
                     return Ok(NextRequest::Received(Err(REQUEST_TOO_SLOW)));
                 }
-                MessageRead::TimedOut if opened.is_some() => {
+                MessageRead::TimedOut if opened_at.is_some() => {
                     return Ok(NextRequest::Close(CloseReason::Silent));
                 }
-                // The socket was no longer readable: no request has begun.
-                MessageRead::TimedOut => begun = None,
+                // The socket had nothing to read after all: no request has begun.
+                MessageRead::TimedOut => began_at = None,
             },
             command = commands.recv() => match command {
-                // A complete request that has arrived is served. An incomplete one is not waited
-                // for, since new clients need the capacity.
+                // A complete request that has arrived is served. The rest of an incomplete one is
+                // not waited for, since new clients need the capacity.
                 Some(ClientCommand::Close) => return last_request(stream, Duration::ZERO).await,
                 Some(ClientCommand::Drain) => {
-                    let is_expected = opened.is_some() || is_in_request(stream);
+                    let is_expected = opened_at.is_some() || is_in_request(stream);
                     let time_limit = if is_expected { LAST_REQUEST_TIMEOUT } else { Duration::ZERO };
                     return last_request(stream, time_limit).await;
                 }
-                // No request is waiting, so no reply is due.
+                // No request is open, so no reply is expected.
                 Some(ClientCommand::Reply { .. }) => {}
                 None => return Ok(NextRequest::Close(CloseReason::Stopped)),
             },
@@ -74,7 +74,8 @@
     }
 }
 
-/// Reads one more request if it is complete within this time; else the connection is closed.
+/// Reads one more request if it is complete within `time_limit`. Otherwise, the connection has to
+/// be closed.
 async fn last_request(stream: &mut ClientStream, time_limit: Duration) -> io::Result<NextRequest> {
     let Ok(read) = timeout(time_limit, stream.next()).await else {
         return Ok(NextRequest::Close(CloseReason::Requested));
--- a/crates/core/src/net/client_connection/pipelined_requests.rs
+++ b/crates/core/src/net/client_connection/pipelined_requests.rs
@@ -1,13 +1,13 @@
-//! Requests that a client has sent ahead of the replies to the ones before.
+//! Requests that a client has sent before the replies to earlier ones.
 
 use crate::api::Nanos;
 use crate::net::open_requests::OpenRequest;
 use crate::protocol::http::{Request, RequestError, MAX_BODY_BYTES};
 use std::collections::VecDeque;
 
-/// The most requests that are read ahead on one connection.
+/// Maximum number of requests that are read ahead on one connection.
 const MAX_REQUESTS: usize = 256;
-/// The most bytes of their bodies.
+/// Maximum total length of the bodies of these requests.
 const MAX_BUFFERED_BODY_BYTES: usize = MAX_BODY_BYTES;
 
 const TOO_MANY_REQUESTS: RequestError = RequestError {
@@ -15,14 +15,15 @@
     why: "too many requests ahead of their answers",
 };
 
-/// A request as it was decoded, or what is wrong with it.
+/// A decoded request, or the reason why it is invalid.
 pub(super) type DecodedRequest = Result<Request, RequestError>;
 
-/// A request with the time at which its last byte arrived.
+/// A request with its time of arrival.
 pub(super) struct ReceivedRequest {
-    pub(super) arrived: Nanos,
+    /// Time at which the last byte of the request arrived, in Unix nanoseconds.
+    pub(super) arrived_at: Nanos,
     pub(super) request: DecodedRequest,
-    /// Dropped once the request is answered. A shutdown waits for that.
+    /// Guard that is dropped once the request is answered. A shutdown waits for that.
     pub(super) open: OpenRequest,
 }
 
@@ -30,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadAhead {
     Continue,
-    /// A limit is reached: all further input is discarded.
+    /// A limit is reached, so all further input has to be discarded.
     Stop,
 }
 
@@ -42,8 +43,8 @@
 }
 
 impl PipelinedRequests {
-    /// Appends a request. If that exceeds a limit, the request is replaced by an error, and reading
-    /// stops.
+    /// Appends a request. If it exceeds a limit, it is replaced by an error, and reading ahead has
+    /// to stop.
     pub(super) fn push(&mut self, mut received: ReceivedRequest) -> ReadAhead {
         self.body_bytes += body_length(&received.request);
         let is_full =
@@ -60,16 +61,16 @@
         }
     }
 
-    /// Takes the next request.
+    /// Removes and returns the next request.
     pub(super) fn pop(&mut self) -> Option<ReceivedRequest> {
         let received = self.requests.pop_front()?;
-        // A rejected request was counted with its body.
+        // The count still includes the body of a rejected request, which was dropped.
         let body_bytes = body_length(&received.request).min(self.body_bytes);
         self.body_bytes -= body_bytes;
         Some(received)
     }
 
-    /// Whether no request is waiting.
+    /// Whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
--- a/crates/core/src/net/client_connection/serving.rs
+++ b/crates/core/src/net/client_connection/serving.rs
@@ -1,5 +1,5 @@
-//! The serving loop of a client's connection: reads a request, hands it to the engine and writes
-//! the reply.
+//! The serving loop of a client's connection, which reads a request, hands it to the engine and
+//! writes the reply.
 
 use super::ending::{log_ending, CloseReason, Ending, ExchangeCounts};
 use super::next_request::{next_request, NextRequest};
@@ -16,10 +16,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout, Duration, Instant};
 
-/// A client that does not read its response within this time is disconnected.
+/// Maximum time to write a response. A client that does not read it in time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How the wait for a reply ends.
+/// Outcome of the wait for a reply.
 enum ReplyWait {
     Reply {
         reply: Box<QueryReply>,
@@ -31,18 +31,18 @@
     Stopped,
 }
 
-/// What became of a request that was handed to the engine.
+/// Outcome of handing a request to the engine.
 enum Submission {
-    /// The engine gets it and will reply.
+    /// The engine has the request and will reply.
     Accepted {
-        /// The connection may serve another request after it.
+        /// Whether the connection may serve another request afterwards.
         keep_alive: bool,
     },
-    /// The event loop has ended. Nothing of the request was forwarded.
+    /// The event loop has ended, and no part of the request was forwarded.
     Stopped,
 }
 
-/// A connection that is served.
+/// A client's connection while it is served.
 pub(super) struct ClientConnection<'a> {
     shared: &'a Shared,
     client: ClientId,
@@ -52,7 +52,7 @@
 }
 
 impl<'a> ClientConnection<'a> {
-    /// A connection that has just opened.
+    /// Creates the state of a connection that has just opened.
     pub(super) fn new(
         shared: &'a Shared,
         client: ClientId,
@@ -68,27 +68,27 @@
         }
     }
 
-    /// Serves one request after the other.
+    /// Serves requests one after the other until the connection ends. Returns how it ended.
     pub(super) async fn serve_requests(&mut self) -> io::Result<Ending> {
         let mut pipeline = PipelinedRequests::default();
-        let mut opened = Some(Instant::now());
+        let mut opened_at = Some(Instant::now());
         let mut is_closing = false;
         loop {
             let received = match pipeline.pop() {
                 Some(received) => received,
                 None if is_closing => return Ok(Ending::Closed(CloseReason::LastResponse)),
-                None => match self.next_request(opened.take()).await? {
+                None => match self.next_request(opened_at.take()).await? {
                     NextRequest::Received(request) => self.on_request_read(request),
                     NextRequest::Disconnected => return Ok(Ending::Disconnected),
                     NextRequest::Close(reason) => return Ok(Ending::Closed(reason)),
                 },
             };
             let ReceivedRequest {
-                arrived,
+                arrived_at,
                 request,
                 open,
             } = received;
-            let keep_alive = match self.submit(arrived, request).await {
+            let keep_alive = match self.submit(arrived_at, request).await {
                 Submission::Accepted { keep_alive } => keep_alive,
                 Submission::Stopped => return self.reject_at_exit().await,
             };
@@ -98,7 +98,7 @@
                 ReplyWait::Stopped => return Ok(Ending::Closed(CloseReason::Stopped)),
             };
             if close && !is_closing {
-                // What has been read is served; what arrives from now on is not.
+                // Requests that were read are still served; later input is discarded.
                 is_closing = true;
                 self.stream.codec_mut().discard_input();
             }
@@ -115,33 +115,33 @@
         }
     }
 
-    async fn next_request(&mut self, opened: Option<Instant>) -> io::Result<NextRequest> {
-        next_request(&mut self.stream, &mut self.commands, opened).await
+    async fn next_request(&mut self, opened_at: Option<Instant>) -> io::Result<NextRequest> {
+        next_request(&mut self.stream, &mut self.commands, opened_at).await
     }
 
-    /// Counts a request whose last byte was read just now.
+    /// Counts a request whose last byte has just been read.
     fn on_request_read(&mut self, request: DecodedRequest) -> ReceivedRequest {
         self.counts.requests_read += 1;
         ReceivedRequest {
-            arrived: self.shared.clock.now(),
+            arrived_at: self.shared.clock.now(),
             request,
             open: self.shared.open_requests.open(),
         }
     }
 
-    /// Hands a request to the engine.
-    async fn submit(&self, arrived: Nanos, request: DecodedRequest) -> Submission {
+    /// Parses a request and hands it to the engine.
+    async fn submit(&self, arrived_at: Nanos, request: DecodedRequest) -> Submission {
         let keep_alive = request.as_ref().is_ok_and(|request| request.keep_alive);
         let request = request.and_then(|request| parse_request(&request, &self.shared.names));
-        // A client that sends invalid requests sends another as soon as it has its response: not
-        // on this connection.
+        // Not kept alive after an invalid request: a client that sends invalid requests would send
+        // another one as soon as it has its response.
         let keep_alive = keep_alive && request.is_ok();
         if let Ok(ClientRequest::Query(query)) = &request {
             tracing::debug!(client = self.client, name = query.name, "request read");
         }
         let input = Input::RequestReceived {
             client: self.client,
-            arrived_at: arrived,
+            arrived_at,
             request,
         };
         match self.shared.inputs.send(input).await {
@@ -150,9 +150,9 @@
         }
     }
 
-    /// Waits for the reply to the request that the engine has. Reading on meanwhile shows at once
-    /// when the client disconnects. Requests that arrive early are queued, and the time of their
-    /// arrival counts.
+    /// Waits for the reply to the open request. Input is read meanwhile, so that a client that
+    /// disconnects is noticed at once. Requests that arrive early are queued with their times of
+    /// arrival, from which their timeouts run.
     async fn wait_for_reply(&mut self, pipeline: &mut PipelinedRequests) -> io::Result<ReplyWait> {
         loop {
             tokio::select! {
@@ -161,7 +161,8 @@
                     Some(ClientCommand::Reply { reply, close }) => {
                         return Ok(ReplyWait::Reply { reply, close });
                     }
-                    // The request has crossed this command and is served; its reply will close.
+                    // This command has crossed the request, which is still served. Its reply
+                    // closes the connection.
                     Some(ClientCommand::Close | ClientCommand::Drain) => {}
                     None => return Ok(ReplyWait::Stopped),
                 },
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Rejects a request that the engine did not get, as the last on the connection.
+    /// Rejects a request that the engine could not accept any more, and ends the connection.
     async fn reject_at_exit(&mut self) -> io::Result<Ending> {
         let response = Response {
             close: true,
@@ -197,7 +198,7 @@
         Ok(())
     }
 
-    /// Logs how the connection has ended.
+    /// Logs the end of the connection.
     pub(super) fn log_end(&self, ending: &io::Result<Ending>) {
         log_ending(self.client, self.counts, ending);
     }
--- a/crates/core/src/net/driver/mod.rs
+++ b/crates/core/src/net/driver/mod.rs
@@ -1,6 +1,6 @@
 //! Executes the engine's effects on the sockets.
 //!
-//! [`reply_delivery`] has the replies to clients, [`shutdown`] the end of the process.
+//! [`reply_delivery`] delivers the replies to clients, and [`shutdown`] ends the process.
 
 mod reply_delivery;
 mod shutdown;
@@ -23,7 +23,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Duration, Instant};
 
-/// Everything that effects act on: client connections, connections to leaf servers, gossip and the
+/// Executes effects on client connections, connections to leaf servers, the gossip socket and the
 /// watch on the endpoint list.
 pub(super) struct Driver {
     shared: Shared,
@@ -32,7 +32,7 @@
     discovery: SocketAddr,
     watch: Option<AbortHandle>,
     replies: ReplyDelivery,
-    /// By when the process ends, once the engine has requested the exit.
+    /// Time by which the process ends; `None` until the engine requests the exit.
     exit_deadline: Option<Instant>,
 }
 
@@ -54,12 +54,13 @@
         }
     }
 
-    /// By when the process ends; none while the engine has not requested the exit.
+    /// Returns the time by which the process ends, or `None` until the engine requests the exit.
     pub(super) fn exit_deadline(&self) -> Option<Instant> {
         self.exit_deadline
     }
 
-    /// Uses new addresses: for gossip at once, for the endpoint list with the next watch.
+    /// Applies new addresses, to gossip at once and to discovery with the next watch. Returns the
+    /// input that reports the reload to the engine.
     pub(super) fn reload(&mut self, addresses: Option<Addresses>) -> Input {
         if let Some(addresses) = &addresses {
             if let Some(gossip) = &mut self.gossip {
@@ -111,23 +112,23 @@
         }
     }
 
-    /// When the next reply stops waiting for its usage record.
+    /// Returns the time at which the next reply stops waiting for its usage record.
     pub(super) fn next_reply_deadline(&self) -> Option<Instant> {
         self.replies.next_deadline()
     }
 
-    /// Returns once usage records were written that replies wait for.
+    /// Waits until usage records are written for which replies are held.
     pub(super) async fn wait_for_usage_log(&mut self) {
         self.replies.wait_for_usage_log().await;
     }
 
-    /// Sends the replies whose records are written, or that have waited long enough.
+    /// Sends the replies whose records are written or whose deadlines have passed.
     pub(super) fn send_ready_replies(&mut self) {
         self.replies.send_ready();
     }
 
-    /// Waits until the exit deadline for the clients to end, then closes the usage log. That comes
-    /// last, since it blocks all else while the disk stalls.
+    /// Waits for the clients to disconnect, at most until the exit deadline, then closes the usage
+    /// log. The usage log is last, since closing it blocks everything else while the disk stalls.
     pub(super) async fn shut_down(&mut self, exit_deadline: Instant) {
         self.replies.release();
         wait_for_clients(&self.shared, exit_deadline).await;
@@ -157,11 +158,11 @@
         self.connections.insert(connection, handle);
     }
 
-    fn start_watch(&mut self, number: u64, index: u64, response_timeout: Duration) {
+    fn start_watch(&mut self, number: u64, version: u64, response_timeout: Duration) {
         let watch = EndpointWatchTask {
             number,
             address: self.discovery,
-            index,
+            version,
             response_timeout,
         };
         let task = tokio::task::spawn_local(watch.run(self.shared.clone()));
--- a/crates/core/src/net/driver/reply_delivery.rs
+++ b/crates/core/src/net/driver/reply_delivery.rs
@@ -1,5 +1,5 @@
-//! Delivers replies and closes to the tasks of client connections, each reply once its usage record
-//! is written.
+//! Delivers replies and close commands to the tasks of client connections. A reply is delivered
+//! once its usage record is written.
 
 use crate::engine::usage::{QueryUsage, UsageWatermark};
 use crate::engine::ClientId;
@@ -12,7 +12,7 @@
 /// log.
 pub(super) struct ReplyDelivery {
     clients: ClientRegistry,
-    /// Present if usage is recorded.
+    /// `None` if usage is not recorded.
     pending_replies: Option<PendingReplies>,
 }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Sends `command`, which closes a client's connection. A reply that is still held closes it
-    /// too.
+    /// Sends `command`, which closes a client's connection. If a reply to the client is still held,
+    /// the connection closes after that reply as well.
     pub(super) fn close_client(&mut self, client: ClientId, command: ClientCommand) {
         if let Some(pending_replies) = &mut self.pending_replies {
             pending_replies.close_client(client);
@@ -59,14 +59,14 @@
         self.clients.send(client, command);
     }
 
-    /// When the next reply stops waiting for its usage record.
+    /// Returns the time at which the next reply stops waiting for its usage record.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
         self.pending_replies
             .as_ref()
             .and_then(PendingReplies::next_deadline)
     }
 
-    /// Returns once usage records were written that replies wait for.
+    /// Waits until usage records are written for which replies are held.
     pub(super) async fn wait_for_usage_log(&mut self) {
         match &mut self.pending_replies {
             Some(pending_replies) => pending_replies.wait_for_written().await,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Sends the replies whose records are written, or that have waited long enough.
+    /// Sends the replies whose records are written or whose deadlines have passed.
     pub(super) fn send_ready(&mut self) {
         while let Some(outgoing) = self
             .pending_replies
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Sends all replies that are held, and each later one, without waiting for their records. Part
-    /// of a shutdown from the answer deadline of `engine/shutdown.rs` on.
+    /// Sends all held replies, and from now on each new one, without waiting for their records.
+    /// Called at the answer deadline of a shutdown (`engine/shutdown.rs`) or later.
     pub(super) fn release(&mut self) {
         if let Some(pending_replies) = &mut self.pending_replies {
             pending_replies.stop_holding();
@@ -94,7 +94,7 @@
         self.send_ready();
     }
 
-    /// Closes the usage log, which may block for as long as the disk stalls.
+    /// Closes the usage log. May block while the disk stalls.
     pub(super) fn close_usage_log(&mut self) {
         if let Some(pending_replies) = &mut self.pending_replies {
             pending_replies.close();
--- a/crates/core/src/net/driver/shutdown.rs
+++ b/crates/core/src/net/driver/shutdown.rs
@@ -1,13 +1,13 @@
-//! The last phase of a graceful shutdown, from the exit that the engine has requested to the exit
-//! deadline. The phases before it are in `engine/shutdown.rs`.
+//! The last phase of a graceful shutdown, from the engine's exit request to the exit deadline.
+//! `engine/shutdown.rs` has the phases before it.
 
 use crate::net::shared::Shared;
 use tokio::time::{timeout_at, Duration, Instant};
 
-/// How long replies that are sent only at the exit deadline may take to be written.
+/// Maximum time to write replies that are sent only at the exit deadline.
 const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Waits until all clients have ended, or until the exit deadline.
+/// Waits until all clients have disconnected, or until the exit deadline.
 pub(super) async fn wait_for_clients(shared: &Shared, exit_deadline: Instant) {
     let all_ended = async {
         while has_open_clients(shared) {
@@ -18,13 +18,13 @@
     let _ = timeout_at(exit_deadline.max(last_writes), all_ended).await;
 }
 
-/// Whether a client's connection, or a request of any frontend, has not ended.
+/// Whether a client is connected or a request of any frontend is open.
 fn has_open_clients(shared: &Shared) -> bool {
     shared.clients.len() > 0 || shared.open_requests.count() > 0
 }
 
-/// Logs what has not ended when the process exits. Each request that was read must have been
-/// answered.
+/// Logs the number of connections and requests that are still open when the process exits. Every
+/// request that was read must have been answered.
 pub(super) fn log_process_end(shared: &Shared) {
     let connections = shared.clients.len();
     let unanswered = shared.open_requests.count();
--- a/crates/core/src/net/endpoint_watch.rs
+++ b/crates/core/src/net/endpoint_watch.rs
@@ -1,5 +1,5 @@
-//! A watch on the endpoint list: one request to discovery, and a response that goes on until the
-//! watch ends. When to start the next one is the policy's decision.
+//! A watch on the endpoint list: one request to the discovery agent, and a response that carries
+//! updates until the watch ends. The policy decides when to start the next watch.
 
 use super::shared::Shared;
 use crate::engine::Input;
@@ -12,21 +12,21 @@
 use tokio::time::{timeout, Duration};
 use tokio_util::codec::Framed;
 
-/// Discovery sends a line every 2 s, empty if nothing has changed. A watch without a line for this
-/// long has failed.
+/// Time without a line of the response after which a watch has failed. The discovery agent sends a
+/// line every 2 s, which is empty if nothing has changed.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The discovery agent runs on this machine: a connection that takes longer to open has failed.
+/// Maximum time to connect to the discovery agent, which runs on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The task of one watch on the endpoint list.
 pub(super) struct EndpointWatchTask {
-    /// Its number, which the engine compares with that of its latest watch.
+    /// Number of the watch, which the engine compares with that of its latest watch.
     pub(super) number: u64,
-    /// The address of discovery.
+    /// Address of the discovery agent.
     pub(super) address: SocketAddr,
-    /// The version of the list to continue from; then the latest that has been received.
-    pub(super) index: u64,
-    /// How long the response may take to begin.
+    /// Version of the list to continue from, then the latest version received.
+    pub(super) version: u64,
+    /// Maximum time until the response begins.
     pub(super) response_timeout: Duration,
 }
 
@@ -34,7 +34,7 @@
     /// Reports each update of the list to the engine, until the watch ends or times out.
     pub(super) async fn run(mut self, shared: Shared) {
         if let Err(error) = self.connect_and_follow(&shared).await {
-            let (address, index) = (self.address, self.index);
+            let (address, index) = (self.address, self.version);
             tracing::info!(%address, index, "watch on discovery ended: {error}");
         }
         let ended = Input::WatchEnded { watch: self.number };
@@ -60,14 +60,14 @@
     ) -> io::Result<()> {
         let request = WatchRequest {
             host: self.address.to_string(),
-            from: self.index,
+            from: self.version,
         };
         connection.send(request).await?;
         let mut message_timeout = self.response_timeout;
         loop {
             let message = match timeout(message_timeout, connection.next()).await {
                 Ok(message) => message,
-                // The response has begun: from then on, only the heartbeat counts.
+                // The response has begun: from now on, the heartbeat timeout applies.
                 Err(_) if message_timeout < HEARTBEAT_TIMEOUT && connection.codec().has_begun() => {
                     message_timeout = HEARTBEAT_TIMEOUT;
                     continue;
@@ -79,9 +79,9 @@
             let update = discovery::parse_message(&message)
                 .map_err(|error| io::Error::new(ErrorKind::InvalidData, error))?;
             if let Some(update) = update {
-                let index = update.index;
+                let version = update.index;
                 let _ = shared.inputs.send(Input::EndpointsUpdated(update)).await;
-                self.index = index;
+                self.version = version;
             }
         }
     }
--- a/crates/core/src/net/event_loop.rs
+++ b/crates/core/src/net/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: passes operator signals, inputs from the sockets and timers to the engine, and
-//! its effects to the driver.
+//! The event loop: passes operator signals, socket inputs and timers to the engine, and the
+//! engine's effects to the driver.
 
 use super::driver::Driver;
 use super::gossip::GossipSocket;
@@ -16,17 +16,18 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
-/// Inputs that may be queued; beyond that the sockets are not read until the engine has caught up.
+/// Maximum number of queued inputs. While the queue is full, the sockets are not read, until the
+/// engine has caught up.
 const MAX_QUEUED_INPUTS: usize = 1024;
-/// The most inputs of one batch, so that timers stay on time under a flood.
+/// Maximum number of inputs per batch, so that timers stay on time under a flood of inputs.
 const MAX_BATCH_INPUTS: usize = 256;
 
-/// Serves the clients of `listener` until the engine requests the exit, and then until the exit
-/// deadline of `engine/shutdown.rs` or the end of the last client. Must run inside a `LocalSet`.
+/// Serves clients until the engine requests the exit, then waits for the last client to disconnect,
+/// at most until the exit deadline of `engine/shutdown.rs`. Must run inside a `LocalSet`.
 ///
 /// # Errors
 ///
-/// The address for gossip messages can't be bound.
+/// Returns an error if the address for gossip messages cannot be bound.
 pub async fn serve(
     engine: Engine,
     clock: Clock,
@@ -75,7 +76,7 @@
 }
 
 impl EventLoop {
-    /// Runs until the engine requests the exit; returns the exit deadline.
+    /// Runs until the engine requests the exit. Returns the exit deadline.
     async fn run(&mut self) -> Instant {
         self.apply(self.clock.now(), Input::BatchEnded);
         loop {
@@ -88,7 +89,8 @@
                 Some(signal) = self.signals.recv() => self.handle_signal(signal),
                 () = self.driver.wait_for_usage_log() => self.driver.send_ready_replies(),
                 Some(input) = self.queued_inputs.recv() => {
-                    // What the other sockets have ready joins the same batch.
+                    // Let the other tasks queue the inputs that they have ready, so that these
+                    // join the same batch.
                     tokio::task::yield_now().await;
                     self.process_batch(input);
                 }
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Accepts no more inputs, and has the engine answer those that were read before the exit.
+    /// Closes the input queue and passes the remaining inputs to the engine, which answers the
+    /// requests among them.
     fn answer_queued_inputs(&mut self) {
         self.queued_inputs.close();
         let now = self.clock.now();
@@ -109,8 +112,9 @@
         self.apply(now, Input::InputsEnded);
     }
 
-    /// When the next timer is due. One timer serves the engine and the pending replies, as setting
-    /// another for each batch costs more than the work that it starts.
+    /// Returns the time at which the next timer is due, or `None` if no timer is set. One timer
+    /// serves the engine and the pending replies, since setting a second one for each batch would
+    /// cost more than the work that it triggers.
     fn next_due(&self) -> Option<Instant> {
         let engine_due = self.engine.next_due().map(|at| self.clock.instant(at));
         let reply_due = self.driver.next_reply_deadline();
@@ -126,7 +130,7 @@
         self.run_due_timers();
     }
 
-    /// Applies this input and those that are queued behind it, as one batch.
+    /// Applies `first` and the inputs that are queued behind it as one batch.
     fn process_batch(&mut self, first: Input) {
         let now = self.clock.now();
         self.apply(now, first);
--- a/crates/core/src/net/gossip.rs
+++ b/crates/core/src/net/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip messages between aggregators, one datagram each. They may be lost: nothing waits for one.
+//! Gossip messages between aggregators, one per datagram. A message may be lost, and nothing waits
+//! for one.
 
 use super::buffer_pool::BUFFER_BYTES;
 use super::shared::Shared;
@@ -20,14 +21,15 @@
 /// The addresses of the other aggregators.
 #[derive(Clone, Debug)]
 struct PeerAddresses {
-    /// By number.
+    /// Indexed by the number of the aggregator.
     peers: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// Address that reaches all other aggregators.
     broadcast: Option<SocketAddr>,
 }
 
 impl PeerAddresses {
-    /// The address of one aggregator, or of all; none if it is not configured.
+    /// Returns the address of one aggregator, or of all if `to` is `None`. Returns `None` if the
+    /// address is not configured.
     fn address(&self, to: Option<u32>) -> Option<SocketAddr> {
         match to {
             Some(peer) => self.peers.get(peer as usize).copied(),
@@ -35,7 +37,7 @@
         }
     }
 
-    /// The number of the aggregator at this address.
+    /// Returns the number of the aggregator at this address, or `None` if the address is unknown.
     fn number(&self, address: SocketAddr) -> Option<u32> {
         let number = self.peers.iter().position(|peer| *peer == address)?;
         Some(number as u32)
@@ -43,7 +45,7 @@
 }
 
 impl GossipSocket {
-    /// Opens the socket and starts to receive.
+    /// Binds the socket and spawns the task that receives messages.
     pub(super) async fn bind(
         shared: &Shared,
         listen: SocketAddr,
@@ -67,13 +69,13 @@
         }
     }
 
-    /// Exchanges messages with the aggregators at these addresses from now on.
+    /// Replaces the addresses of the other aggregators.
     pub(super) fn update_addresses(&mut self, shared: &Shared, addresses: &Addresses) {
         self.receiver.abort();
         *self = GossipSocket::start(shared, self.socket.clone(), addresses);
     }
 
-    /// Sends a message to one aggregator, or to all.
+    /// Sends a message to one aggregator, or to all if `to` is `None`.
     pub(super) fn send(&self, to: Option<u32>, bytes: &[u8]) {
         let Some(address) = self.peers.address(to) else {
             return;
@@ -87,7 +89,7 @@
 async fn receive(shared: Shared, socket: Rc<UdpSocket>, peers: PeerAddresses) {
     let mut buffer = [0; BUFFER_BYTES];
     loop {
-        // An error here is caused by an earlier message to an aggregator that is down.
+        // An error here stems from an earlier message to an aggregator that is down.
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -1,5 +1,5 @@
-//! The interface by which the frontends for other protocols send queries to the engine. To the
-//! engine, their clients are of the same kind as those of the native protocol.
+//! Interface through which frontends for other protocols send queries to the engine. The engine
+//! treats their clients like those of the native frontend.
 
 use super::client_command::ClientCommand;
 use super::client_registry::RegisteredClient;
@@ -11,26 +11,26 @@
 use crate::protocol::query::{ClientRequest, NameTables, QueryReply, QueryRequest};
 use std::rc::Rc;
 
-/// Sends queries to the engine, each as a client of its own. Only for tasks of the aggregator's
+/// Sends queries to the engine, each as a separate client. Must be used within the aggregator's
 /// `LocalSet`.
 ///
-/// A frontend holds a clone while it accepts connections or serves any: once the last one is
-/// dropped the frontend has stopped, and the process may exit (see `engine/shutdown.rs`).
+/// A frontend holds a clone while it accepts or serves connections. Once the last clone is dropped,
+/// the frontend has stopped and the process may exit (see `engine/shutdown.rs`).
 #[derive(Clone)]
 pub struct InternalClient {
     shared: Shared,
     _running: Rc<RunningFrontend>,
 }
 
-/// A client that is connected while its one query is open. Dropped before the reply, it has
-/// disconnected, and the engine cancels the query.
+/// A client with a single query, connected until this value is dropped. If it is dropped before the
+/// reply, the engine cancels the query.
 struct ConnectedClient {
     shared: Shared,
     client: ClientId,
 }
 
 impl ConnectedClient {
-    /// Sends an input; false if the event loop has ended.
+    /// Sends an input to the engine. Returns `false` if the event loop has ended.
     async fn send(&self, input: Input) -> bool {
         self.shared.inputs.send(input).await.is_ok()
     }
@@ -53,24 +53,24 @@
         }
     }
 
-    /// The names of classes and tenants, and the bounds of a query.
+    /// Returns the names of classes and tenants, and the limits of a query.
     pub fn names(&self) -> &Rc<NameTables> {
         &self.shared.names
     }
 
-    /// The time now by the aggregator's clock, in Unix nanoseconds.
+    /// Returns the current time of the aggregator's clock, in Unix nanoseconds.
     pub fn now(&self) -> Nanos {
         self.shared.clock.now()
     }
 
-    /// Counts a request of the frontend as open for as long as the returned value is held.
+    /// Counts a request of the frontend as open until the returned guard is dropped.
     pub fn open_request(&self) -> OpenRequest {
         self.shared.open_requests.open()
     }
 
-    /// Sends a query that arrived at this time and waits for its reply. Dropping the future cancels
-    /// the query.
-    pub async fn send_query(&self, arrived: Nanos, query: QueryRequest) -> QueryReply {
+    /// Sends a query and waits for its reply. The client timeout runs from `arrived_at`, in Unix
+    /// nanoseconds. Dropping the future cancels the query.
+    pub async fn send_query(&self, arrived_at: Nanos, query: QueryRequest) -> QueryReply {
         let RegisteredClient {
             client,
             mut commands,
@@ -82,7 +82,7 @@
         let request = Ok(ClientRequest::Query(query));
         let received = Input::RequestReceived {
             client,
-            arrived_at: arrived,
+            arrived_at,
             request,
         };
         let is_connected = connected.send(Input::ClientConnected { client }).await;
@@ -92,20 +92,21 @@
         loop {
             match commands.recv().await {
                 Some(ClientCommand::Reply { reply, .. }) => return *reply,
-                // The query has crossed this command and is served.
+                // This command has crossed the query, which is still served.
                 Some(ClientCommand::Close | ClientCommand::Drain) => {}
                 None => return QueryReply::Failed,
             }
         }
     }
 
-    /// Returns once the drain period of a shutdown is over: the frontend must accept no more
-    /// connections.
+    /// Waits for the end of a shutdown's drain period, after which the frontend must not accept
+    /// further connections.
     pub async fn listening_stopped(&self) {
         self.shared.listening_stopped().await;
     }
 
-    /// Whether a shutdown has begun: each response must request the client to close the connection.
+    /// Whether a shutdown has begun. If so, each response must ask the client to close the
+    /// connection.
     pub fn is_draining(&self) -> bool {
         *self.shared.phase.borrow() >= ServingPhase::Draining
     }
--- a/crates/core/src/net/leaf_connection.rs
+++ b/crates/core/src/net/leaf_connection.rs
@@ -1,4 +1,4 @@
-//! Connections to leaf servers, one task each.
+//! Connections to leaf servers, each with its own task.
 
 use super::read_message::{read_message, MessageRead};
 use super::shared::Shared;
@@ -14,23 +14,23 @@
 use tokio::time::{Duration, Instant};
 use tokio_util::codec::Framed;
 
-/// A frame that has begun must be complete within this time. Leaf servers send a result as one
-/// packet: if part of it is missing, the rest never arrives, and everything that is in flight on
-/// the connection would wait for it.
+/// Maximum time from the first byte of a frame to its last. Leaf servers send a result as one
+/// packet: if part of it is missing, the rest never arrives, and everything in flight on the
+/// connection would wait for it.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The driver's end of a connection; dropping it closes the connection.
+/// The driver's handle to a connection. Dropping it closes the connection.
 pub(super) struct LeafConnectionHandle {
     frames: mpsc::Sender<LeafRequest>,
     task: AbortHandle,
 }
 
 impl LeafConnectionHandle {
-    /// Queues a frame. The engine hands over one frame at a time, so the queue has capacity; if it
-    /// had none the connection would have to end, since no frame may be lost silently.
+    /// Queues a frame. The queue has capacity, since the engine hands over one frame at a time. If
+    /// it were full, the connection would have to end, because no frame may be lost silently.
     pub(super) fn write(&self, frame: LeafRequest) {
         if self.frames.try_send(frame).is_err() && !self.is_closed() {
-            tracing::error!("too many frames are queued for a leaf server");
+            tracing::error!("leaf connection closed: too many frames are queued");
             self.task.abort();
         }
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Starts to open a connection; its task reports to the engine what happens on it.
+/// Spawns a task that opens a connection, exchanges frames on it, and reports to the engine.
 pub(super) fn open(
     shared: Shared,
     connection: ConnectionId,
@@ -56,7 +56,7 @@
     let (frames, queued_frames) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let task = tokio::task::spawn_local(async move {
         if let Err(error) = run(&shared, connection, address, queued_frames).await {
-            tracing::debug!(connection, %address, "leaf connection: {error}");
+            tracing::debug!(connection, %address, "leaf connection failed: {error}");
         }
         let closed = Input::ConnectionClosed { connection };
         let _ = shared.inputs.send(closed).await;
@@ -85,14 +85,15 @@
     result
 }
 
-/// Writes what the engine queues, and reports what the leaf server sends, until either side closes.
+/// Writes the queued frames, and reports those that the leaf server sends, until either side closes
+/// the connection.
 async fn exchange_frames(
     shared: &Shared,
     connection: ConnectionId,
     framed: &mut Framed<TcpStream, LeafCodec>,
     queued_frames: &mut mpsc::Receiver<LeafRequest>,
 ) -> io::Result<()> {
-    let mut begun: Option<Instant> = None;
+    let mut began_at: Option<Instant> = None;
     loop {
         tokio::select! {
             biased;
@@ -101,18 +102,18 @@
                 framed.send(frame).await?;
                 let _ = shared.inputs.send(Input::FrameWritten { connection }).await;
             }
-            received = read_message(framed, &mut begun, FRAME_TIMEOUT) => {
+            received = read_message(framed, &mut began_at, FRAME_TIMEOUT) => {
                 let frame = match received? {
                     MessageRead::Received(frame) => frame,
                     MessageRead::EndOfStream => return Ok(()),
-                    // The socket was no longer readable: no frame has begun.
+                    // The socket had nothing to read after all: no frame has begun.
                     MessageRead::TimedOut if framed.read_buffer().is_empty() => {
-                        begun = None;
+                        began_at = None;
                         continue;
                     }
                     MessageRead::TimedOut => {
                         let received = framed.read_buffer().clone();
-                        framed.codec_mut().cut_short(&received)
+                        framed.codec_mut().end_truncated_frame(&received)
                     }
                 };
                 let _ = shared.inputs.send(Input::FrameReceived { connection, frame }).await;
--- a/crates/core/src/net/listener.rs
+++ b/crates/core/src/net/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of clients.
+//! Accepts client connections.
 
 use super::backlog::{pause_after_failed_accept, Backlog};
 use super::client_connection;
@@ -9,12 +9,13 @@
 use std::pin::pin;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections above the maximum that are still accepted, while the engine closes others for them.
-/// Without a limit, a flood would take the descriptors that connections to leaf servers need.
+/// Number of connections above the maximum that are still accepted while the engine closes others
+/// to make room. Without a limit, a flood of connections would take the file descriptors that
+/// connections to leaf servers need.
 const MAX_EXCESS_CONNECTIONS: usize = 16;
 
-/// Accepts connections until the drain period of a shutdown is over (`engine/shutdown.rs`), and
-/// then those that already wait: closing the listener would reset them.
+/// Accepts connections until the drain period of a shutdown ends (`engine/shutdown.rs`), and then
+/// those that are left in the backlog, which closing the listener would reset.
 pub(super) async fn accept_connections(
     shared: Shared,
     running: RunningFrontend,
@@ -39,11 +40,11 @@
     }
     drop(backlog);
     tracing::info!(accepted, "listening stopped");
-    // The engine has been informed of all connections that were accepted.
+    // Dropped last: by now, every accepted connection has been announced to the engine.
     drop(running);
 }
 
-/// Accepts a connection once there is capacity for it.
+/// Accepts the next connection, once there is capacity for it.
 async fn accept_next(shared: &Shared, listener: &TcpListener, max_connections: usize) -> TcpStream {
     loop {
         if shared.clients.len() >= max_connections {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Announces a connection to the engine and serves it.
+/// Announces a connection to the engine and spawns the task that serves it.
 async fn serve_connection(shared: &Shared, stream: TcpStream) {
     let RegisteredClient { client, commands } = shared.clients.register();
     let connected = Input::ClientConnected { client };
--- a/crates/core/src/net/mod.rs
+++ b/crates/core/src/net/mod.rs
@@ -1,24 +1,27 @@
-//! Sockets, timers and buffers. Everything here reports to the engine what happened, as an
-//! [`Input`](crate::engine::Input), and executes the [`Effect`](crate::engine::Effect)s that the
-//! engine returns; nothing is decided here. One thread runs it all, inside a `LocalSet`, with a
-//! task for each connection.
+//! Sockets, timers and buffers of the aggregator.
+//!
+//! The tasks of this module report events to the engine as [`Input`](crate::engine::Input)s and
+//! execute the [`Effect`](crate::engine::Effect)s that it returns. The engine makes all decisions.
+//! All tasks run on one thread, inside a `LocalSet`, with one task per connection.
 //!
 //! # Graceful shutdown
 //!
-//! `engine/shutdown.rs` decides on the phases and their ends. This is what happens here in each:
+//! `engine/shutdown.rs` decides when each phase begins. In each phase, this module does the
+//! following:
 //!
 //! 1. Drain period (`Effect::StartDraining`): the phase is `ServingPhase::Draining`. Connections
-//!    are still accepted; each response closes its connection.
+//!    are still accepted, and each is closed after its response.
 //! 2. End of the drain period (`Effect::StopListening`, `Effect::DrainClient`): the phase is
-//!    `ServingPhase::ListeningStopped`. `listener.rs` accepts what already waits (`backlog.rs`) and
-//!    then reports that its frontend has stopped (`running_frontend.rs`); other frontends do the
-//!    same by way of `internal_client.rs`. A connection without an open request is closed, after a
-//!    short wait for a request that is on its way (`client_connection/next_request.rs`).
+//!    `ServingPhase::ListeningStopped`. `listener.rs` accepts the connections that are already in
+//!    the backlog (`backlog.rs`) and then reports that its frontend has stopped
+//!    (`running_frontend.rs`). Frontends for other protocols do the same through
+//!    `internal_client.rs`. A connection without an open request is closed, after a short wait for
+//!    a request in transit (`client_connection/next_request.rs`).
 //! 3. Answer deadline (`Effect::ReleaseReplies`): replies no longer wait for the usage log
 //!    (`driver/reply_delivery.rs`).
-//! 4. Exit (`Effect::Exit`): `event_loop.rs` ends its loop and has the engine answer the inputs
-//!    that are queued. `driver/shutdown.rs` waits for clients to end until the exit deadline. The
-//!    usage log is closed last.
+//! 4. Exit (`Effect::Exit`): `event_loop.rs` ends its loop and passes the inputs that are still
+//!    queued to the engine, which answers the requests among them. `driver/shutdown.rs` waits for
+//!    clients to disconnect, at most until the exit deadline. The usage log is closed last.
 
 mod backlog;
 mod buffer_pool;
@@ -49,26 +52,26 @@
 
 use crate::config::Addresses;
 
-/// Commands that may be queued for one connection. The engine gives each connection one frame or
-/// reply at a time.
+/// Maximum number of commands queued for one connection. A few suffice, since the engine hands over
+/// one frame or reply per connection at a time.
 const MAX_QUEUED_COMMANDS: usize = 4;
 
-/// A request of the operator to a running aggregator.
+/// Request from the operator to a running aggregator.
 pub enum OperatorSignal {
     /// Shut down gracefully.
     Shutdown,
-    /// Use these addresses from now on; none if the configuration that was read is unusable.
+    /// Switch to these addresses; `None` if the reloaded configuration is invalid.
     Reload(Option<Addresses>),
 }
 
-/// Starts a frontend for another protocol; called once the engine accepts queries.
+/// Function that starts a frontend for another protocol. Called once the engine accepts queries.
 pub type StartFrontend = Box<dyn FnOnce(InternalClient)>;
 
-/// What runs beside the native frontend, where it is configured.
+/// Optional components that run beside the native frontend.
 #[derive(Default)]
 pub struct Extensions {
-    /// Records the usage of each query.
+    /// Recorder of the usage of each query; `None` if usage is not recorded.
     pub recorder: Option<Box<dyn UsageRecorder>>,
-    /// The frontends for other protocols.
+    /// Functions that start the frontends for other protocols.
     pub frontends: Vec<StartFrontend>,
 }
--- a/crates/core/src/net/open_requests.rs
+++ b/crates/core/src/net/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that were read and are not answered yet, whichever frontend has read them.
+//! Count of the requests that were read and are not answered yet, over all frontends.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 }
 
 impl OpenRequests {
-    /// No requests yet; notifies `request_ended` whenever one ends.
+    /// Creates a count of zero. `request_ended` is notified whenever a request ends.
     pub(super) fn new(request_ended: Rc<Notify>) -> OpenRequests {
         OpenRequests {
             count: Rc::default(),
@@ -20,20 +20,20 @@
         }
     }
 
-    /// Counts a request that was read.
+    /// Counts a request that was read, until the returned guard is dropped.
     pub(super) fn open(&self) -> OpenRequest {
         self.count.set(self.count.get() + 1);
         OpenRequest(self.clone())
     }
 
-    /// The number of requests that are open.
+    /// Returns the number of open requests.
     pub(super) fn count(&self) -> usize {
         self.count.get()
     }
 }
 
-/// A request that was read. It is open until this is dropped: once its response is written, or its
-/// client has disconnected.
+/// Guard for a request that was read. The request is open until the guard is dropped, which happens
+/// once its response is written or its client has disconnected.
 #[derive(Debug)]
 pub struct OpenRequest(OpenRequests);
 
--- a/crates/core/src/net/pending_replies.rs
+++ b/crates/core/src/net/pending_replies.rs
@@ -1,4 +1,4 @@
-//! Replies that wait for their usage record: a reply is sent after its record was written, unless
+//! Replies that wait for their usage records. A reply is sent once its record is written, unless
 //! the log stalls.
 
 use super::UsageRecorder;
@@ -12,41 +12,41 @@
 /// A reply on its way to its client.
 #[derive(Debug)]
 pub struct OutgoingReply {
-    /// The client.
+    /// Client that gets the reply.
     pub client: ClientId,
-    /// The reply.
+    /// Reply to the client's open request.
     pub reply: QueryReply,
-    /// The client's connection closes after it.
+    /// Whether the client's connection closes after the reply.
     pub close: bool,
 }
 
 struct PendingReply {
-    /// The sequence of its record.
+    /// Sequence of the usage record.
     sequence: u64,
-    /// When it is sent even if its record is not written.
+    /// Time at which the reply is sent even if its record is not written.
     deadline: Instant,
     outgoing: OutgoingReply,
 }
 
-/// The usage recorder, and the replies that wait for it in the order of their records.
+/// The usage recorder, and the replies that wait for their records, in the order of the records.
 pub struct PendingReplies {
     recorder: Box<dyn UsageRecorder>,
-    /// The sequence up to which records are written, or lost because they could not be.
+    /// Sequence up to which records are written, or lost because writing failed.
     written: watch::Receiver<u64>,
     max_delay: Duration,
     pending: VecDeque<PendingReply>,
-    /// The sequence of the latest record. The next reply waits for it; a record of a query whose
-    /// client has disconnected has no reply of its own.
+    /// Sequence of the latest record, until a reply follows. That reply waits for the record. A
+    /// query whose client has disconnected has a record and no reply.
     latest_record: Option<u64>,
-    /// How far the log was when a reply was last sent without its record. Until the log advances,
-    /// no reply waits.
+    /// Sequence up to which the log was written when a reply was last sent without its record. No
+    /// reply waits until the log advances.
     stalled_at: Option<u64>,
-    /// Replies are still kept until their records are written.
+    /// Whether replies are held until their records are written.
     holds_replies: bool,
 }
 
 impl PendingReplies {
-    /// No replies yet, for this recorder.
+    /// Creates an empty queue of replies for `recorder`.
     pub fn new(recorder: Box<dyn UsageRecorder>) -> PendingReplies {
         let written = recorder.written();
         let max_delay = recorder.max_reply_delay();
@@ -61,18 +61,18 @@
         }
     }
 
-    /// Queues a record; the reply that follows waits for it.
+    /// Queues a record, for which the reply that follows waits.
     pub fn record(&mut self, usage: QueryUsage) {
         let sequence = usage.sequence;
         self.latest_record = self.recorder.record(usage).then_some(sequence);
     }
 
-    /// Queues a watermark.
+    /// Passes a watermark to the recorder.
     pub fn record_watermark(&mut self, watermark: UsageWatermark) {
         self.recorder.record_watermark(watermark);
     }
 
-    /// Keeps a reply until its record is written; returns it if there is nothing to wait for.
+    /// Holds a reply until its record is written. Returns the reply if it can be sent at once.
     pub fn hold(&mut self, outgoing: OutgoingReply) -> Option<OutgoingReply> {
         let written = *self.written.borrow();
         match self.latest_record.take() {
@@ -92,13 +92,13 @@
         }
     }
 
-    /// Whether a reply may wait for its record, with the log written so far.
+    /// Whether a reply may wait for its record while the log is written up to sequence `written`.
     fn may_wait(&self, written: u64) -> bool {
         self.holds_replies && self.stalled_at != Some(written)
     }
 
-    /// Makes every reply ready at once from now on, also those that are pending. Part of a shutdown
-    /// from the answer deadline of `engine/shutdown.rs` on.
+    /// Makes all pending replies, and from now on each new one, ready at once. Called at the answer
+    /// deadline of a shutdown (`engine/shutdown.rs`) or later.
     pub fn stop_holding(&mut self) {
         self.holds_replies = false;
         self.expire_pending();
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Marks a client's pending reply, if there is one, as the last on its connection.
+    /// Marks the pending reply of a client, if any, as the last one on the client's connection.
     pub fn close_client(&mut self, client: ClientId) {
         for pending in &mut self.pending {
             if pending.outgoing.client == client {
@@ -120,23 +120,25 @@
         }
     }
 
-    /// When the first pending reply is sent at the latest.
+    /// Returns the latest time at which the first pending reply is sent, or `None` if no reply is
+    /// pending.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.pending.front().map(|pending| pending.deadline)
     }
 
-    /// Returns once records were written that replies wait for; never while none is pending.
+    /// Waits until further records are written. Never returns while no reply is pending.
     pub async fn wait_for_written(&mut self) {
         if self.pending.is_empty() {
             return std::future::pending().await;
         }
         if self.written.changed().await.is_err() {
-            // The writer is gone: there is nothing to wait for.
+            // The writer has ended, so no further record will be written.
             self.expire_pending();
         }
     }
 
-    /// Takes the next reply that may be sent: its record is written, or it has waited long enough.
+    /// Removes and returns the next reply if it may be sent: its record is written, or its deadline
+    /// has passed.
     pub fn pop_ready(&mut self) -> Option<OutgoingReply> {
         let front = self.pending.front()?;
         let is_written = *self.written.borrow() >= front.sequence;
@@ -150,7 +152,8 @@
         self.pending.pop_front().map(|pending| pending.outgoing)
     }
 
-    /// Writes what is queued, which may take long: no reply may be waiting any more.
+    /// Writes the queued records and closes the log, which may take long. No reply may be pending
+    /// at this point.
     pub fn close(&mut self) {
         self.recorder.close();
     }
--- a/crates/core/src/net/read_message.rs
+++ b/crates/core/src/net/read_message.rs
@@ -9,37 +9,38 @@
 /// How the wait for a message ended.
 pub(super) enum MessageRead<M> {
     Received(M),
-    /// The other side has closed the connection.
+    /// The peer has closed the connection.
     EndOfStream,
-    /// The message was not complete in time. It has not even begun if the socket turned out to have
-    /// nothing to read.
+    /// The message was not complete in time. It may not even have begun: the socket may be reported
+    /// as readable and then have nothing to read.
     TimedOut,
 }
 
 /// Reads the next message of a connection.
 ///
-/// `begun` is when the message began; from then on it has to be complete within `time_limit`,
-/// however many bytes arrive in between. The caller keeps `begun`, as this future may be dropped
-/// and called again before the message is complete.
+/// `began_at` is the time at which the message began. The message must be complete within
+/// `time_limit` from then on, no matter how many bytes arrive in between. The caller keeps
+/// `began_at`, since it may drop this future and call the function again before the message is
+/// complete.
 pub(super) async fn read_message<C: Decoder<Error = io::Error>>(
     connection: &mut Framed<TcpStream, C>,
-    begun: &mut Option<Instant>,
+    began_at: &mut Option<Instant>,
     time_limit: Duration,
 ) -> io::Result<MessageRead<C::Item>> {
-    let since = match *begun {
+    let since = match *began_at {
         Some(since) => since,
         None => {
             if connection.read_buffer().is_empty() {
-                // The read that follows returns the same error, if there is one.
+                // An error is ignored here: the read that follows returns the same one.
                 let _ = connection.get_ref().readable().await;
             }
-            *begun.insert(Instant::now())
+            *began_at.insert(Instant::now())
         }
     };
     let Ok(next) = timeout_at(since + time_limit, connection.next()).await else {
         return Ok(MessageRead::TimedOut);
     };
-    *begun = None;
+    *began_at = None;
     Ok(next
         .transpose()?
         .map_or(MessageRead::EndOfStream, MessageRead::Received))
--- a/crates/core/src/net/running_frontend.rs
+++ b/crates/core/src/net/running_frontend.rs
@@ -1,17 +1,17 @@
-//! Reports to the engine which frontends may still hand over a request.
+//! Reports the start and the stop of each frontend to the engine.
 
 use super::shared::Shared;
 use crate::engine::Input;
 
-/// A frontend that accepts clients, or has accepted some whose requests it may still hand over. It
-/// has stopped once this is dropped; before that, the engine exits only at the exit deadline of
-/// `engine/shutdown.rs`.
+/// Guard for a frontend that accepts clients or may still hand over requests of clients it has
+/// accepted. Dropping the guard reports that the frontend has stopped. Until then, the engine exits
+/// only at the exit deadline of `engine/shutdown.rs`.
 pub(super) struct RunningFrontend {
     shared: Shared,
 }
 
 impl RunningFrontend {
-    /// Reports a frontend to the engine.
+    /// Reports the start of a frontend to the engine.
     pub(super) async fn start(shared: &Shared) -> RunningFrontend {
         let _ = shared.inputs.send(Input::FrontendStarted).await;
         RunningFrontend {
--- a/crates/core/src/net/shared.rs
+++ b/crates/core/src/net/shared.rs
@@ -1,4 +1,4 @@
-//! The state that the tasks of all connections share.
+//! State shared by the tasks of all connections.
 
 use super::buffer_pool::BufferPool;
 use super::client_registry::ClientRegistry;
@@ -9,30 +9,30 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// What a frontend does with connections. A graceful shutdown passes through the phases in this
-/// order; `engine/shutdown.rs` decides when each begins.
+/// How frontends treat connections. A graceful shutdown passes through the phases in this order;
+/// `engine/shutdown.rs` decides when each begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ServingPhase {
-    /// It accepts them, and keeps them open.
+    /// Connections are accepted and kept open.
     Running,
-    /// The drain period: it accepts them, and closes each after its response.
+    /// The drain period: connections are accepted, and each is closed after its response.
     Draining,
-    /// The drain period is over: it accepts no more, and closes those that are idle.
+    /// The drain period is over: no connections are accepted, and idle ones are closed.
     ListeningStopped,
 }
 
-/// The state that the tasks of all connections share. All clones refer to the same state.
+/// State shared by the tasks of all connections. All clones refer to the same state.
 #[derive(Clone)]
 pub(super) struct Shared {
     pub(super) clock: Clock,
     pub(super) buffers: BufferPool,
-    /// The engine's input queue.
+    /// Input queue of the engine.
     pub(super) inputs: mpsc::Sender<Input>,
     pub(super) clients: ClientRegistry,
-    /// The requests that were read and are not answered yet.
+    /// Count of the requests that were read and are not answered yet.
     pub(super) open_requests: OpenRequests,
     pub(super) names: Rc<NameTables>,
-    /// The phase that all frontends are in.
+    /// Current phase of all frontends.
     pub(super) phase: Rc<watch::Sender<ServingPhase>>,
 }
 
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Sends an input from where nothing can be awaited.
+    /// Sends an input from synchronous code, for example a destructor. If the input queue is full,
+    /// a spawned task waits for capacity.
     pub(super) fn send_detached(&self, input: Input) {
         if let Err(mpsc::error::TrySendError::Full(input)) = self.inputs.try_send(input) {
             let inputs = self.inputs.clone();
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Returns once no more connections are accepted.
+    /// Waits for [`ServingPhase::ListeningStopped`], in which no connections are accepted.
     pub(super) async fn listening_stopped(&self) {
         let mut phase = self.phase.subscribe();
         let _ = phase
--- a/crates/core/src/protocol/http/body.rs
+++ b/crates/core/src/protocol/http/body.rs
@@ -1,23 +1,23 @@
-//! How a body is framed, and how it is read piece by piece.
+//! Framing of message bodies, and an incremental reader for them.
 
 use super::MAX_HEAD_BYTES;
 use bytes::{Buf, BytesMut};
 
-/// The longest line with a chunk's size and extensions.
+/// Maximum length of the line with a chunk's size and extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 const LINE_END: &[u8] = b"\r\n";
 
-/// Reads a body piece by piece, so that a connection's buffer never holds more than a head. Each
-/// variant is what has to be read next.
+/// Incremental reader of a body, which keeps the buffer of a connection no larger than a head. Each
+/// variant states what has to be read next.
 #[derive(Debug, PartialEq)]
 pub(super) enum BodyReader {
-    /// The remaining bytes of a body with a length.
+    /// The remaining bytes of a body with a known length.
     Length(usize),
     /// The line with the size of a chunk.
     ChunkLine,
     /// The remaining bytes of a chunk.
     ChunkData(usize),
-    /// The line end after a chunk's data.
+    /// The line end after the data of a chunk.
     ChunkEnd,
     /// A trailer, or the empty line that ends the body.
     Trailer,
@@ -25,7 +25,7 @@
     Done,
 }
 
-/// Why a body is malformed. Each codec decides what follows from it.
+/// Why a body is invalid. Each codec converts this error to its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum BodyError {
     #[error("bad chunk")]
@@ -44,7 +44,7 @@
 }
 
 impl FramingError {
-    /// The reason as sent in the response.
+    /// Returns the reason that is sent in the response.
     pub(super) const fn reason(self) -> &'static str {
         match self {
             FramingError::InvalidLength => "bad length",
@@ -62,8 +62,8 @@
 }
 
 impl BodyReader {
-    /// A reader for the body that these header fields announce; none where they state neither a
-    /// length nor chunks.
+    /// Returns a reader for the body that the header fields announce, or `None` if they state
+    /// neither a length nor the chunked encoding.
     pub(super) fn from_headers(
         headers: &[httparse::Header],
     ) -> Result<Option<BodyReader>, FramingError> {
@@ -88,7 +88,8 @@
         Ok(reader)
     }
 
-    /// Moves what has arrived of the body from `src` to `body`, which may grow to `max_bytes`.
+    /// Moves the part of the body that has arrived from `src` to `body`, which may grow to
+    /// `max_bytes`.
     pub(super) fn read(
         &mut self,
         src: &mut BytesMut,
@@ -104,7 +105,8 @@
         Ok(BodyProgress::Complete)
     }
 
-    /// Reads what this variant stands for and returns what follows it; none while it is incomplete.
+    /// Reads the element that this variant stands for. Returns the variant that follows, or `None`
+    /// while the element is incomplete.
     fn read_step(
         &mut self,
         src: &mut BytesMut,
@@ -129,18 +131,18 @@
 }
 
 fn parse_length(value: &[u8]) -> Result<usize, FramingError> {
-    // Digits only: a sign or a list would allow request smuggling, where a proxy reads another
-    // length.
+    // Only digits are accepted. A sign or a list would allow request smuggling, where a proxy reads
+    // a different length.
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     let text = std::str::from_utf8(value)
         .ok()
         .filter(|_| is_number)
         .ok_or(FramingError::InvalidLength)?;
-    // A length that overflows is handled like any other that is too large.
+    // A length that overflows is handled like any other length that is too large.
     Ok(text.parse().unwrap_or(usize::MAX))
 }
 
-/// Moves up to `remaining` bytes, and subtracts those that were moved.
+/// Moves up to `remaining` bytes from `src` to `body`, and subtracts their number from `remaining`.
 fn move_data(
     src: &mut BytesMut,
     body: &mut BytesMut,
--- a/crates/core/src/protocol/http/head.rs
+++ b/crates/core/src/protocol/http/head.rs
@@ -1,50 +1,51 @@
-//! Requests, and how their heads are parsed.
+//! Requests, and the parser for their heads.
 
 use super::body::BodyReader;
 use super::{RequestError, MAX_BODY_BYTES, MAX_HEADERS, MAX_HEAD_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// One header field of a request.
+/// A header field of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeaderField {
-    /// The name, in lower case.
+    /// Name of the field, in lower case.
     pub name: String,
-    /// The value, without blanks around it.
+    /// Value of the field, without surrounding whitespace.
     pub value: String,
 }
 
-/// One complete request; the last byte of its body has been read.
+/// A complete request, whose body has been read to its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The method, in upper case.
+    /// Method as sent, for example `POST`.
     pub method: String,
-    /// The request target, with its query string.
+    /// Request target, including the query string.
     pub path: String,
-    /// The header fields.
+    /// Header fields, in the order sent.
     pub headers: Vec<HeaderField>,
-    /// The body; empty if there is none.
+    /// Body; empty if the request has none.
     pub body: Bytes,
-    /// The connection may serve another request after this one.
+    /// Whether the connection may serve another request after this one.
     pub keep_alive: bool,
 }
 
 impl Request {
-    /// The value of the first header field of this name, which is in lower case.
+    /// Returns the value of the first header field with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
 }
 
-/// A request whose body is still to be read.
+/// A request whose head has been parsed and whose body is still to be read.
 pub(super) struct RequestHead {
-    /// The request, with an empty body.
+    /// The request with an empty body.
     pub(super) request: Request,
-    /// Reads its body.
+    /// Reader for the body of the request.
     pub(super) body_reader: BodyReader,
 }
 
 impl RequestHead {
-    /// Takes a head from the front of `src`; none while it is incomplete.
+    /// Parses the head at the front of `src` and removes it from there. Returns `None` while the
+    /// head is incomplete.
     pub(super) fn parse(src: &mut BytesMut) -> Result<Option<RequestHead>, RequestError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -102,7 +103,8 @@
         .collect()
 }
 
-/// Whether the connection stays open: as the client requests, else by the version's default.
+/// Whether the connection stays open after the request: as the client asks, or by default as the
+/// HTTP version specifies.
 fn is_kept_alive(headers: &[HeaderField], minor_version: Option<u8>) -> bool {
     let connection = find_header(headers, "connection").map(str::to_ascii_lowercase);
     match connection.as_deref() {
--- a/crates/core/src/protocol/http/response.rs
+++ b/crates/core/src/protocol/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses, and how they are encoded.
+//! Responses and their encoding.
 
 use crate::api::Nanos;
 use bytes::BytesMut;
@@ -9,15 +9,15 @@
 /// A response with a JSON body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
-    /// The status code.
+    /// Status code, for example 200.
     pub status: u16,
-    /// When the client may retry.
+    /// Time after which the client may retry, in nanoseconds.
     pub retry_after: Option<Nanos>,
-    /// The method that is allowed on this path.
+    /// Method that is allowed on the requested path, for responses with status 405.
     pub allow: Option<&'static str>,
-    /// The body.
+    /// Body, in JSON.
     pub body: Vec<u8>,
-    /// The connection closes after this response.
+    /// Whether the connection closes after this response.
     pub close: bool,
 }
 
@@ -31,7 +31,7 @@
             self.body.len()
         );
         if let Some(retry_after) = self.retry_after {
-            // Rounded up to milliseconds: the client must not retry before its time.
+            // Rounded up to milliseconds, so that the client does not retry too early.
             let millis = retry_after.div_ceil(NANOS_PER_MILLI);
             let seconds = millis as f64 / MILLIS_PER_SECOND;
             head += &format!("Retry-After: {seconds:.3}\r\n");
--- a/crates/core/src/protocol/http/server.rs
+++ b/crates/core/src/protocol/http/server.rs
@@ -1,4 +1,4 @@
-//! The server's side of a connection: decodes requests and encodes responses.
+//! Server codec, which decodes requests and encodes responses.
 
 use super::body::{BodyError, BodyProgress};
 use super::head::RequestHead;
@@ -7,8 +7,8 @@
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The server's side of one connection. After an invalid request it discards all that follows, as
-/// the start of the next request is unknown.
+/// Codec for the server side of one connection. After an invalid request it discards all further
+/// input, since the start of the next request is unknown.
 #[derive(Default)]
 pub struct ServerCodec {
     head: Option<RequestHead>,
@@ -17,12 +17,12 @@
 }
 
 impl ServerCodec {
-    /// Whether the head of a request has been read and its body is not complete.
+    /// Whether the head of a request has been read while its body is still incomplete.
     pub fn in_request(&self) -> bool {
         self.head.is_some()
     }
 
-    /// Stops reading requests: what is left of the current one and all that follows is discarded.
+    /// Discards the rest of the current request and all further input.
     pub fn discard_input(&mut self) {
         self.discards_input = true;
     }
@@ -66,7 +66,8 @@
         Ok(item)
     }
 
-    /// A client may disconnect in the middle of a request, which is no error here.
+    /// Discards an incomplete request: a client may disconnect in the middle of one, which is not
+    /// an error.
     fn decode_eof(&mut self, src: &mut BytesMut) -> io::Result<Option<Self::Item>> {
         let item = self.decode(src)?;
         if item.is_none() {
--- a/crates/core/src/protocol/http/watch.rs
+++ b/crates/core/src/protocol/http/watch.rs
@@ -1,5 +1,5 @@
-//! The client's side of a watch on discovery: one request, and a body of messages that goes on
-//! until the watch ends.
+//! Client codec for a watch on the discovery agent: one request, and a response whose body carries
+//! messages until the watch ends.
 
 use super::body::{BodyProgress, BodyReader};
 use super::watch_scanner::{MessageScanner, ScanEvent};
@@ -8,31 +8,31 @@
 use std::io::{self, ErrorKind};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest message of a watch: the complete list of some thousand leaf servers, indented.
+/// Maximum length of a message, enough for the indented list of a few thousand leaf servers.
 const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
 
-/// The request that starts a watch.
+/// Request that starts a watch.
 pub struct WatchRequest {
-    /// The discovery agent's address.
+    /// Address of the discovery agent.
     pub host: String,
-    /// The version of the list to continue from.
+    /// Version of the list to continue from.
     pub from: u64,
 }
 
-/// The client's side of one watch.
+/// Codec for the client side of one watch.
 #[derive(Default)]
 pub struct WatchCodec {
-    /// Present once the head of the response has been read.
+    /// `None` until the head of the response has been read.
     body_reader: Option<BodyReader>,
-    /// What has arrived of the body and belongs to no message yet.
+    /// Part of the body that has arrived and was not returned as a message yet.
     text: BytesMut,
     scanner: MessageScanner,
-    /// A message has ended on the current line.
+    /// Whether a message has ended on the current line.
     after_message: bool,
 }
 
 impl WatchCodec {
-    /// Whether the head of the response has arrived.
+    /// Whether the head of the response has been read.
     pub fn has_begun(&self) -> bool {
         self.body_reader.is_some()
     }
@@ -55,7 +55,8 @@
         }
     }
 
-    /// The next message in the text that has arrived.
+    /// Returns the next message in the text that has arrived. A line that ends within a message
+    /// counts as an empty message.
     fn next_message(&mut self) -> Option<Bytes> {
         while let Some(event) = self.scanner.scan(&self.text) {
             if event == ScanEvent::LineWithinMessage {
@@ -65,7 +66,7 @@
             let text = self.text.split_to(end).freeze();
             let was_after_message =
                 std::mem::replace(&mut self.after_message, event == ScanEvent::MessageEnd);
-            // The blanks between a message and the end of its line are no message of their own.
+            // Whitespace between a message and the end of its line is not a message.
             if !was_after_message || !text.trim_ascii().is_empty() {
                 return Some(text);
             }
@@ -86,7 +87,7 @@
 }
 
 impl Decoder for WatchCodec {
-    /// One message, however many lines it has; an empty one is the agent's heartbeat.
+    /// A message of one or more lines. An empty message is a heartbeat of the discovery agent.
     type Item = Bytes;
     type Error = io::Error;
 
--- a/crates/core/src/protocol/http/watch_scanner.rs
+++ b/crates/core/src/protocol/http/watch_scanner.rs
@@ -1,7 +1,7 @@
-//! Finds the ends of the messages of a watch.
+//! Finds the ends of messages in the response to a watch.
 
-/// The state of the search for the end of a message, which is where its outermost bracket closes,
-/// however many lines it has.
+/// Incremental search for the end of a message. A message may have several lines and ends where its
+/// outermost bracket closes.
 #[derive(Default)]
 pub(super) struct MessageScanner {
     position: usize,
@@ -10,7 +10,7 @@
     escaped: bool,
 }
 
-/// What the scanner has found.
+/// What [`MessageScanner::scan`] has found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScanEvent {
     /// The outermost bracket has closed.
@@ -22,12 +22,13 @@
 }
 
 impl MessageScanner {
-    /// The number of bytes that have been scanned.
+    /// Returns the number of bytes scanned so far.
     pub(super) fn position(&self) -> usize {
         self.position
     }
 
-    /// Continues to the end of a message or of a line; none if `text` holds neither.
+    /// Continues the search up to the next end of a message or line. Returns `None` if the rest of
+    /// `text` has neither.
     pub(super) fn scan(&mut self, text: &[u8]) -> Option<ScanEvent> {
         while let Some(byte) = text.get(self.position) {
             self.position += 1;
--- a/crates/core/src/protocol/leaf/codec.rs
+++ b/crates/core/src/protocol/leaf/codec.rs
@@ -5,11 +5,11 @@
 use std::io::{self, ErrorKind};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes of the length that begins each frame; it counts the kind and the payload.
+/// Number of bytes of the length prefix of a frame. The length counts the kind and the payload.
 const LENGTH_BYTES: usize = 4;
-/// The longest part result: its status line, and a value that still fits a body to a client.
+/// Maximum length of a part result: the status line, and a value that fits into a body to a client.
 const MAX_PART_RESULT_BYTES: usize = 64 * 1024 + 512;
-/// The longest frame of any other kind.
+/// Maximum length of a frame of any other kind.
 const MAX_STATUS_BYTES: usize = 1024;
 
 const CALL: u8 = b'Q';
@@ -19,18 +19,17 @@
 const PART_RESULT: u8 = b'A';
 const PROTOCOL_ERROR: u8 = b'E';
 
-/// The aggregator's side of a connection to a leaf server. After a malformed frame it discards
-/// all that follows, as the start of the next frame is unknown.
+/// Codec for the aggregator's side of a connection to a leaf server. After a malformed frame it
+/// discards all further input, since the start of the next frame is unknown.
 #[derive(Default)]
 pub struct LeafCodec {
-    is_broken: bool,
+    is_out_of_sync: bool,
 }
 
 impl LeafCodec {
-    /// Ends the frame whose beginning is in `received` and whose rest does not arrive. It counts as
-    /// malformed.
-    pub fn cut_short(&mut self, received: &[u8]) -> LeafResponse {
-        self.is_broken = true;
+    /// Ends a frame of which only the bytes in `received` have arrived. Returns it as malformed.
+    pub fn end_truncated_frame(&mut self, received: &[u8]) -> LeafResponse {
+        self.is_out_of_sync = true;
         malformed(received.get(LENGTH_BYTES..).unwrap_or_default())
     }
 }
@@ -40,7 +39,7 @@
 
     fn encode(&mut self, frame: LeafRequest, dst: &mut BytesMut) -> io::Result<()> {
         let start = dst.len();
-        // The length is filled in once the payload has been written.
+        // Placeholder for the length, which is filled in once the payload has been written.
         dst.put_u32(0);
         match frame {
             LeafRequest::Call(parts) => {
@@ -77,7 +76,7 @@
     type Error = io::Error;
 
     fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<LeafResponse>> {
-        if self.is_broken {
+        if self.is_out_of_sync {
             src.clear();
             return Ok(None);
         }
@@ -85,9 +84,10 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(*header) as usize;
-        // Checked before the rest has arrived: with an invalid length, the rest never arrives.
+        // Checked before the rest of the frame has arrived, because the rest of a frame with an
+        // invalid length never arrives.
         if !is_valid_length(src.get(LENGTH_BYTES).copied(), length) {
-            self.is_broken = true;
+            self.is_out_of_sync = true;
             return Ok(Some(malformed(&src.split()[LENGTH_BYTES..])));
         }
         if src.len() < LENGTH_BYTES + length {
@@ -97,12 +97,12 @@
         let body = Bytes::copy_from_slice(&src[..length]);
         src.advance(length);
         let frame = decode_body(&body);
-        self.is_broken = matches!(frame, LeafResponse::Malformed(_));
+        self.is_out_of_sync = matches!(frame, LeafResponse::Malformed(_));
         Ok(Some(frame))
     }
 }
 
-/// Whether a frame of this kind can have this length; the kind may not have arrived yet.
+/// Whether a frame of this kind may have this length. `kind` is `None` if it has not arrived yet.
 fn is_valid_length(kind: Option<u8>, length: usize) -> bool {
     match kind {
         None => (1..=MAX_PART_RESULT_BYTES).contains(&length),
@@ -114,7 +114,7 @@
     }
 }
 
-/// Decodes a complete frame without its length; its kind has been checked.
+/// Decodes a complete frame without its length prefix. The caller has checked the kind.
 fn decode_body(body: &Bytes) -> LeafResponse {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().to_string();
     match body[0] {
@@ -130,8 +130,8 @@
     }
 }
 
-/// Decodes a part's result, `id status score report`, a line feed and the value; none if any of it
-/// is malformed. A load report that can't be read counts as none.
+/// Decodes a part result: `id status score report`, a line feed and the value. Returns `None` if it
+/// is malformed. A malformed load report counts as no report.
 fn decode_part_result(payload: Bytes) -> Option<LeafResponse> {
     let line_end = payload.iter().position(|byte| *byte == b'\n')?;
     let line = std::str::from_utf8(&payload[..line_end]).ok()?;
@@ -145,7 +145,7 @@
         return None;
     }
     let status = match status_field {
-        // A client gets the value inside JSON: a value that is not UTF-8 would not reach it
+        // The value is sent to the client within JSON, which cannot carry a value that is not UTF-8
         // unchanged.
         "ok" if !value.is_empty() && std::str::from_utf8(&value).is_ok() => PartStatus::Ok,
         "err" => PartStatus::Error,
@@ -160,8 +160,8 @@
     })
 }
 
-/// Describes a frame that can't be decoded, from its kind on. Its id counts only if the blank that
-/// ends it has arrived.
+/// Returns the response for a frame that cannot be decoded. `body` is what has arrived of the frame
+/// after its length. The part's id counts only if the blank that ends it has arrived.
 fn malformed(body: &[u8]) -> LeafResponse {
     let payload = body.strip_prefix(&[PART_RESULT]).unwrap_or_default();
     let id = payload
--- a/crates/core/src/protocol/leaf/messages.rs
+++ b/crates/core/src/protocol/leaf/messages.rs
@@ -1,18 +1,18 @@
-//! The messages that are exchanged with a leaf server.
+//! Messages that are exchanged with a leaf server.
 
 use bytes::Bytes;
 use std::rc::Rc;
 
-/// One part of a query within a call.
+/// A part of a query within a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallPart {
-    /// Identifies the part at the leaf server.
+    /// Id of the part at the leaf server.
     pub id: Rc<str>,
-    /// The shard to search.
+    /// Number of the shard to search.
     pub shard: u32,
-    /// How long the aggregator waits for the result, in milliseconds.
+    /// Time that the aggregator waits for the result, in milliseconds.
     pub wait_ms: u64,
-    /// The query's text.
+    /// Text of the query.
     pub text: Bytes,
 }
 
@@ -29,7 +29,7 @@
     LoadReport,
 }
 
-/// How a part ended, as the leaf server states it.
+/// Outcome of a part as reported by the leaf server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartStatus {
     /// `ok`: the part has a value.
@@ -40,30 +40,30 @@
     Busy,
 }
 
-/// A frame from a leaf server, which may be one that could not be decoded.
+/// A frame from a leaf server, including one that could not be decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeafResponse {
     /// A part has ended.
     PartResult {
-        /// The part's id, as given in the call.
+        /// Id of the part, as given in the call.
         id: String,
-        /// How the part ended.
+        /// Outcome of the part.
         status: PartStatus,
-        /// The load report that was sent with it; one that is not readable counts as none.
+        /// Load report sent with the result; a malformed one counts as no report.
         report: String,
-        /// The result, empty unless the status is [`PartStatus::Ok`].
+        /// Value of the part, which is used only with [`PartStatus::Ok`].
         value: Bytes,
     },
     /// The answer to a health check or to a request for a load report.
     HealthCheckResult {
-        /// The leaf server reports that it is healthy.
+        /// Whether the leaf server reports that it is healthy.
         ok: bool,
-        /// The load report.
+        /// Load report sent with the answer; a malformed one counts as no report.
         report: String,
     },
     /// The leaf server could not decode the previous frame and closes the connection.
     ProtocolError(String),
-    /// A frame that could not be decoded, with the id of its part if that was readable. The start
-    /// of the next frame is unknown, so the connection is unusable.
+    /// A frame that could not be decoded, with the id of its part if that arrived completely. The
+    /// start of the next frame is unknown, so the connection is unusable.
     Malformed(Option<String>),
 }
--- a/crates/core/src/protocol/leaf/mod.rs
+++ b/crates/core/src/protocol/leaf/mod.rs
@@ -1,5 +1,5 @@
-//! The protocol between an aggregator and a leaf server: frames that consist of a length, a letter
-//! for the frame's kind, and a payload.
+//! The protocol between an aggregator and a leaf server. Each frame consists of a length, a letter
+//! for its kind, and a payload.
 
 mod codec;
 mod messages;
--- a/crates/core/src/protocol/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -1,6 +1,7 @@
-//! Messages and their codecs; no sockets, and no state beyond the message that is being decoded.
-//! All input from other processes is validated here, so the engine can act on every message that it
-//! gets.
+//! Messages and their codecs.
+//!
+//! The codecs use no sockets and keep no state beyond the message that is being decoded. They
+//! validate all input from other processes, so the engine can rely on every message it receives.
 
 pub mod discovery;
 pub mod http;
--- a/crates/core/src/protocol/query/mod.rs
+++ b/crates/core/src/protocol/query/mod.rs
@@ -1,6 +1,7 @@
-//! Queries as clients send them over HTTP, and the replies. The native protocol is implemented only
-//! here: a frontend for another protocol makes the same [`QueryRequest`] from its own requests and
-//! renders the same [`QueryReply`].
+//! Queries of clients and the replies to them.
+//!
+//! Only this module implements the native protocol, over HTTP. A frontend for another protocol
+//! converts its own requests to [`QueryRequest`]s and renders [`QueryReply`]s in its own format.
 
 mod reply;
 mod request;
@@ -13,99 +14,99 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-/// The names by which requests refer to classes and tenants, and the bounds of a query.
+/// Names by which requests refer to classes and tenants, and the limits of a query.
 #[derive(Clone, Debug, Default)]
 pub struct NameTables {
-    /// The names of the query classes, by number.
+    /// Names of the query classes, indexed by class number.
     pub classes: Vec<String>,
-    /// The names of the tenants, by number; empty if requests name none.
+    /// Names of the tenants, indexed by tenant number; empty if requests do not name tenants.
     pub tenants: Vec<String>,
-    /// For each class, the client timeout where the request states none.
+    /// For each class, the client timeout of requests that state none, in nanoseconds.
     pub deadlines: Vec<Nanos>,
-    /// For each class, the minimum share of the weight that an answer must cover.
+    /// For each class, the minimum share of the weight that an answer must cover, from 0 to 1.
     pub minimum_coverages: Vec<f64>,
-    /// The number of shards.
+    /// Number of shards; shards are numbered from 0.
     pub shards: u32,
 }
 
-/// One shard's part of a query.
+/// The part of a query that one shard answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryPart {
-    /// The shard to search.
+    /// Number of the shard to search.
     pub shard: u32,
-    /// The part's share of the answer; the weights of a query add up to 1.
+    /// Share of the part in the answer. The weights of a query add up to 1.
     pub weight: f64,
-    /// The expected work, if the client states it.
+    /// Expected work in nanoseconds, if the client states it.
     pub work: Option<Nanos>,
 }
 
-/// One query, whatever protocol it was received by.
+/// A query, independent of the protocol over which it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
-    /// The client's id for it; the ids of its parts begin with it.
+    /// Id given by the client. The ids of the parts begin with it.
     pub name: String,
-    /// The query class, by number.
+    /// Number of the query class.
     pub class: u16,
-    /// The tenant, by number.
+    /// Number of the tenant; 0 if no tenants are configured.
     pub tenant: u32,
-    /// How long the client waits, from the arrival of the query.
+    /// Time that the client waits, from the arrival of the query, in nanoseconds.
     pub timeout: Nanos,
-    /// The client marked it as a retry.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// The client's idempotency key, the same on each of its attempts.
+    /// Idempotency key of the client, the same on each of its attempts.
     pub idempotency_key: Option<String>,
-    /// The parts, each shard at most once.
+    /// Parts of the query, at most one per shard.
     pub parts: Vec<QueryPart>,
-    /// The text that each leaf server gets.
+    /// Query text that is sent to each leaf server.
     pub text: Bytes,
 }
 
-/// The request of a client.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientRequest {
-    /// A query that is to be answered.
+    /// A query to answer.
     Query(QueryRequest),
-    /// The readiness check: whether this aggregator is ready to take queries.
+    /// Readiness check: asks whether this aggregator is ready to accept queries.
     Ready,
-    /// The request for the counters.
+    /// Request for the counters.
     Stats,
 }
 
-/// One part's result within an answer.
+/// Result of one part within an answer.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QueryHit {
-    /// The shard it is from.
+    /// Number of the shard that returned the result.
     pub shard: u32,
-    /// The value that the leaf server returned.
+    /// Value that the leaf server returned.
     pub doc: String,
 }
 
-/// The reply to a client's request.
+/// Reply to a request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryReply {
     /// The query was answered.
     Answer {
-        /// The answer reaches the completeness threshold of its class.
+        /// Whether the answer reaches the completeness threshold of its class.
         complete: bool,
-        /// The results of the parts.
+        /// Results of the parts that the answer covers.
         hits: Vec<QueryHit>,
     },
-    /// The query was rejected: a retry by the client does no harm.
+    /// The query was rejected, and a retry by the client does no harm.
     Rejected {
-        /// How long the client should wait before it retries.
+        /// Time that the client should wait before a retry, in nanoseconds.
         retry_after: Option<Nanos>,
     },
     /// The query was not answered in time.
     Failed,
     /// Whether this aggregator is ready.
     Ready(bool),
-    /// The counters, as JSON.
+    /// The counters in JSON.
     Stats(Vec<u8>),
     /// The request was invalid.
     InvalidRequest(RequestError),
 }
 
 impl QueryReply {
-    /// The reply to a query that arrives after the engine has exited.
+    /// Reply to a query that arrives after the engine has exited.
     pub const REJECTED_AT_EXIT: QueryReply = QueryReply::Rejected { retry_after: None };
 }
--- a/crates/core/src/protocol/query/reply.rs
+++ b/crates/core/src/protocol/query/reply.rs
@@ -10,7 +10,7 @@
     hits: &'a [QueryHit],
 }
 
-/// Renders a reply after which the connection stays open.
+/// Renders a reply as a response that leaves the connection open.
 pub fn render_reply(reply: &QueryReply) -> Response {
     let response = |status: u16, body: Vec<u8>| Response {
         status,
--- a/crates/core/src/protocol/query/request.rs
+++ b/crates/core/src/protocol/query/request.rs
@@ -7,13 +7,14 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-/// The longest `X-Request-ID`.
+/// Maximum length of `X-Request-ID`.
 const MAX_REQUEST_ID_BYTES: usize = 128;
-/// The longest `Idempotency-Key`.
+/// Maximum length of `Idempotency-Key`.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
-/// How far the sum of a query's weights may differ from 1, since each weight is rounded.
+/// Maximum difference between 1 and the sum of a query's weights, each of which is rounded.
 const WEIGHT_TOLERANCE: f64 = 0.01;
-/// An hour, which is longer than any deadline or work; more would only overflow sums of times.
+/// One hour, which is longer than any client timeout or work. Larger values could overflow sums of
+/// times.
 const MAX_DURATION_NS: f64 = 3.6e12;
 const NANOS_PER_MILLI: f64 = 1e6;
 const NANOS_PER_MICRO: f64 = 1e3;
@@ -28,15 +29,15 @@
 struct ShardEntry {
     shard: u32,
     weight: f64,
-    /// Microseconds.
+    /// Expected work, in microseconds.
     cost: Option<f64>,
 }
 
-/// Parses the request of a client.
+/// Parses a request of a client.
 ///
 /// # Errors
 ///
-/// The request is invalid; the error has the status of its response.
+/// Returns an error with the status of the response if the request is invalid.
 pub fn parse_request(request: &Request, names: &NameTables) -> Result<ClientRequest, RequestError> {
     let path = request.path.split(['?', '#']).next().unwrap_or_default();
     match path {
@@ -60,7 +61,7 @@
     })
 }
 
-/// The class that the first segment of the path names.
+/// Returns the number of the class that the first segment of the path names.
 fn parse_class(path: &str, names: &NameTables) -> Result<usize, RequestError> {
     let segment = path
         .strip_prefix('/')
@@ -102,8 +103,8 @@
     let name = request
         .header("x-request-id")
         .ok_or(RequestError::bad_request("X-Request-ID is missing"))?;
-    // The id is sent to leaf servers as part of a line: with a blank or a control character, a
-    // client could forge fields or lines.
+    // The id is part of a line that is sent to leaf servers. With a blank or a control character in
+    // it, a client could forge fields or lines.
     let is_plain = name.bytes().all(|byte| byte.is_ascii_graphic());
     if name.is_empty() || name.len() > MAX_REQUEST_ID_BYTES || !is_plain {
         return Err(RequestError::bad_request(
@@ -126,7 +127,7 @@
     }
 }
 
-/// The tenant's number; 0 where no tenants are configured.
+/// Returns the number of the tenant, or 0 if no tenants are configured.
 fn parse_tenant(request: &Request, names: &NameTables) -> Result<usize, RequestError> {
     if names.tenants.is_empty() {
         return Ok(0);
@@ -148,7 +149,7 @@
     }
 }
 
-/// Parses the parts, each shard once: a second part of one shard would have the same id at the leaf
+/// Parses the parts. No two may name the same shard, since they would have the same id at the leaf
 /// server.
 fn parse_parts(entries: Vec<ShardEntry>, shards: u32) -> Result<Vec<QueryPart>, RequestError> {
     if entries.is_empty() {
@@ -187,7 +188,7 @@
     })
 }
 
-/// A number followed by `m` (milliseconds) or `u` (microseconds).
+/// Parses a number followed by `m` (milliseconds) or `u` (microseconds) to nanoseconds.
 fn parse_duration(text: &str) -> Option<Nanos> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let nanos_per_unit = match unit {
@@ -195,7 +196,8 @@
         "u" => NANOS_PER_MICRO,
         _ => return None,
     };
-    // Digits and a point only: a sign, an exponent or `nan` would parse, but is a mistake.
+    // Only digits and a point are accepted. `f64` would also parse a sign, an exponent or `nan`,
+    // which are mistakes here.
     let is_plain = number
         .bytes()
         .all(|byte| byte.is_ascii_digit() || byte == b'.');
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file and its settings.
+//! Configuration file of the platform, and the settings in it.
 
 use aggregator_core::config::Config;
 
@@ -15,21 +15,27 @@
             "seed": "8c1f30d27a5be964", "settings": settings});
         Config::parse(&file.to_string())
     };
-    let read = config(&settings).unwrap();
+    let parsed = config(&settings).unwrap();
     assert_eq!(
         (
-            read.aggregator_settings.zones.len(),
-            read.aggregator_settings.classes[0].as_str()
+            parsed.aggregator_settings.zones.len(),
+            parsed.aggregator_settings.classes[0].as_str()
         ),
         (2, "a_b")
     );
     assert_eq!(
-        (read.policy_settings.classes[0].minimum_coverage, read.seed),
+        (
+            parsed.policy_settings.classes[0].minimum_coverage,
+            parsed.seed
+        ),
         (0.6, 0x8c1f_30d2_7a5b_e964)
     );
-    let mut broken = settings.clone();
-    broken["tick_ns"] = 0.into();
-    assert!(config(&broken).unwrap_err().to_string().contains("tick_ns"));
-    broken["extra"]["second_step"][0] = 3.into();
-    assert!(config(&broken).is_err());
+    let mut invalid = settings.clone();
+    invalid["tick_ns"] = 0.into();
+    assert!(config(&invalid)
+        .unwrap_err()
+        .to_string()
+        .contains("tick_ns"));
+    invalid["extra"]["second_step"][0] = 3.into();
+    assert!(config(&invalid).is_err());
 }
--- a/crates/core/tests/crossing_events.rs
+++ b/crates/core/tests/crossing_events.rs
@@ -1,6 +1,6 @@
-//! Events that cross on loopback sockets: a client that disconnects, a connection that is shut down
-//! while bytes are on their way, a shutdown between two requests. The test acts as every other
-//! process, so each crossing is forced.
+//! Events that cross each other on loopback sockets: a client that disconnects, a connection that
+//! is closed while bytes are in transit, a shutdown between two requests. The test acts as all
+//! other processes, so it controls the order of events.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Duration, Instant};
 
-/// All frames to a leaf server from now on, until none has arrived for a while.
+/// Returns all further frames to a leaf server, until none has arrived for 20 s.
 async fn remaining_frames(leaf: &mut LeafServerConnection) -> Vec<String> {
     let mut frames = Vec::new();
     while let Ok(Some(frame)) = timeout(Duration::from_secs(20), leaf.next_frame()).await {
@@ -18,8 +18,8 @@
     frames
 }
 
-/// Disconnects a client whose first query is in flight, and expects that only this query is
-/// cancelled at the leaf server, by this frame, and that its other queries are not forwarded.
+/// Disconnects a client whose first query is in flight. Expects that the leaf server gets
+/// `cancel_frame` for this query, and that the client's other queries are not forwarded.
 async fn expect_cancelled_at_disconnect(
     client: TcpStream,
     leaf: &mut LeafServerConnection,
@@ -33,13 +33,13 @@
     );
     assert!(
         disconnected.elapsed() < Duration::from_millis(100),
-        "{:?}",
+        "the query was cancelled after {:?}, expected less than 100 ms",
         disconnected.elapsed()
     );
     assert_eq!(
         remaining_frames(leaf).await,
         [""; 0],
-        "no client waits for the others"
+        "expected no frames for the other queries of the client"
     );
 }
 
@@ -105,14 +105,17 @@
                 wait_ms,
             } = leaf.next_call().await;
             assert_eq!(second, "b2.3");
-            assert!(wait_ms <= 1200, "{wait_ms} ms stated, 1200 left");
+            assert!(
+                wait_ms <= 1200,
+                "call states {wait_ms} ms, expected at most 1200 ms"
+            );
             leaf.send_result(&second).await;
             assert!(read_response(&mut client).await.body.contains("b2.3"));
         });
     }
 }
 
-/// Connections that the aggregator closes while it runs.
+/// Connections that the aggregator closes while it is running.
 mod connection_close {
     use super::remaining_frames;
     use crate::support::engine_harness::SETTINGS;
@@ -145,13 +148,13 @@
                 head.contains("Connection: close") && body.contains("c1.3"),
                 "{head}{body}"
             );
-            // More arrives while the aggregator is about to close.
+            // More requests arrive while the aggregator is about to close the connection.
             client.write_all(pipelined.as_bytes()).await.unwrap();
             expect_clean_close(&mut client).await;
             assert_eq!(
                 remaining_frames(&mut leaf).await,
                 [""; 0],
-                "what follows a last request is not served"
+                "expected requests after the last one not to be forwarded"
             );
         });
     }
@@ -162,7 +165,7 @@
             let mut silent = connect_client(harness.aggregator).await;
             let end = timeout(Duration::from_millis(2_500), silent.read(&mut [0]))
                 .await
-                .expect("closed");
+                .expect("the connection should be closed in time");
             assert_eq!(end.map_err(|e: io::Error| e.kind()), Ok(0));
         });
     }
@@ -196,7 +199,7 @@
             assert_eq!(
                 remaining_frames(&mut leaf).await,
                 [""; 0],
-                "nothing is forwarded after the shutdown"
+                "expected no frames after the shutdown"
             );
         });
     }
@@ -213,12 +216,12 @@
             sleep(Duration::from_millis(1000)).await;
             assert!(
                 TcpStream::connect(harness.aggregator).await.is_err(),
-                "no new connections"
+                "expected new connections to be refused"
             );
             leaf.send_result(&first).await;
             assert!(read_response(&mut client).await.body.contains("e1.3"));
             let second = leaf.next_call().await.id;
-            // Read after the shutdown has begun.
+            // This request is read after the shutdown has begun.
             send_query(&mut client, "e3").await;
             leaf.send_result(&second).await;
             let HttpResponse { head, body } = read_response(&mut client).await;
@@ -242,14 +245,15 @@
             sleep(Duration::from_millis(10)).await;
             let signalled = Instant::now();
             harness.request_shutdown().await;
-            // Neither client ever closes its side.
+            // Neither client closes its side of the connection.
             let HttpResponse { head, .. } = read_response(&mut client).await;
             assert!(head.starts_with("HTTP/1.1 50"), "{head}");
             harness.expect_exit().await;
-            // The longest deadline is 6 s, which counts as 3 s, and a kill may follow 0.7 s later.
+            // The longest client deadline is 6 s, which counts as 3 s. The kill may follow 0.7 s
+            // after that.
             assert!(
                 signalled.elapsed() < Duration::from_millis(3_700),
-                "{:?}",
+                "the process exited after {:?}, expected less than 3.7 s",
                 signalled.elapsed()
             );
             expect_clean_close(&mut client).await;
@@ -262,7 +266,7 @@
         let settings = SETTINGS
             .replace("open_cap=60", "open_cap=600")
             .replace("streams_per_conn=4", "streams_per_conn=99");
-        // Capacity for 18 clients and 16 more that are being closed.
+        // 40 descriptors give capacity for 18 clients and 16 more that are being closed.
         run_scenario(&settings, 40, |harness| async move {
             let mut clients = Vec::new();
             for n in 0..40 {
@@ -280,8 +284,8 @@
                 leaf.serve().await
             });
             for client in &mut clients {
-                // The last response may be a rejection, as the queries before it have waited long.
-                // A reset is no response.
+                // The last responses may be rejections, since their queries have waited long. A
+                // reset is not a response.
                 let HttpResponse { head, .. } = read_response(client).await;
                 assert!(
                     head.starts_with("HTTP/1.1 200") || head.starts_with("HTTP/1.1 503"),
@@ -295,7 +299,7 @@
     }
 }
 
-/// Clients up to the capacity of the aggregator.
+/// Clients at the capacity limit of the aggregator.
 mod capacity {
     use crate::support::engine_harness::SETTINGS;
     use crate::support::socket_harness::client::{
@@ -306,7 +310,7 @@
 
     #[test]
     fn idle_clients_block_neither_a_late_watch_nor_a_new_client() {
-        // Capacity for 45 clients.
+        // 100 descriptors give capacity for 45 clients.
         run_scenario(SETTINGS, 100, |harness| async move {
             drop(harness.discovery.accept().await.unwrap());
             let (first, leaf) = served_client(&harness, "j-first").await;
--- a/crates/core/tests/endpoint_watch.rs
+++ b/crates/core/tests/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list on loopback sockets: snapshots in any layout, watches that are
+//! Watches on the endpoint list, over loopback sockets: layouts of snapshots, watches that are
 //! silent or end, and reloads.
 
 mod support;
@@ -7,10 +7,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::Duration;
 
-/// Where discovery can be reached, a change is known this long after it at the latest.
+/// Maximum time until the aggregator knows of a change while discovery can be reached.
 const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 
-/// Whether a query is rejected for want of leaf servers, which shows that an empty list was
+/// Returns whether a query is rejected for lack of leaf servers, which shows that an empty list was
 /// applied.
 async fn is_rejected(aggregator: std::net::SocketAddr) -> bool {
     let mut client = connect_client(aggregator).await;
@@ -23,7 +23,7 @@
         .starts_with("HTTP/1.1 503")
 }
 
-/// Snapshots in any layout, complete or not.
+/// Snapshots in different layouts, complete and truncated.
 mod snapshot_format {
     use super::is_rejected;
     use crate::support::engine_harness::SETTINGS;
@@ -48,7 +48,10 @@
             drop(watch);
             let again = WatchConnection::accept(&harness.discovery).await;
             assert!(again.request.contains("from=9 "), "{}", again.request);
-            assert!(is_rejected(harness.aggregator).await, "the list is empty");
+            assert!(
+                is_rejected(harness.aggregator).await,
+                "expected a rejected query after an empty list"
+            );
         });
     }
 
@@ -56,7 +59,8 @@
     fn truncated_snapshot_that_ends_in_a_reset_is_not_applied() {
         run_scenario(SETTINGS, 100, |harness| async move {
             let mut watch = WatchConnection::accept(&harness.discovery).await;
-            // Neither a length nor chunks: only the end of the connection ends the body.
+            // The response states neither a length nor chunks, so only the end of the connection
+            // ends the body.
             watch
                 .stream
                 .write_all(b"HTTP/1.1 200 OK\r\n\r\n")
@@ -79,13 +83,13 @@
             assert_eq!(
                 leaf.next_call().await.id,
                 "still.3",
-                "the leaf server on the previous list is still used"
+                "expected a call to the leaf server on the previous list"
             );
         });
     }
 }
 
-/// When a watch is replaced by the next one.
+/// Replacement of a watch by the next one.
 mod replacement {
     use super::{is_rejected, UPDATE_DEADLINE};
     use crate::support::engine_harness::SETTINGS;
@@ -101,44 +105,52 @@
             silent.send_head().await;
             silent.send_chunk("\n").await;
             let since = Instant::now();
-            // The agent sends nothing to the next watch either.
+            // The discovery agent does not answer the next watch either.
             let unanswered = WatchConnection::accept(&harness.discovery).await;
             let mut third = WatchConnection::accept(&harness.discovery).await;
             third.send_head().await;
             third.send_chunk(&format!("{}\n", snapshot(9, &[]))).await;
-            assert!(since.elapsed() < UPDATE_DEADLINE, "{:?}", since.elapsed());
-            assert!(is_rejected(harness.aggregator).await);
+            assert!(
+                since.elapsed() < UPDATE_DEADLINE,
+                "the update arrived after {:?}, expected less than {UPDATE_DEADLINE:?}",
+                since.elapsed()
+            );
+            assert!(
+                is_rejected(harness.aggregator).await,
+                "expected a rejected query after an empty list"
+            );
             drop((silent, unanswered, third));
         });
     }
 
-    /// An update counts as known once it is pushed, and a drain has to be obeyed 2 s later: however
-    /// long discovery was down, the next watch may not start later than that.
+    /// An update counts as known once discovery sends it, and a draining leaf server must get no
+    /// new work 2 s later. However long discovery was down, the next watch has to start within that
+    /// time.
     #[test]
     fn backoff_stays_short_however_often_watches_fail() {
         run_scenario(SETTINGS, 100, |harness| async move {
-            let mut before = Instant::now();
+            let mut last_start = Instant::now();
             for _ in 0..30 {
                 let (stream, _) = timeout(HANG_TIMEOUT, harness.discovery.accept())
                     .await
-                    .expect("a watch")
+                    .expect("the next watch should start in time")
                     .unwrap();
                 drop(stream);
                 assert!(
-                    before.elapsed() < Duration::from_secs(1),
-                    "{:?}",
-                    before.elapsed()
+                    last_start.elapsed() < Duration::from_secs(1),
+                    "the next watch started after {:?}, expected less than 1 s",
+                    last_start.elapsed()
                 );
-                before = Instant::now();
+                last_start = Instant::now();
             }
             for _ in 0..10 {
                 let silent = WatchConnection::accept(&harness.discovery).await;
                 assert!(
-                    before.elapsed() < Duration::from_secs(2),
-                    "{:?}",
-                    before.elapsed()
+                    last_start.elapsed() < Duration::from_secs(2),
+                    "the next watch started after {:?}, expected less than 2 s",
+                    last_start.elapsed()
                 );
-                before = Instant::now();
+                last_start = Instant::now();
                 drop(silent);
             }
         });
@@ -154,20 +166,26 @@
                 watch.send_chunk("\n").await;
             }
             let another = timeout(Duration::from_millis(100), harness.discovery.accept()).await;
-            assert!(another.is_err(), "no second watch");
+            assert!(
+                another.is_err(),
+                "expected no second watch while heartbeats arrive"
+            );
         });
     }
 
-    /// Each line of a response is due within the heartbeat's time, the first one too.
+    /// Every line of a response is due within the heartbeat timeout, including the first line.
     #[test]
     fn watch_that_stays_silent_after_its_head_is_replaced() {
         run_scenario(SETTINGS, 100, |harness| async move {
-            let mut before = Instant::now();
+            let mut last_start = Instant::now();
             for _ in 0..10 {
                 let mut silent = WatchConnection::accept(&harness.discovery).await;
-                let elapsed = before.elapsed();
-                assert!(elapsed < UPDATE_DEADLINE, "{elapsed:?}");
-                before = Instant::now();
+                let elapsed = last_start.elapsed();
+                assert!(
+                    elapsed < UPDATE_DEADLINE,
+                    "the next watch started after {elapsed:?}, expected less than {UPDATE_DEADLINE:?}"
+                );
+                last_start = Instant::now();
                 silent.send_head().await;
                 let _ = silent.stream.read(&mut [0]).await;
             }
@@ -175,7 +193,7 @@
     }
 }
 
-/// A reload that changes the address of discovery.
+/// Reloads that change the address of discovery.
 mod reload {
     use super::is_rejected;
     use crate::support::engine_harness::SETTINGS;
@@ -191,12 +209,12 @@
         run_scenario(SETTINGS, 100, |harness| async move {
             let old = WatchConnection::accept(&harness.discovery).await;
             let next = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let at = addresses(next.local_addr().unwrap());
-            // The old watch ends just as discovery moves.
+            let new_addresses = addresses(next.local_addr().unwrap());
+            // The old watch ends just as the address of discovery changes.
             drop(old);
             harness
                 .signals
-                .send(OperatorSignal::Reload(Some(at)))
+                .send(OperatorSignal::Reload(Some(new_addresses)))
                 .await
                 .unwrap();
             let mut moved = WatchConnection::accept(&next).await;
@@ -216,7 +234,7 @@
                 timeout(Duration::from_millis(100), next.accept())
                     .await
                     .is_err(),
-                "the watch is not replaced"
+                "expected no second watch at the new address"
             );
             assert_eq!(
                 moved.stream.try_read(&mut [0]).map_err(|e| e.kind()),
@@ -224,33 +242,42 @@
             );
             assert!(
                 is_rejected(harness.aggregator).await,
-                "a draining leaf server gets nothing new"
+                "expected a rejected query while the only leaf server is draining"
             );
             let gone = timeout(Duration::from_millis(100), harness.discovery.accept()).await;
-            assert!(gone.is_err(), "no watch at the old address: {gone:?}");
+            assert!(
+                gone.is_err(),
+                "expected no watch at the old address: {gone:?}"
+            );
             let _ = moved.stream.read(&mut []).await;
         });
     }
 
-    /// After a reload, a change is known 4 s later.
+    /// After a reload, the aggregator has to know of a change within 4 s.
     #[test]
     fn reaches_discovery_in_time_though_first_watches_are_not_answered() {
         const RELOAD_DEADLINE: Duration = Duration::from_secs(4);
         run_scenario(SETTINGS, 100, |harness| async move {
             let _old = WatchConnection::accept(&harness.discovery).await;
             let next = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let at = addresses(next.local_addr().unwrap());
-            let reload = OperatorSignal::Reload(Some(at));
+            let new_addresses = addresses(next.local_addr().unwrap());
+            let reload = OperatorSignal::Reload(Some(new_addresses));
             harness.signals.send(reload).await.unwrap();
             let reloaded = Instant::now();
             let _unanswered = WatchConnection::accept(&next).await;
             let _unanswered_again = WatchConnection::accept(&next).await;
             let mut third = WatchConnection::accept(&next).await;
             let elapsed = reloaded.elapsed();
-            assert!(elapsed < RELOAD_DEADLINE, "{elapsed:?}");
+            assert!(
+                elapsed < RELOAD_DEADLINE,
+                "discovery was reached after {elapsed:?}, expected less than {RELOAD_DEADLINE:?}"
+            );
             third.send_head().await;
             third.send_chunk(&format!("{}\n", snapshot(9, &[]))).await;
-            assert!(is_rejected(harness.aggregator).await, "the list is empty");
+            assert!(
+                is_rejected(harness.aggregator).await,
+                "expected a rejected query after an empty list"
+            );
         });
     }
 }
--- a/crates/core/tests/frontends.rs
+++ b/crates/core/tests/frontends.rs
@@ -1,4 +1,4 @@
-//! A frontend for another protocol during a graceful shutdown, on loopback sockets.
+//! A frontend for another protocol during a graceful shutdown, over loopback sockets.
 
 mod support;
 
@@ -11,19 +11,19 @@
 use support::socket_harness::SocketScenario;
 use tokio::time::{sleep, Duration};
 
-/// The time between two queries of one request.
+/// Time between two queries of one request.
 const BETWEEN_QUERIES: Duration = Duration::from_millis(200);
-/// From the moment at which listening stops to the one just after the exit deadline, with the
-/// deadlines of the settings.
+/// Time from the end of listening to just after the exit deadline, with the deadlines in the
+/// settings.
 const UNTIL_AFTER_EXIT_DEADLINE: Duration = Duration::from_millis(3_151);
 
 type SharedReply = Rc<RefCell<Option<QueryReply>>>;
 
-/// A frontend with one request, whose query follows so long after listening has stopped.
+/// Returns a frontend with one request, which sends its query `delay` after listening has stopped.
 fn frontend_with_late_query(delay: Duration, reply: SharedReply) -> StartFrontend {
     Box::new(move |aggregator: InternalClient| {
         tokio::task::spawn_local(async move {
-            let _open = aggregator.open_request();
+            let _open_request = aggregator.open_request();
             aggregator.listening_stopped().await;
             sleep(delay).await;
             let late_query = query("late", 1, &[1.0], 1000);
--- a/crates/core/tests/incomplete_requests.rs
+++ b/crates/core/tests/incomplete_requests.rs
@@ -1,5 +1,5 @@
-//! Requests on loopback sockets that are incomplete when their connection is closed: at a shutdown,
-//! and where a client is evicted for a new one.
+//! Requests that are incomplete when their connection is closed, over loopback sockets: at a
+//! shutdown, and when a client is evicted to make room for a new one.
 
 mod support;
 
@@ -13,8 +13,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Duration};
 
-/// Capacity for 45 clients.
+/// File descriptors of the aggregator.
 const DESCRIPTORS: usize = 100;
+/// Number of clients for which these descriptors suffice.
 const CLIENT_CAPACITY: usize = 45;
 
 async fn answer_query(leaf: &mut LeafServerConnection, client: &mut TcpStream, name: &str) {
@@ -25,7 +26,7 @@
     assert!(response.head.starts_with("HTTP/1.1 200"), "{response:?}");
 }
 
-/// Sends the first half of a request and returns the other.
+/// Sends the first half of a request and returns the second half.
 async fn send_first_half(client: &mut TcpStream) -> String {
     let request = query_request("half", "");
     let (first, rest) = request.split_at(request.len() / 2);
@@ -39,8 +40,8 @@
     assert!(matches!(frame, Err(_) | Ok(None)), "{frame:?}");
 }
 
-/// Expects that a connection is closed, and that the rest of a request that crosses the close is
-/// neither forwarded nor reset.
+/// Expects that a connection is closed, and that the rest of a request that crosses the close does
+/// not reset the connection.
 async fn expect_rest_discarded(client: &mut TcpStream, rest: &str) {
     expect_clean_close(client).await;
     client.write_all(rest.as_bytes()).await.unwrap();
@@ -48,18 +49,19 @@
     expect_clean_close(client).await;
 }
 
-/// When the drain period is over, and a moment later, after SIGTERM.
+/// Time from the shutdown request to the end of the drain period.
 const DRAIN_PERIOD: Duration = Duration::from_millis(500);
-const ON_ITS_WAY: Duration = Duration::from_millis(50);
+/// Time for which a request is in transit when the drain period ends.
+const TRANSIT_TIME: Duration = Duration::from_millis(50);
 
-/// Sends the rest of a request a moment after the drain period, and expects its answer.
+/// Sends the rest of a request shortly after the drain period and expects an answer.
 async fn expect_answer_after_drain_period(
     client: &mut TcpStream,
     leaf: &TcpListener,
     name: &str,
     rest: &str,
 ) {
-    sleep(DRAIN_PERIOD + ON_ITS_WAY).await;
+    sleep(DRAIN_PERIOD + TRANSIT_TIME).await;
     client.write_all(rest.as_bytes()).await.unwrap();
     let mut leaf = LeafServerConnection::accept(leaf).await;
     let call = leaf.next_call().await;
@@ -137,7 +139,10 @@
             harness.request_shutdown().await;
             expect_clean_close(&mut client).await;
             let connection = timeout(Duration::from_secs(20), harness.leaf.accept()).await;
-            assert!(connection.is_err(), "nothing is forwarded");
+            assert!(
+                connection.is_err(),
+                "expected no connection to the leaf server"
+            );
         });
     }
 
@@ -162,7 +167,7 @@
     }
 }
 
-/// Requests that are incomplete when their client is evicted for a new one.
+/// Requests that are incomplete when their client is evicted to make room for a new one.
 mod eviction {
     use super::{
         answer_query, expect_no_frame, expect_rest_discarded, send_first_half, CLIENT_CAPACITY,
--- a/crates/core/tests/leaf_codec.rs
+++ b/crates/core/tests/leaf_codec.rs
@@ -1,4 +1,4 @@
-//! The frames between an aggregator and a leaf server.
+//! Frames between an aggregator and a leaf server.
 
 mod support;
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// A frame with its correct length.
+/// Returns a frame with the correct length.
 fn frame(text: &str) -> Vec<u8> {
     [&(text.len() as u32).to_be_bytes()[..], text.as_bytes()].concat()
 }
@@ -81,7 +81,7 @@
     ] {
         assert_eq!(read(&frame(text)), malformed(Some("9b1f.3")), "{text}");
     }
-    // A kind or length that no frame has is rejected before the rest has arrived.
+    // An invalid kind or length is rejected before the rest of the frame has arrived.
     for start in [
         "\0\0\0\x36\x01",
         "\0\0\0\0A",
@@ -101,15 +101,19 @@
     assert!(
         matches!(&found[0], LeafResponse::PartResult { status: PartStatus::Ok, report, .. } if report == "nan")
     );
-    assert_eq!(found[1..], malformed(None), "nothing is read after it");
+    assert_eq!(
+        found[1..],
+        malformed(None),
+        "expected all input after a malformed frame to be discarded"
+    );
     let mut codec = LeafCodec::default();
     assert_eq!(
-        codec.cut_short(b"\0\0\0\x36A9b1f.3 o"),
+        codec.end_truncated_frame(b"\0\0\0\x36A9b1f.3 o"),
         malformed(Some("9b1f.3"))[0]
     );
     assert_eq!(
-        codec.cut_short(b"\0\0\0\x36A9b1f"),
+        codec.end_truncated_frame(b"\0\0\0\x36A9b1f"),
         malformed(None)[0],
-        "the id may go on"
+        "expected no id, since the rest of the id may be missing"
     );
 }
--- a/crates/core/tests/lingering_clients.rs
+++ b/crates/core/tests/lingering_clients.rs
@@ -1,5 +1,5 @@
-//! Clients on loopback sockets whose connections linger after the last response, while others need
-//! their places.
+//! Client connections that linger after the last response while new clients need their capacity,
+//! over loopback sockets.
 
 mod support;
 
@@ -10,10 +10,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{sleep, timeout, Duration};
 
-/// Capacity for 18 clients.
+/// File descriptors of the aggregator.
 const DESCRIPTORS: usize = 40;
+/// Number of clients for which these descriptors suffice.
 const CLIENT_CAPACITY: usize = 18;
-/// Enough for all that is on its way to arrive, and far less than a connection lingers.
+/// Long enough for bytes in transit to arrive, and far shorter than the linger timeout.
 const SHORT_PAUSE: Duration = Duration::from_millis(20);
 
 #[test]
@@ -31,7 +32,7 @@
             let request = query_request(&format!("n{number}"), "Connection: close\r\n");
             client.write_all(request.as_bytes()).await.unwrap();
             sleep(SHORT_PAUSE).await;
-            // It crosses the end of the connection, and is discarded.
+            // This request crosses the end of the connection and is discarded.
             let crossing = query_request("crossing", "");
             client.write_all(crossing.as_bytes()).await.unwrap();
             sleep(SHORT_PAUSE).await;
@@ -46,10 +47,15 @@
             let expected = format!("n{number}.3");
             assert!(response.body.contains(&expected), "{response:?}");
             let end = timeout(HANG_TIMEOUT, client.read(&mut [0])).await;
-            let end = end.expect("an end").map_err(|error| error.kind());
+            let end = end
+                .expect("the connection should end in time")
+                .map_err(|error| error.kind());
             assert_eq!(end, Ok(0));
             let error = client.take_error().unwrap();
-            assert!(error.is_none(), "client {number} is reset: {error:?}");
+            assert!(
+                error.is_none(),
+                "expected no reset of client {number}: {error:?}"
+            );
         }
     });
 }
--- a/crates/core/tests/pending_replies.rs
+++ b/crates/core/tests/pending_replies.rs
@@ -1,4 +1,4 @@
-//! Replies that wait for their usage record, with a usage log whose progress the test sets.
+//! Replies that wait for their usage records, with a usage log whose progress the test controls.
 
 use aggregator_core::engine::usage::{QueryOutcome, QueryUsage, UsageWatermark};
 use aggregator_core::engine::ClientId;
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
 
-/// A usage log whose progress the test sets.
+/// A usage log whose progress the test controls.
 struct ManualRecorder {
     has_capacity: bool,
     written: watch::Sender<u64>,
@@ -62,7 +62,7 @@
 #[tokio::test(start_paused = true)]
 async fn replies_wait_for_their_records_in_order_but_no_longer_than_a_stall() {
     let unrecorded_replies = Rc::<Cell<u32>>::default();
-    let (written, _keep) = watch::channel(0);
+    let (written, _receiver) = watch::channel(0);
     let mut replies = PendingReplies::new(Box::new(ManualRecorder {
         has_capacity: true,
         written: written.clone(),
@@ -74,7 +74,7 @@
             .hold(outgoing(sequence, QueryReply::Failed))
             .is_none());
     }
-    // A reply that is not to a query has nothing to wait for.
+    // A reply without a usage record is not held.
     assert!(replies.hold(outgoing(9, QueryReply::Ready(true))).is_some());
     assert!(replies.pop_ready().is_none());
     replies.close_client(2);
@@ -94,7 +94,7 @@
         (began.elapsed(), unrecorded_replies.get()),
         (Duration::from_millis(5), 1)
     );
-    // The log has stalled: nothing waits until it advances.
+    // The log has stalled, so no reply is held until the log advances.
     replies.record(usage(4));
     assert!(replies.hold(outgoing(4, QueryReply::Failed)).is_some());
     assert_eq!(unrecorded_replies.get(), 2);
@@ -104,8 +104,8 @@
 }
 
 #[tokio::test]
-async fn a_reply_whose_record_is_lost_goes_at_once() {
-    let (written, _keep) = watch::channel(0);
+async fn a_reply_whose_record_is_lost_is_sent_at_once() {
+    let (written, _receiver) = watch::channel(0);
     let mut replies = PendingReplies::new(Box::new(ManualRecorder {
         has_capacity: false,
         written,
--- a/crates/core/tests/protocol.rs
+++ b/crates/core/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The HTTP codecs and the queries on bytes: split anywhere, malformed, too large.
+//! HTTP codecs and query parsing on input that is split at any byte, malformed or too large.
 
 mod support;
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "one list of cases")]
+#[allow(clippy::too_many_lines, reason = "a single list of cases")]
 fn invalid_requests_get_distinct_statuses() {
     let status = |text: &str| parse(text).unwrap_err();
     assert_eq!(status("nonsense\r\n\r\n"), 400);
@@ -274,9 +274,9 @@
         body.len()
     );
     let with_length = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len() + 1);
-    // The last one has no end of its own: it is complete where its last bracket closes.
-    let to_the_end = format!("{head}\r\n{}", body.trim_end());
-    for text in [chunked, with_length, to_the_end] {
+    // The last message has no line end: it is complete where its outermost bracket closes.
+    let without_length = format!("{head}\r\n{}", body.trim_end());
+    for text in [chunked, with_length, without_length] {
         for sizes in [[1], [9], [10_000]] {
             let messages = decode_in_pieces(&mut WatchCodec::default(), text.as_bytes(), &sizes);
             let lists = messages
@@ -295,6 +295,6 @@
     );
     assert!(
         discovery::parse_message(&noise[0]).is_err(),
-        "what is no endpoint list does not count as a heartbeat"
+        "expected an error for text that is not an endpoint update"
     );
 }
--- a/crates/core/tests/readiness.rs
+++ b/crates/core/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness check on loopback sockets, while discovery can't be reached and after its return.
+//! The readiness check over loopback sockets, during and after an outage of discovery.
 
 mod support;
 
@@ -10,9 +10,9 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout_at, Duration, Instant};
 
-/// How long discovery can't be reached.
+/// Duration of the outage of discovery.
 const OUTAGE: Duration = Duration::from_secs(8);
-/// When a process that was restarted is ready at the latest.
+/// Maximum time from the start of a process until it is ready.
 const READY_DEADLINE: Duration = Duration::from_secs(10);
 
 async fn is_ready(harness: &SocketHarness) -> bool {
@@ -23,14 +23,15 @@
     response.head.starts_with("HTTP/1.1 200")
 }
 
-/// Ends every watch without a response until the outage is over.
+/// Closes every watch without a response until `end`.
 async fn close_watches_until(discovery: &TcpListener, end: Instant) {
     while let Ok(accepted) = timeout_at(end, discovery.accept()).await {
         drop(accepted.unwrap());
     }
 }
 
-/// Expects that an aggregator without a cached list is ready in time after an outage of discovery.
+/// Expects that an aggregator whose cached list is empty is ready in time after an outage of
+/// discovery.
 fn expect_ready_after_outage(settings: &str) {
     let scenario = SocketScenario {
         cached_list: CachedList::Empty,
@@ -39,7 +40,10 @@
     scenario.run(|harness| async move {
         let started = Instant::now();
         close_watches_until(&harness.discovery, started + OUTAGE).await;
-        assert!(!is_ready(&harness).await, "no endpoint is known");
+        assert!(
+            !is_ready(&harness).await,
+            "expected an aggregator without endpoints not to be ready"
+        );
         let mut watch = WatchConnection::accept(&harness.discovery).await;
         watch.send_head().await;
         let leaf = harness.leaf.local_addr().unwrap();
@@ -47,11 +51,14 @@
         watch.send_chunk(&format!("{list}\n")).await;
         while !is_ready(&harness).await {
             sleep(Duration::from_millis(1)).await;
-            assert!(started.elapsed() < READY_DEADLINE, "not ready in time");
+            assert!(
+                started.elapsed() < READY_DEADLINE,
+                "expected the aggregator to be ready in time"
+            );
         }
         assert!(
             started.elapsed() < READY_DEADLINE,
-            "{:?}",
+            "ready after {:?}, expected less than {READY_DEADLINE:?}",
             started.elapsed()
         );
     });
--- a/crates/core/tests/retries.rs
+++ b/crates/core/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries of parts whose connection to the leaf server was lost, on loopback sockets.
+//! Retries of parts after the connection to the leaf server was lost, over loopback sockets.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Duration};
 
-/// Resets a connection: what its other end has not read is lost, as after a crash.
+/// Resets a connection, as a crash would. Bytes that the peer has not read are lost.
 fn reset(stream: TcpStream) {
     stream.set_zero_linger().unwrap();
     drop(stream);
@@ -36,7 +36,7 @@
             "{head}"
         );
         let again = timeout(Duration::from_secs(20), harness.leaf.accept()).await;
-        assert!(again.is_err(), "no retry: {again:?}");
+        assert!(again.is_err(), "expected no retry: {again:?}");
     });
 }
 
@@ -51,16 +51,19 @@
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
         let ReceivedCall {
             id,
-            wait_ms: first_ms,
+            wait_ms: first_wait_ms,
         } = leaf.next_call().await;
-        assert!(first_ms <= 2000, "{first_ms}");
+        assert!(
+            first_wait_ms <= 2000,
+            "call states {first_wait_ms} ms, expected at most 2000 ms"
+        );
         sleep(Duration::from_millis(700)).await;
         reset(leaf.stream);
         let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
         let ReceivedCall { id: again, wait_ms } = leaf.next_call().await;
         assert!(
             again == id && wait_ms <= 1300,
-            "{wait_ms} ms stated, 1300 left"
+            "call states {wait_ms} ms, expected the same id and at most 1300 ms"
         );
         leaf.send_result(&id).await;
         assert!(read_response(&mut client).await.body.contains("i1.3"));
--- a/crates/core/tests/sockets.rs
+++ b/crates/core/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! A complete aggregator on loopback sockets, with a leaf server and a discovery agent that run
-//! beside it.
+//! A complete aggregator on loopback sockets, with a leaf server and a discovery agent in tasks of
+//! their own.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 
 mod support;
 
-/// Few, so that a test can fill the capacity for clients.
+/// File descriptors of the aggregator, few enough for a test to exhaust the capacity for clients.
 const DESCRIPTORS: usize = 40;
 
-/// The discovery agent: closes the first watch without a response, answers each later one with the
-/// endpoint list and leaves it open.
+/// Runs a discovery agent, which closes the first watch without a response, answers each later one
+/// with the endpoint list and leaves it open.
 async fn run_discovery(listener: TcpListener, leaf: SocketAddr) {
     let mut open = Vec::new();
     drop(listener.accept().await);
@@ -38,30 +38,30 @@
     }
 }
 
-/// What a leaf server sends as the result of a part whose id begins with `cut`.
+/// How a leaf server sends the result of a part whose id begins with `cut`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CutResult {
+enum ResultDelivery {
     Truncated,
     Complete,
 }
 
-/// A leaf server: answers each part with its own id as the value. On its first connection, it
-/// truncates the result of a part whose id begins with `cut`.
+/// Runs a leaf server, which answers each part with the part's id as the value. On the first
+/// connection, the result of a part whose id begins with `cut` is truncated.
 async fn run_leaf_server(listener: TcpListener) {
-    let later = std::iter::repeat(CutResult::Complete);
-    for cut_result in [CutResult::Truncated].into_iter().chain(later) {
+    let later = std::iter::repeat(ResultDelivery::Complete);
+    for cut_part_delivery in [ResultDelivery::Truncated].into_iter().chain(later) {
         let (stream, _) = listener.accept().await.unwrap();
-        tokio::task::spawn_local(serve_leaf_connection(stream, cut_result));
+        tokio::task::spawn_local(serve_leaf_connection(stream, cut_part_delivery));
     }
 }
 
-async fn serve_leaf_connection(stream: TcpStream, cut_result: CutResult) {
+async fn serve_leaf_connection(stream: TcpStream, cut_part_delivery: ResultDelivery) {
     let mut leaf = LeafServerConnection { stream };
     while let Some(call) = leaf.next_frame().await {
         let id = call[1..].split(' ').next().unwrap().to_string();
         let result = format!("A{id} ok 1 -\n{id}");
         leaf.stream.write_u32(result.len() as u32).await.unwrap();
-        let is_truncated = cut_result == CutResult::Truncated && id.starts_with("cut");
+        let is_truncated = cut_part_delivery == ResultDelivery::Truncated && id.starts_with("cut");
         let sent_bytes = if is_truncated {
             result.len() / 2
         } else {
@@ -74,12 +74,12 @@
     }
 }
 
-/// Runs `client` with the address of an aggregator.
+/// Runs `client` in real time with the address of an aggregator.
 fn run_with_real_time<F: Future<Output = ()>>(client: impl FnOnce(SocketAddr) -> F) {
     run_with_aggregator(TestTime::Real, client);
 }
 
-/// The same in paused time.
+/// Runs `client` in paused time with the address of an aggregator.
 fn run_with_paused_time<F: Future<Output = ()>>(client: impl FnOnce(SocketAddr) -> F) {
     run_with_aggregator(TestTime::Paused, client);
 }
@@ -96,7 +96,7 @@
     scenario.run(|harness| async move {
         let SocketHarness {
             aggregator,
-            signals: _signals, // Kept open: it is dropped after the test.
+            signals: _signals, // Keeps the channel open until the end of the test.
             discovery,
             leaf,
             served,
@@ -105,13 +105,14 @@
         tokio::task::spawn_local(run_discovery(discovery, leaf_address));
         tokio::task::spawn_local(run_leaf_server(leaf));
         tokio::select! {
-            ended = served => panic!("the aggregator ended: {ended:?}"),
+            ended = served => panic!("the aggregator ended before the client: {ended:?}"),
             () = client(aggregator) => {}
         }
     });
 }
 
-/// Waits until the aggregator has an endpoint list; a paused clock has to advance for that.
+/// Waits until the aggregator has an endpoint list, which takes time to arrive even if the clock is
+/// paused.
 async fn wait_until_ready(address: SocketAddr, poll_interval: Duration) {
     loop {
         let mut stream = TcpStream::connect(address).await.unwrap();
@@ -145,7 +146,7 @@
             read_response(&mut stream).await.body,
             complete.replace("NAME", "a1")
         );
-        // The next two arrive together: each still gets its own response, in order.
+        // The next two requests arrive together. Each gets its own response, in order.
         let both = query_request("a2", "") + &query_request("a3", "Connection: close\r\n");
         stream.write_all(both.as_bytes()).await.unwrap();
         assert_eq!(
@@ -159,7 +160,7 @@
         assert_eq!(
             stream.read(&mut [0]).await.unwrap(),
             0,
-            "closed, as requested"
+            "expected the connection to be closed as requested"
         );
     });
 }
@@ -215,17 +216,17 @@
 fn a_silent_client_is_closed_and_a_slow_request_is_rejected_in_time() {
     run_with_paused_time(|address| async move {
         wait_until_ready(address, Duration::from_millis(1)).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut silent = TcpStream::connect(address).await.unwrap();
         assert_eq!(silent.read(&mut [0]).await.unwrap(), 0);
         assert!(
-            (2000..2500).contains(&begun.elapsed().as_millis()),
-            "{:?}",
-            begun.elapsed()
+            (2000..2500).contains(&started.elapsed().as_millis()),
+            "the silent client was closed after {:?}, expected 2 s to 2.5 s",
+            started.elapsed()
         );
-        // Further bytes do not extend the time, on a new connection or on one that was served
-        // before.
-        let begun = Instant::now();
+        // Further bytes do not extend the timeout, neither on a new connection nor on one that was
+        // served before.
+        let started = Instant::now();
         let mut stream = TcpStream::connect(address).await.unwrap();
         send_query(&mut stream, "slow").await;
         assert!(read_response_head(&mut stream)
@@ -246,13 +247,13 @@
         let mut status_line = [0; 12];
         tokio::select! {
             read = reading.read_exact(&mut status_line) => drop(read.unwrap()),
-            () = slow => panic!("no response"),
+            () = slow => panic!("expected a response before the end of the request"),
         }
         assert_eq!(&status_line, b"HTTP/1.1 408");
         assert!(
-            (2000..3000).contains(&begun.elapsed().as_millis()),
-            "{:?}",
-            begun.elapsed()
+            (2000..3000).contains(&started.elapsed().as_millis()),
+            "the slow request was rejected after {:?}, expected 2 s to 3 s",
+            started.elapsed()
         );
     });
 }
@@ -261,11 +262,11 @@
 fn incomplete_requests_do_not_block_the_capacity_for_other_clients() {
     run_with_paused_time(|address| async move {
         wait_until_ready(address, Duration::from_millis(1)).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut connections = Vec::new();
         for _ in 0..2 * DESCRIPTORS {
             let mut incomplete = TcpStream::connect(address).await.unwrap();
-            // It may have been closed by now, which is fine.
+            // A failed write is ignored: the connection may be closed already.
             let _ = incomplete
                 .write_all(b"POST /lookup HTTP/1.1\r\nContent-Length: 90\r\n\r\n{")
                 .await;
@@ -276,7 +277,11 @@
         assert!(read_response_head(&mut stream)
             .await
             .starts_with("HTTP/1.1 200"));
-        assert!(begun.elapsed().as_millis() < 1000, "{:?}", begun.elapsed());
+        assert!(
+            started.elapsed().as_millis() < 1000,
+            "the request was answered after {:?}, expected less than 1 s",
+            started.elapsed()
+        );
     });
 }
 
@@ -284,11 +289,15 @@
 fn a_truncated_part_result_is_not_waited_for() {
     run_with_paused_time(|address| async move {
         wait_until_ready(address, Duration::from_millis(1)).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut stream = TcpStream::connect(address).await.unwrap();
         send_query(&mut stream, "cut1").await;
         let response = read_response(&mut stream).await;
         assert!(response.body.contains("\"doc\":\"cut1.3\""), "{response:?}");
-        assert!(begun.elapsed().as_millis() < 300, "{:?}", begun.elapsed());
+        assert!(
+            started.elapsed().as_millis() < 300,
+            "the request was answered after {:?}, expected less than 300 ms",
+            started.elapsed()
+        );
     });
 }
--- a/crates/core/tests/stalled_usage_log.rs
+++ b/crates/core/tests/stalled_usage_log.rs
@@ -1,5 +1,5 @@
-//! A graceful shutdown while the usage log writes nothing: no reply may wait for it past the moment
-//! at which the process may be killed.
+//! A graceful shutdown while the usage log is stalled: no reply may wait for its record until the
+//! process may be killed.
 
 mod support;
 
@@ -14,11 +14,11 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
 
-/// When a kill may follow SIGTERM with the deadlines of the settings, less the time for which a
-/// process may be held up.
-const LATEST_ANSWER: Duration = Duration::from_millis(3_700 - 150);
+/// Maximum time from the shutdown request to an answer: the time after which the process may be
+/// killed, with the deadlines in the settings, less the time for which a process may be suspended.
+const ANSWER_TIME_LIMIT: Duration = Duration::from_millis(3_700 - 150);
 
-/// A usage log that never writes, and that replies wait for as long as they may.
+/// A usage log that never writes, with a long maximum delay of replies.
 struct StalledRecorder {
     written: watch::Sender<u64>,
     is_closed: Rc<Cell<bool>>,
@@ -36,7 +36,7 @@
         Duration::from_secs(60)
     }
     fn count_unrecorded_reply(&mut self) {}
-    /// Closing a stalled log takes long, and blocks everything else.
+    /// Closing a stalled log would take long and block everything else.
     fn close(&mut self) {
         self.is_closed.set(true);
     }
@@ -67,13 +67,16 @@
         let response = read_response(&mut client).await;
         assert!(response.body.contains("held.3"), "{response:?}");
         let answered_after = requested_at.elapsed();
-        assert!(answered_after <= LATEST_ANSWER, "{answered_after:?}");
+        assert!(
+            answered_after <= ANSWER_TIME_LIMIT,
+            "answered after {answered_after:?}, expected at most {ANSWER_TIME_LIMIT:?}"
+        );
         assert!(
             !is_closed.get(),
-            "the reply waited until the log was closed"
+            "expected the reply before the log is closed"
         );
         drop(client);
         harness.expect_exit().await;
-        assert!(is_closed.get(), "the log is closed at the end");
+        assert!(is_closed.get(), "expected the log to be closed at the exit");
     });
 }
--- a/crates/core/tests/support/codec_harness.rs
+++ b/crates/core/tests/support/codec_harness.rs
@@ -1,9 +1,10 @@
-//! Decodes bytes as they would arrive at a socket.
+//! Decodes bytes that arrive in pieces, as at a socket.
 
 use bytes::BytesMut;
 use tokio_util::codec::Decoder;
 
-/// Decodes bytes that arrive in pieces of these sizes, over and over.
+/// Decodes bytes that arrive in pieces of these sizes, which repeat until the end. Returns the
+/// decoded items.
 pub fn decode_in_pieces<D: Decoder<Error = std::io::Error>>(
     codec: &mut D,
     bytes: &[u8],
@@ -15,7 +16,7 @@
     for size in sizes.iter().cycle() {
         let (piece, later) = rest.split_at((*size).clamp(1, rest.len().max(1)).min(rest.len()));
         buffer.extend_from_slice(piece);
-        while let Some(item) = codec.decode(&mut buffer).expect("no i/o error") {
+        while let Some(item) = codec.decode(&mut buffer).expect("decoding should not fail") {
             found.push(item);
         }
         rest = later;
--- a/crates/core/tests/support/socket_harness.rs
+++ b/crates/core/tests/support/socket_harness.rs
@@ -1,5 +1,5 @@
-//! A complete aggregator on loopback sockets. The test acts as every other process, one step after
-//! the other, so that events cross only where the test makes them.
+//! A complete aggregator on loopback sockets. The test acts as all other processes, one step
+//! after the other, so that it controls which events cross each other.
 
 pub mod client;
 pub mod discovery;
@@ -19,26 +19,25 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::{timeout, Duration};
 
-/// After this time, what a test waits for has not happened. With [`TestTime::Paused`], waiting
-/// costs no real time.
+/// Time after which a test gives up waiting. With [`TestTime::Paused`], this takes no real time.
 pub const HANG_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How often usage watermarks are recorded, in nanoseconds.
+/// Interval between usage watermarks, in nanoseconds.
 const USAGE_WATERMARK_INTERVAL_NS: u64 = 1_000_000_000;
-/// The seed of the policy's random numbers.
+/// Seed of the policy's random numbers.
 const POLICY_SEED: u64 = 7;
 
 /// A running aggregator, and the sockets of the processes that it is connected to.
 pub struct SocketHarness {
-    /// Where the aggregator accepts clients.
+    /// Address on which the aggregator accepts clients.
     pub aggregator: SocketAddr,
-    /// Signals to the aggregator.
+    /// Sends signals to the aggregator.
     pub signals: mpsc::Sender<OperatorSignal>,
     /// Accepts the aggregator's watches.
     pub discovery: TcpListener,
     /// Accepts the aggregator's connections to the leaf server.
     pub leaf: TcpListener,
-    /// Ends with the aggregator.
+    /// Result of the aggregator's task, which ends with the aggregator.
     pub served: JoinHandle<io::Result<()>>,
 }
 
@@ -49,17 +48,20 @@
         self.signals.send(shutdown).await.unwrap();
     }
 
-    /// Waits until the aggregator has ended, which has to succeed.
+    /// Waits until the aggregator has exited, and expects success.
     pub async fn expect_exit(self) {
         let served = timeout(HANG_TIMEOUT, self.served).await;
-        assert!(served.expect("the aggregator ends").unwrap().is_ok());
+        assert!(served
+            .expect("the aggregator should exit in time")
+            .unwrap()
+            .is_ok());
     }
 }
 
-/// The cached endpoint list that an aggregator is started with.
+/// Cached endpoint list with which an aggregator is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CachedList {
-    /// The leaf server of the harness.
+    /// A list with the leaf server of the harness.
     OneEndpoint,
     /// A list without leaf servers.
     Empty,
@@ -78,28 +80,28 @@
     }
 }
 
-/// The clock of a scenario.
+/// Clock of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TestTime {
     Real,
-    /// The clock stands still while any task is ready, and else advances to the next timer.
+    /// The clock is paused while any task is ready. Otherwise, it advances to the next timer.
     Paused,
 }
 
-/// What an aggregator is started with.
+/// Parameters with which an aggregator is started.
 pub struct SocketScenario<'a> {
-    /// The settings as lines of `key=value`.
+    /// Settings as lines of `key=value`.
     pub settings: &'a str,
-    /// The most file descriptors, which limit the number of clients.
+    /// Maximum number of file descriptors, which limits the number of clients.
     pub descriptors: usize,
     pub cached_list: CachedList,
     pub time: TestTime,
-    /// With a usage recorder, the engine records usage.
+    /// Optional components. If there is a usage recorder, the engine records usage.
     pub extensions: Extensions,
 }
 
 impl<'a> SocketScenario<'a> {
-    /// One leaf server on the cached list, paused time and no extensions.
+    /// Creates a scenario with one leaf server on the cached list, paused time and no extensions.
     pub fn new(settings: &'a str, descriptors: usize) -> SocketScenario<'a> {
         SocketScenario {
             settings,
@@ -190,7 +192,7 @@
     }
 }
 
-/// The addresses of an aggregator without gossip.
+/// Returns the addresses for an aggregator without gossip.
 pub fn addresses(discovery: SocketAddr) -> Addresses {
     Addresses {
         discovery,
--- a/crates/core/tests/support/socket_harness/client.rs
+++ b/crates/core/tests/support/socket_harness/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the aggregator: their requests, and the responses that they read.
+//! The client side of connections to the aggregator, as controlled by a test.
 
 use super::leaf_server::LeafServerConnection;
 use super::{SocketHarness, HANG_TIMEOUT};
@@ -7,21 +7,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Connects a client.
+/// Connects a client to the aggregator.
 pub async fn connect_client(aggregator: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(aggregator).await.unwrap();
     stream.set_nodelay(true).unwrap();
     stream
 }
 
-/// Sends a query of this name, with one part.
+/// Sends a query with this name and one part.
 pub async fn send_query(client: &mut TcpStream, name: &str) {
     let request = query_request(name, "");
     client.write_all(request.as_bytes()).await.unwrap();
 }
 
-/// A client that was served once, with a query of this name, and is idle; the connection to the
-/// leaf server stays open.
+/// Connects a client and serves one query with this name. Returns the client, which is idle, and
+/// the connection to the leaf server, which stays open.
 pub async fn served_client(
     harness: &SocketHarness,
     name: &str,
@@ -37,13 +37,18 @@
     (client, leaf)
 }
 
-/// Expects that the aggregator has closed a connection after everything that it sent was read, and
-/// without a reset.
+/// Expects that the aggregator has closed a connection without a reset, and that everything it sent
+/// has been read.
 pub async fn expect_clean_close(client: &mut TcpStream) {
     let end = timeout(HANG_TIMEOUT, client.read(&mut [0])).await;
-    let end = end.expect("an end").map_err(|error| error.kind());
+    let end = end
+        .expect("the connection should be closed in time")
+        .map_err(|error| error.kind());
     assert_eq!(end, Ok(0));
-    assert!(client.take_error().unwrap().is_none(), "reset");
+    assert!(
+        client.take_error().unwrap().is_none(),
+        "expected no reset of the connection"
+    );
 }
 
 /// A response of the aggregator to a client.
@@ -54,15 +59,15 @@
     pub body: String,
 }
 
-/// Reads the head of a request or response, with the empty line that ends it.
+/// Reads the head of a request or response, including the empty line that ends the head.
 pub(super) async fn read_head(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(
             timeout(HANG_TIMEOUT, stream.read_u8())
                 .await
-                .expect("bytes")
-                .expect("a head"),
+                .expect("the head should arrive in time")
+                .expect("the head should be complete"),
         );
     }
     String::from_utf8(head).unwrap()
@@ -89,7 +94,8 @@
     read_response(stream).await.head
 }
 
-/// A query with one part, of the class that needs every part.
+/// Returns the request for a query with one part. Answers of its class are complete only if they
+/// cover all parts.
 pub fn query_request(name: &str, headers: &str) -> String {
     let body = "{\"shards\":[{\"shard\":3,\"weight\":1.0}],\"q\":\"c41e\"}";
     let length = body.len();
--- a/crates/core/tests/support/socket_harness/discovery.rs
+++ b/crates/core/tests/support/socket_harness/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery agent, in whose place each test acts: watches and the endpoint list.
+//! The discovery side of watches on the endpoint list, as controlled by a test.
 
 use super::client::read_head;
 use super::HANG_TIMEOUT;
@@ -7,20 +7,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// One leaf server that holds every shard, as an item of the endpoint list.
+/// Returns an item of the endpoint list: a leaf server that holds every shard.
 pub fn endpoint(leaf: SocketAddr, status: &str) -> serde_json::Value {
     serde_json::json!({"name": "s-1", "address": leaf, "group": 0, "status": status})
 }
 
-/// A snapshot of the endpoint list.
+/// Returns a snapshot of the endpoint list.
 pub fn snapshot(index: u64, endpoints: &[serde_json::Value]) -> serde_json::Value {
     serde_json::json!({"index": index, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Discovery's side of a watch.
+/// The discovery agent's side of a watch.
 pub struct WatchConnection {
     pub stream: TcpStream,
-    /// The head of the request.
+    /// Head of the request.
     pub request: String,
 }
 
@@ -29,7 +29,7 @@
     pub async fn accept(discovery: &TcpListener) -> WatchConnection {
         let (mut stream, _) = timeout(HANG_TIMEOUT, discovery.accept())
             .await
-            .expect("a watch")
+            .expect("a watch should be started in time")
             .unwrap();
         let request = read_head(&mut stream).await;
         WatchConnection { stream, request }
@@ -43,7 +43,7 @@
             .unwrap();
     }
 
-    /// Sends one chunk of the response's body.
+    /// Sends one chunk of the response body.
     pub async fn send_chunk(&mut self, text: &str) {
         self.stream
             .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
--- a/crates/core/tests/support/socket_harness/leaf_server.rs
+++ b/crates/core/tests/support/socket_harness/leaf_server.rs
@@ -1,15 +1,15 @@
-//! The leaf server, in whose place each test acts: calls and their results.
+//! The leaf server's side of connections, as controlled by a test: calls and their results.
 
 use super::HANG_TIMEOUT;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// The first part of a call as a leaf server receives it.
+/// First part of a call, as received by a leaf server.
 pub struct ReceivedCall {
-    /// The part's id.
+    /// Id of the part.
     pub id: String,
-    /// The stated time for which the aggregator waits, in milliseconds.
+    /// Time for which the aggregator waits according to the call, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -23,13 +23,13 @@
     pub async fn accept(leaf: &TcpListener) -> LeafServerConnection {
         let (stream, _) = timeout(HANG_TIMEOUT, leaf.accept())
             .await
-            .expect("a connection")
+            .expect("the aggregator should connect in time")
             .unwrap();
         stream.set_nodelay(true).unwrap();
         LeafServerConnection { stream }
     }
 
-    /// The next frame; none at the end of the connection.
+    /// Receives the next frame. Returns `None` at the end of the connection.
     pub async fn next_frame(&mut self) -> Option<String> {
         let length = self.stream.read_u32().await.ok()?;
         let mut frame = vec![0; length as usize];
@@ -37,13 +37,13 @@
         Some(String::from_utf8(frame).unwrap())
     }
 
-    /// The next call; other frames before it are skipped.
+    /// Receives the next call and skips other frames before it.
     pub async fn next_call(&mut self) -> ReceivedCall {
         loop {
             let frame = timeout(HANG_TIMEOUT, self.next_frame())
                 .await
-                .expect("a call")
-                .expect("a call");
+                .expect("a call should arrive in time")
+                .expect("a call should arrive before the connection ends");
             if let Some(call) = frame.strip_prefix('Q') {
                 let mut fields = call.split(' ');
                 let id = fields.next().unwrap().to_string();
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Sends a part's result, with its id as the value.
+    /// Sends the result of a part, with the part's id as the value.
     pub async fn send_result(&mut self, id: &str) {
         let result = format!("A{id} ok 1 -\n{id}");
         let frame = [&(result.len() as u32).to_be_bytes()[..], result.as_bytes()].concat();
         self.stream.write_all(&frame).await.unwrap();
     }
 
-    /// Answers all calls until the connection ends, and returns their number.
+    /// Answers all calls until the connection ends. Returns the number of calls.
     pub async fn serve(mut self) -> usize {
         let mut served = 0;
         while let Some(frame) = self.next_frame().await {
--- a/crates/core/tests/truncated_frames.rs
+++ b/crates/core/tests/truncated_frames.rs
@@ -1,5 +1,5 @@
-//! Truncated frames on loopback sockets: a leaf server that sends the beginning of a frame on an
-//! idle connection, just as that connection is closed or gets the next call.
+//! Truncated frames on loopback sockets: a leaf server sends the beginning of a frame on an idle
+//! connection, just as the connection is closed or the next call is sent on it.
 
 mod support;
 
@@ -11,20 +11,23 @@
 
 /// The beginning of a result of 64 bytes.
 const TRUNCATED_FRAME: &[u8] = b"\0\0\0\x40Aother";
-/// The aggregator closes a connection after nine tenths of `limits.conn_idle_ns`.
-const IDLE_CLOSE: Duration = Duration::from_secs(27);
-/// How long the rest of a frame may take.
+/// Idle time after which the aggregator closes a connection: nine tenths of `limits.conn_idle_ns`.
+const IDLE_CLOSE_TIME: Duration = Duration::from_secs(27);
+/// Time within which the rest of a frame has to arrive.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(100);
-/// Less than that.
+/// A pause that is shorter than [`FRAME_TIMEOUT`].
 const SHORT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Expects that the aggregator has closed a connection without sending anything more on it.
+/// Expects that the aggregator closes a connection without sending any further frame on it.
 async fn expect_closed(leaf: &mut LeafServerConnection) {
     let frame = timeout(HANG_TIMEOUT, leaf.next_frame()).await;
-    assert_eq!(frame.expect("closed"), None);
+    assert_eq!(
+        frame.expect("the connection should be closed in time"),
+        None
+    );
 }
 
-/// Expects that the next query is answered by way of a new connection.
+/// Expects that the next query is answered over a new connection to the leaf server.
 async fn expect_answer_on_new_connection(harness: &SocketHarness, client: &mut TcpStream) {
     send_query(client, "second").await;
     let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
@@ -35,11 +38,11 @@
     assert!(response.body.contains("second.3"), "{response:?}");
 }
 
-/// A truncated frame on a connection on which no call is open.
+/// Truncated frames on a connection without an open call.
 mod idle_connection {
     use super::{
-        expect_answer_on_new_connection, expect_closed, FRAME_TIMEOUT, IDLE_CLOSE, SHORT_PAUSE,
-        TRUNCATED_FRAME,
+        expect_answer_on_new_connection, expect_closed, FRAME_TIMEOUT, IDLE_CLOSE_TIME,
+        SHORT_PAUSE, TRUNCATED_FRAME,
     };
     use crate::support::engine_harness::SETTINGS;
     use crate::support::socket_harness::client::served_client;
@@ -51,11 +54,15 @@
     fn frame_cut_off_by_the_idle_close_does_not_affect_the_next_query() {
         run_scenario(SETTINGS, 100, |harness| async move {
             let (mut client, mut leaf) = served_client(&harness, "first").await;
-            sleep(IDLE_CLOSE - SHORT_PAUSE).await;
+            sleep(IDLE_CLOSE_TIME - SHORT_PAUSE).await;
             leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
-            let begun = Instant::now();
+            let started = Instant::now();
             expect_closed(&mut leaf).await;
-            assert!(begun.elapsed() < FRAME_TIMEOUT, "{:?}", begun.elapsed());
+            assert!(
+                started.elapsed() < FRAME_TIMEOUT,
+                "the connection was closed after {:?}, expected less than {FRAME_TIMEOUT:?}",
+                started.elapsed()
+            );
             expect_answer_on_new_connection(&harness, &mut client).await;
         });
     }
@@ -65,9 +72,13 @@
         run_scenario(SETTINGS, 100, |harness| async move {
             let (mut client, mut leaf) = served_client(&harness, "first").await;
             leaf.stream.write_all(TRUNCATED_FRAME).await.unwrap();
-            let begun = Instant::now();
+            let started = Instant::now();
             expect_closed(&mut leaf).await;
-            assert!(begun.elapsed() < 2 * FRAME_TIMEOUT, "{:?}", begun.elapsed());
+            assert!(
+                started.elapsed() < 2 * FRAME_TIMEOUT,
+                "the connection was closed after {:?}, expected less than twice {FRAME_TIMEOUT:?}",
+                started.elapsed()
+            );
             expect_answer_on_new_connection(&harness, &mut client).await;
         });
     }
@@ -84,7 +95,7 @@
     }
 }
 
-/// A part that is sent after the beginning of a truncated frame was received.
+/// Parts that are sent after the beginning of a truncated frame was received.
 mod part_sent_behind {
     use super::{expect_answer_on_new_connection, expect_closed, SHORT_PAUSE, TRUNCATED_FRAME};
     use crate::support::engine_harness::SETTINGS;
@@ -128,7 +139,10 @@
             assert!(response.head.starts_with("HTTP/1.1 50"), "{response:?}");
             expect_closed(&mut leaf).await;
             let another = timeout(Duration::from_secs(20), harness.leaf.accept()).await;
-            assert!(another.is_err(), "the part may have run");
+            assert!(
+                another.is_err(),
+                "expected no retry of a part that may have run"
+            );
             expect_answer_on_new_connection(&harness, &mut client).await;
         });
     }
