--- a/crates/aggregator/src/cli/check.rs
+++ b/crates/aggregator/src/cli/check.rs
@@ -1,5 +1,5 @@
-//! `query-aggregator check`: validates both files and prints the values in force, each with its
-//! origin.
+//! `query-aggregator check`: validates the configuration and the settings, and prints the values in
+//! force with their origins.
 
 use super::{output, CommandError};
 use crate::configuration;
@@ -13,7 +13,7 @@
 
 const COLUMNS: [&str; 4] = ["SETTING", "VALUE", "FROM", "CHANGES"];
 
-/// One value in force.
+/// A value in force.
 struct ValueInForce {
     name: String,
     value: String,
@@ -34,7 +34,7 @@
     print(&values)
 }
 
-/// Checks what the schema does not: that the values of a section fit together.
+/// Checks that the values of each section fit together, which the schema does not check.
 fn validate(settings: &Settings) -> Result<(), SettingsError> {
     UsageLogSettings::read(settings, &SCHEMA)?;
     LedgerSettings::read(settings, &SCHEMA)?;
--- a/crates/aggregator/src/cli/completions.rs
+++ b/crates/aggregator/src/cli/completions.rs
@@ -4,13 +4,13 @@
 use clap::CommandFactory;
 use clap_complete::Shell;
 
-/// The arguments of `completions`.
+/// Arguments of `completions`.
 #[derive(clap::Args)]
 pub struct CompletionsArguments {
     shell: Shell,
 }
 
-/// Prints the script that completes the command line `C`.
+/// Prints the completion script for the command line `C`.
 pub fn run<C: CommandFactory>(arguments: &CompletionsArguments) -> Result<(), CommandError> {
     let mut script = Vec::new();
     clap_complete::generate(
--- a/crates/aggregator/src/cli/error.rs
+++ b/crates/aggregator/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a subcommand failed.
+//! Errors of subcommands.
 
 use super::ledger::LedgerError;
 use super::output::OutputError;
@@ -16,19 +16,19 @@
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The aggregator can't start or serve.
+    /// The aggregator could not start or serve.
     #[error(transparent)]
     Serve(#[from] ServeError),
-    /// A command on the ledger failed.
+    /// A `ledger` command failed.
     #[error(transparent)]
     Ledger(#[from] LedgerError),
-    /// The output can't be written.
+    /// The output cannot be written.
     #[error(transparent)]
     Output(#[from] OutputError),
 }
 
 impl CommandError {
-    /// Who has to act on the error.
+    /// Returns the class of the error.
     pub fn class(&self) -> ErrorClass {
         match self {
             CommandError::Configuration(_) | CommandError::Settings(_) => ErrorClass::Configuration,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The message on a single line, as operators and their log collectors expect it.
+    /// Returns the message on a single line, as operators and their log collectors expect.
     pub fn one_line(&self) -> String {
         self.to_string().trim().replace('\n', " ")
     }
--- a/crates/aggregator/src/cli/mod.rs
+++ b/crates/aggregator/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: its arguments, its subcommands and what they print. One file a subcommand.
+//! The command line: arguments, subcommands and their output, with one file per subcommand.
 
 mod check;
 mod completions;
@@ -22,9 +22,9 @@
   query-aggregator ledger statement --settings query-aggregator.ini --format csv
   query-aggregator completions bash > /etc/bash_completion.d/query-aggregator
 
-Exit codes: 0 done, 1 failed while running, 2 wrong use of the command line, 3 wrong configuration or settings.";
+Exit codes: 0 success, 1 failure while running, 2 invalid arguments, 3 invalid configuration or settings.";
 
-/// A query mixer over replicated shards, and the ledger of what it was used for.
+/// A query mixer over replicated shards, and the ledger of its usage.
 #[derive(Parser)]
 #[command(version, about, after_help = EXAMPLES)]
 struct Cli {
@@ -36,11 +36,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve queries until told to end (what happens without a command)
+    /// Serve queries until a signal requests a shutdown (the default command)
     Serve,
-    /// Validate both files and print what is in force and where each value came from
+    /// Validate both files and print the values in force with their origins
     Check,
-    /// The ledger of use by tenant
+    /// Query and maintain the ledger of usage by tenant
     #[command(subcommand)]
     Ledger(ledger::LedgerCommand),
     /// Print a completion script for a shell
--- a/crates/aggregator/src/cli/output.rs
+++ b/crates/aggregator/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! What commands print: text as it is, and reports as a table, JSON or CSV.
+//! Output of commands: plain text, and reports as a table, JSON or CSV.
 
 use clap::ValueEnum;
 use comfy_table::{Row, Table};
@@ -8,18 +8,19 @@
 /// Why output could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum OutputError {
-    /// Standard output can't be written to.
-    #[error("standard output: {0}")]
+    /// Standard output cannot be written to.
+    #[error("cannot write to standard output: {0}")]
     StandardOutput(#[source] io::Error),
-    /// A report can't be encoded as CSV.
+    /// A report cannot be encoded as CSV.
     #[error(transparent)]
     Csv(#[from] csv::Error),
-    /// A value can't be encoded as JSON.
+    /// A value cannot be encoded as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// Writes to standard output. The reader may have read enough: a closed pipe is not an error.
+/// Writes to standard output. A closed pipe is not an error, since the reader may stop reading at
+/// any point.
 pub fn print(bytes: &[u8]) -> Result<(), OutputError> {
     let mut out = io::stdout().lock();
     match out.write_all(bytes).and_then(|()| out.flush()) {
@@ -30,7 +31,7 @@
     }
 }
 
-/// A table without borders.
+/// Creates a table without borders.
 pub fn plain_table(columns: impl Into<Row>) -> Table {
     let mut table = Table::new();
     table
@@ -39,7 +40,7 @@
     table
 }
 
-/// The format of a report.
+/// Format of a report.
 //
 // Doc comments on the variants would change the help of `--format`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
@@ -50,22 +51,22 @@
     Csv,
 }
 
-/// The argument that selects the output format.
+/// Argument that selects the output format.
 #[derive(clap::Args)]
 pub struct FormatArguments {
-    /// How to print: a table for people, JSON or CSV for programs
+    /// Output format: a table for people, JSON or CSV for programs
     #[arg(long, value_enum, default_value_t)]
     pub format: OutputFormat,
 }
 
-/// Rows of named columns, to be printed in the format that is asked for.
+/// Rows of named columns, printed in the requested format.
 pub struct Report {
     columns: Vec<&'static str>,
     rows: Vec<Vec<Value>>,
 }
 
 impl Report {
-    /// A report without rows.
+    /// Creates a report without rows.
     pub fn new(columns: &[&'static str]) -> Report {
         Report {
             columns: columns.to_vec(),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Appends a row with a value for each column.
+    /// Appends a row with one value per column.
     pub fn push(&mut self, row: Vec<Value>) {
         self.rows.push(row);
     }
@@ -123,7 +124,7 @@
     }
 }
 
-/// A value as a table or CSV shows it.
+/// Returns the text of a value in a table or CSV.
 fn cell_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/crates/aggregator/src/configuration.rs
+++ b/crates/aggregator/src/configuration.rs
@@ -1,30 +1,30 @@
-//! The platform's configuration of one aggregator: a JSON file.
+//! Configuration of one aggregator: a JSON file, written by the platform.
 
 use aggregator_core::config::Config;
 use std::error::Error;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why there is no valid configuration.
+/// Why no configuration could be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
     /// Neither the command line nor the environment names a file.
-    #[error("no configuration: --config or BALANCER_CONFIG has to name it")]
+    #[error("no configuration: name the file with --config or BALANCER_CONFIG")]
     NotNamed,
-    /// The file can't be read.
-    #[error("cannot read the configuration {}: {source}", path.display())]
+    /// The file cannot be read.
+    #[error("cannot read configuration file {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// Why the file cannot be read.
         source: io::Error,
     },
     /// The content of the file is invalid.
-    #[error("{}: {source}", path.display())]
+    #[error("invalid configuration file {}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with its content.
+        /// Why the content is invalid.
         source: Box<dyn Error + Send + Sync>,
     },
 }
--- a/crates/aggregator/src/error.rs
+++ b/crates/aggregator/src/error.rs
@@ -1,9 +1,9 @@
-//! The classes of errors, each with an exit code of its own.
+//! Classes of errors, each with its own exit code.
 
-/// Who has to act on an error.
+/// Class of an error, which tells who has to act on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorClass {
-    /// Something failed while the command was running.
+    /// The command failed while it was running.
     Runtime,
     /// The arguments are invalid.
     Usage,
@@ -12,7 +12,7 @@
 }
 
 impl ErrorClass {
-    /// The exit code of a program that ends with such an error.
+    /// Returns the exit code of a program that ends with an error of this class.
     pub fn exit_code(self) -> u8 {
         match self {
             ErrorClass::Runtime => 1,
--- a/crates/aggregator/src/frontends.rs
+++ b/crates/aggregator/src/frontends.rs
@@ -1,4 +1,4 @@
-//! Frontends for other protocols than the native one, as the settings enable them.
+//! Frontends for protocols other than the native one, if the settings enable them.
 
 use crate::error::ErrorClass;
 use crate::settings::{SettingsError, SCHEMA};
@@ -16,24 +16,24 @@
 /// Why a frontend could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum FrontendError {
-    /// Its settings are invalid.
+    /// The settings of the frontend are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Its certificate or key is invalid.
+    /// The certificate or the key of the frontend is invalid.
     #[error("{0}")]
     Certificate(#[source] Box<dyn Error + Send + Sync>),
-    /// Its address can't be bound.
+    /// The address of the frontend cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address that the settings name.
         address: SocketAddr,
-        /// Why it can't be bound.
+        /// Why the address cannot be bound.
         source: io::Error,
     },
 }
 
 impl FrontendError {
-    /// Who has to act on the error.
+    /// Returns the class of the error.
     pub fn class(&self) -> ErrorClass {
         match self {
             FrontendError::Settings(_) | FrontendError::Certificate(_) => ErrorClass::Configuration,
@@ -42,12 +42,12 @@
     }
 }
 
-/// The enabled frontends, before they serve.
+/// The enabled frontends, which are not started yet.
 #[derive(Default)]
 pub struct Frontends {
-    /// Starts each frontend on its listener, which is open already.
+    /// Functions that start the frontends on listeners that are already open.
     pub start: Vec<StartFrontend>,
-    /// The certificate in use, if a frontend uses TLS.
+    /// Certificate in use; `None` if no frontend uses TLS.
     pub tls: Option<Rc<ReloadableTls>>,
 }
 
@@ -66,7 +66,7 @@
         %address,
         indices = opensearch.indices.len(),
         tls = tls.is_some(),
-        "OpenSearch frontend listens"
+        "OpenSearch frontend is listening"
     );
     let server_tls = tls.clone();
     let start: StartFrontend =
@@ -77,7 +77,7 @@
     })
 }
 
-/// Loads the certificate and key; `None` where the settings name none.
+/// Loads the certificate and the key. Returns `None` if the settings name none.
 fn load_tls(opensearch: &GatewaySettings) -> Result<Option<Rc<ReloadableTls>>, FrontendError> {
     let Some(files) = opensearch.tls.clone() else {
         return Ok(None);
--- a/crates/aggregator/src/legacy_names.rs
+++ b/crates/aggregator/src/legacy_names.rs
@@ -1,19 +1,19 @@
-//! Names from before the program was called `query-aggregator`, and what they are called now.
+//! Names from before the program was called `query-aggregator`, with the names that replace them.
 //!
-//! Operators may have the old names in their unit files and settings. Every fallback to an old name
-//! is here.
+//! Operators may still use the old names in unit files and settings. This module implements every
+//! fallback to an old name.
 
 use std::ffi::OsString;
 
-/// The variable that names the settings file, unless the command line does.
+/// Environment variable that names the settings file, unless the command line does.
 pub const SETTINGS_VARIABLE: &str = "QUERY_AGGREGATOR_SETTINGS";
-/// The variable with the log level, which takes precedence over the settings file.
+/// Environment variable for the log level, which takes precedence over the settings file.
 pub const LOG_VARIABLE: &str = "QUERY_AGGREGATOR_LOG";
 
 const PREFIX: &str = "QUERY_AGGREGATOR_";
 const OLD_PREFIX: &str = "COTTONHILL_";
 
-/// A log target: the path of a crate or module.
+/// Old and new name of a log target, which is the path of a crate or module.
 struct RenamedTarget {
     old: &'static str,
     new: &'static str,
@@ -23,8 +23,7 @@
     RenamedTarget { old, new }
 }
 
-/// The log targets of the old crates. The first that matches is applied, so modules come before
-/// their crate.
+/// Log targets of the old crates. The first match is applied, so modules come before their crate.
 const RENAMED_TARGETS: [RenamedTarget; 7] = [
     renamed("cottonhill_mixer::routing", "aggregator_core::engine"),
     renamed("cottonhill_mixer::transport", "aggregator_core::net"),
@@ -39,12 +38,12 @@
     variable.replacen(PREFIX, OLD_PREFIX, 1)
 }
 
-/// The value of one of our environment variables, by its new name or else by its old one.
+/// Returns the value of an environment variable of this program, or else that of its old name.
 pub fn environment_variable(variable: &str) -> Option<OsString> {
     std::env::var_os(variable).or_else(|| std::env::var_os(old_name(variable)))
 }
 
-/// A warning that names the old variables that are set; `None` if there is none.
+/// Returns a warning that names the old variables that are set, or `None` if none is set.
 pub fn environment_warning() -> Option<String> {
     let variables = [SETTINGS_VARIABLE, LOG_VARIABLE];
     let renamed: Vec<String> = variables
@@ -55,13 +54,13 @@
     (!renamed.is_empty()).then(|| renamed.join("; "))
 }
 
-/// Log directives in which each target of an old crate is replaced by that of the new one.
+/// Replaces each target of an old crate in a list of log directives by that of the new crate.
 pub fn current_log_targets(directives: &str) -> String {
     let current: Vec<String> = directives.split(',').map(current_log_target).collect();
     current.join(",")
 }
 
-/// One directive, as in `TARGET=LEVEL`, with its target replaced if that is an old one.
+/// Replaces the target of one directive, for example `TARGET=LEVEL`, if it is an old one.
 fn current_log_target(directive: &str) -> String {
     let directive = directive.trim();
     for target in &RENAMED_TARGETS {
--- a/crates/aggregator/src/logging.rs
+++ b/crates/aggregator/src/logging.rs
@@ -1,8 +1,8 @@
-//! Structured logs on standard error: text or JSON, by level and by target.
+//! Structured logs on standard error, as text or JSON, filtered by level and target.
 //!
-//! A field has the same name in all lines: `client`, `connection`, `id` (a query), `replica`,
-//! `class` and `tenant` by number, `address`, `segment`, `member`, `period`, `error`; a duration
-//! ends in its unit (`_ms`).
+//! A field has the same name in all lines: `client`, `connection`, `id` (of a query), `replica`,
+//! `class` and `tenant` (numbers), `address`, `segment`, `member`, `period`, `error`. The name of a
+//! duration ends in its unit, for example `_ms`.
 
 use crate::settings::{LogFormat, LogSettings};
 use tracing_subscriber::filter::Targets;
@@ -11,24 +11,24 @@
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{Layer, Registry};
 
-/// Why logging could not be started or changed.
+/// Why logging could not be started or reloaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    /// Logging was started before in this process.
+    /// Logging was already started in this process.
     #[error(transparent)]
     Start(#[from] TryInitError),
-    /// The filter can't be replaced.
+    /// The filter cannot be replaced.
     #[error(transparent)]
     Reload(#[from] reload::Error),
 }
 
-/// The logging of this process, whose levels can be changed while it runs.
+/// Logging of this process, whose levels can be changed while the process runs.
 pub struct Logging {
     filter: Handle<Targets, Registry>,
 }
 
 impl Logging {
-    /// Starts logging; once in a process.
+    /// Starts logging. Succeeds only once per process.
     pub fn start(settings: LogSettings) -> Result<Logging, LoggingError> {
         let (filter, handle) = reload::Layer::new(settings.filter);
         let text_output = tracing_subscriber::fmt::layer()
@@ -44,7 +44,7 @@
         Ok(Logging { filter: handle })
     }
 
-    /// Applies changed levels. The format stays as it was at the start.
+    /// Applies changed levels. The format stays the same until a restart.
     pub fn reload(&self, settings: LogSettings) -> Result<(), LoggingError> {
         Ok(self.filter.reload(settings.filter)?)
     }
--- a/crates/aggregator/src/main.rs
+++ b/crates/aggregator/src/main.rs
@@ -1,6 +1,6 @@
-//! `query-aggregator`: the aggregator and its usage ledger on one command line.
+//! `query-aggregator`: the command-line program for the aggregator and the usage ledger.
 //!
-//! [`cli`] parses the arguments and runs one subcommand. [`process`] is the aggregator itself: it
+//! [`cli`] parses the arguments and runs a subcommand. [`process`] is the aggregator itself: it
 //! reads its files, opens its sockets, handles signals and serves until it is shut down.
 
 mod cli;
--- a/crates/aggregator/src/process/error.rs
+++ b/crates/aggregator/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why an aggregator could not start or serve.
+//! Errors that prevent an aggregator from starting or serving.
 
 use crate::configuration::ConfigurationError;
 use crate::error::ErrorClass;
@@ -17,36 +17,36 @@
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Logging can't be started.
+    /// Logging cannot be started.
     #[error(transparent)]
     Logging(#[from] LoggingError),
-    /// A frontend can't be opened.
+    /// A frontend cannot be opened.
     #[error(transparent)]
     Frontend(#[from] FrontendError),
-    /// The asynchronous runtime can't be started.
-    #[error("no runtime: {0}")]
+    /// The asynchronous runtime cannot be started.
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The signal handlers can't be installed.
-    #[error("no signals: {0}")]
+    /// The signal handlers cannot be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The usage log can't be opened.
-    #[error("usage log: {0}")]
+    /// The usage log cannot be opened.
+    #[error("cannot open the usage log: {0}")]
     UsageLog(#[source] usage_ledger::writer::StartError),
-    /// The address for clients can't be bound.
+    /// The address for clients cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address that the configuration names.
         address: SocketAddr,
-        /// Why it can't be bound.
+        /// Why the address cannot be bound.
         source: io::Error,
     },
-    /// The address for gossip messages can't be bound.
-    #[error("cannot listen for other mixers: {0}")]
+    /// The address for gossip messages cannot be bound.
+    #[error("cannot listen for messages of other mixers: {0}")]
     Gossip(#[source] io::Error),
 }
 
 impl ServeError {
-    /// Who has to act on the error.
+    /// Returns the class of the error.
     pub fn class(&self) -> ErrorClass {
         match self {
             ServeError::Configuration(_) | ServeError::Settings(_) => ErrorClass::Configuration,
--- a/crates/aggregator/src/process/mod.rs
+++ b/crates/aggregator/src/process/mod.rs
@@ -28,15 +28,15 @@
 use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::writer::{self, RunClass, RunTables};
 
-/// What the files state at the start of the process.
+/// Content of the files at the start of the process.
 struct Startup {
     config: Config,
     settings: Settings,
-    /// None if the usage log is off.
+    /// `None` if the usage log is off.
     usage_log: Option<UsageLogSettings>,
 }
 
-/// Runs the aggregator until it is shut down by a signal.
+/// Runs the aggregator until a signal shuts it down.
 pub fn run(files: &Files) -> Result<(), ServeError> {
     let startup = read_files(files)?;
     let logging = Logging::start(LogSettings::read(&startup.settings)?)?;
@@ -131,7 +131,7 @@
     );
 }
 
-/// Starts the usage log's writer, which has a thread of its own.
+/// Starts the writer of the usage log, which has its own thread.
 fn start_recorder(
     usage_log: &UsageLogSettings,
     config: &Config,
--- a/crates/aggregator/src/process/reload.rs
+++ b/crates/aggregator/src/process/reload.rs
@@ -1,7 +1,7 @@
 //! Reload of the configuration, the settings and the certificate while the process runs.
 //!
-//! Each of the three is validated before it is applied. An invalid one is logged and the previous
-//! one stays in force; the other two are still applied.
+//! Each of the three is validated before it is applied. If one is invalid, an error is logged and
+//! the previous one stays in force, while the other two are still applied.
 
 use crate::configuration;
 use crate::files::Files;
@@ -12,34 +12,34 @@
 use opensearch_gateway::tls::ReloadableTls;
 use std::rc::Rc;
 
-/// Why changed settings are not applied.
+/// Why changed settings could not be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// They are invalid.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Their log levels can't be applied.
+    /// The log levels cannot be applied.
     #[error(transparent)]
     Logging(#[from] LoggingError),
 }
 
-/// Applies changed files, and compares them with what the process was started with.
+/// Applies changed files, and compares them with the files at the start of the process.
 pub struct Reloader {
-    /// The files to read.
+    /// Files to read on each reload.
     pub files: Files,
-    /// The configuration at the start.
+    /// Configuration at the start of the process.
     pub config: Config,
-    /// The settings at the start.
+    /// Settings at the start of the process.
     pub settings: Settings,
-    /// The logging whose levels follow the settings.
+    /// Logging, whose levels are set from the settings.
     pub logging: Logging,
-    /// The certificate in use, if a frontend uses TLS.
+    /// Certificate in use; `None` if no frontend uses TLS.
     pub tls: Option<Rc<ReloadableTls>>,
 }
 
 impl Reloader {
-    /// Reads all files and applies what can be changed without a restart. Returns the addresses to
-    /// use from now on, or `None` if the configuration is invalid.
+    /// Reads all files and applies the values that can be changed without a restart. Returns the
+    /// addresses of other processes, or `None` if the configuration is invalid.
     pub fn reload(&self) -> Option<Addresses> {
         self.reload_settings();
         self.reload_certificate();
@@ -50,9 +50,11 @@
         match self.apply_settings() {
             Ok(settings) => {
                 let changed = self.settings.needs_restart(&settings, &SCHEMA);
-                warn_of_restart("settings", &changed.join(", "));
+                warn_if_restart_needed("settings", &changed.join(", "));
+            }
+            Err(error) => {
+                tracing::error!("settings not reloaded, previous settings stay in force: {error}");
             }
-            Err(error) => tracing::error!("the settings stay as they were: {error}"),
         }
     }
 
@@ -67,8 +69,10 @@
             return;
         };
         match tls.reload() {
-            Ok(()) => tracing::info!("certificate and key read again"),
-            Err(error) => tracing::error!("the certificate stays as it was: {error}"),
+            Ok(()) => tracing::info!("certificate and key reloaded"),
+            Err(error) => tracing::error!(
+                "certificate not reloaded, previous certificate stays in force: {error}"
+            ),
         }
     }
 
@@ -76,25 +80,27 @@
         match configuration::read(self.files.config.as_deref()?) {
             Ok(config) => {
                 let changed = self.config.needs_restart(&config);
-                warn_of_restart("configuration", &changed.join(", "));
+                warn_if_restart_needed("configuration", &changed.join(", "));
                 let discovery = config.addresses.discovery;
-                tracing::info!(%discovery, "configuration read again");
+                tracing::info!(%discovery, "configuration reloaded");
                 Some(config.addresses)
             }
             Err(error) => {
-                tracing::error!("the configuration stays as it was: {error}");
+                tracing::error!(
+                    "configuration not reloaded, previous configuration stays in force: {error}"
+                );
                 None
             }
         }
     }
 }
 
-/// Logs the changed keys that only a restart applies, if there are any.
-fn warn_of_restart(file: &str, changed: &str) {
+/// Logs a warning if changed keys take effect only after a restart.
+fn warn_if_restart_needed(file: &str, changed: &str) {
     if !changed.is_empty() {
         tracing::warn!(
             restart = changed,
-            "changed in the {file}, but only a restart takes it up"
+            "changes in the {file} take effect only after a restart"
         );
     }
 }
--- a/crates/aggregator/src/process/signals.rs
+++ b/crates/aggregator/src/process/signals.rs
@@ -1,8 +1,8 @@
-//! Handlers of the signals that operators send: SIGTERM and SIGINT start a graceful shutdown,
-//! SIGHUP a reload.
+//! Handlers for the signals of operators: SIGTERM and SIGINT start a graceful shutdown, SIGHUP a
+//! reload.
 //!
-//! Each becomes an [`OperatorSignal`], which the event loop of `aggregator_core::net` passes to the
-//! engine.
+//! Each signal becomes an [`OperatorSignal`], which the event loop of `aggregator_core::net` passes
+//! to the engine.
 
 use super::reload::Reloader;
 use aggregator_core::net::OperatorSignal;
@@ -11,10 +11,10 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Signals that may wait for the event loop; more wait in the operating system.
+/// Maximum number of queued signals. Further ones stay pending in the operating system.
 const MAX_QUEUED_SIGNALS: usize = 1;
 
-/// Starts one task for each signal. Must run inside a `LocalSet`.
+/// Spawns one task per signal. Must run inside a `LocalSet`.
 pub fn spawn_handlers(reloader: Rc<Reloader>) -> io::Result<mpsc::Receiver<OperatorSignal>> {
     let (sender, receiver) = mpsc::channel(MAX_QUEUED_SIGNALS);
     for kind in [
@@ -27,7 +27,7 @@
         tokio::task::spawn_local(async move {
             while signals.recv().await.is_some() {
                 let signal = handle_signal(kind, &reloader);
-                // Fails once the process has stopped serving: the signal has no effect then.
+                // Fails once the process has stopped serving, when signals have no effect.
                 let _ = sender.send(signal).await;
             }
         });
@@ -35,7 +35,7 @@
     Ok(receiver)
 }
 
-/// Reloads the files on SIGHUP. Returns what the event loop has to do.
+/// Reloads the files on SIGHUP. Returns the request for the event loop.
 fn handle_signal(kind: SignalKind, reloader: &Reloader) -> OperatorSignal {
     if kind == SignalKind::hangup() {
         OperatorSignal::Reload(reloader.reload())
--- a/crates/aggregator/src/settings/log.rs
+++ b/crates/aggregator/src/settings/log.rs
@@ -1,11 +1,11 @@
-//! The section `[log]` of the settings: levels by target, and the format of events.
+//! Section `[log]` of the settings: levels by target, and the format of events.
 
 use super::SettingsError;
 use crate::legacy_names;
 use ini_config::{Key, Kind, Schema, Section, Settings};
 use tracing_subscriber::filter::Targets;
 
-/// The section and its keys.
+/// The section `[log]` and its keys.
 pub const SECTION: Section = Section::new(
     "log",
     &[
@@ -13,50 +13,50 @@
             "level",
             Kind::Choice(&["error", "warn", "info", "debug", "trace"]),
             Some("info"),
-            "The least level that is logged. \
+            "Lowest level that is logged. \
              QUERY_AGGREGATOR_LOG in the environment takes precedence.",
         ),
         Key::reloadable(
             "targets",
             Kind::Text,
             Some(""),
-            "Levels of single targets, as in aggregator_core::engine=debug,usage_ledger=warn.",
+            "Levels of single targets, for example aggregator_core::engine=debug,usage_ledger=warn.",
         ),
         Key::new(
             "format",
             Kind::Choice(&["text", "json"]),
             Some("text"),
-            "One line of text, or one JSON object, for each event.",
+            "Format of an event: one line of text, or one JSON object.",
         ),
     ],
 );
 
-/// A schema of this section alone, to look up the defaults of its keys.
+/// Schema of this section only, for the defaults of its keys.
 const SCHEMA: Schema = Schema(&[SECTION]);
 
-/// The level that is logged where neither the settings nor the environment name one.
+/// Level that is logged if neither the settings nor the environment name one.
 const DEFAULT_LEVEL: &str = "info";
 
-/// How an event is written.
+/// Format of logged events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text.
+    /// One line of text per event.
     Text,
-    /// One JSON object.
+    /// One JSON object per event.
     Json,
 }
 
-/// What is logged and how.
+/// Filter and format of the log.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// The level of each target.
+    /// Level of each target.
     pub filter: Targets,
-    /// The format of events.
+    /// Format of events.
     pub format: LogFormat,
 }
 
 impl LogSettings {
-    /// Reads the section. A level in the environment takes precedence over the file's.
+    /// Reads the section. A level in the environment takes precedence over the one in the file.
     pub fn read(settings: &Settings) -> Result<LogSettings, SettingsError> {
         let format = settings.section(&SCHEMA, SECTION.name).text("format");
         Ok(LogSettings {
@@ -84,12 +84,12 @@
     legacy_names::current_log_targets(&directives)
         .parse()
         .map_err(|error| {
-            let reason = format!("'{directives}' does not do: {error}");
+            let reason = format!("invalid log filter '{directives}': {error}");
             values.problem("targets", reason).into()
         })
 }
 
-/// The level that the environment names, if any.
+/// Returns the level that the environment names, if any.
 fn environment_level() -> Option<String> {
     let value = legacy_names::environment_variable(legacy_names::LOG_VARIABLE)?;
     value.into_string().ok().filter(|level| !level.is_empty())
--- a/crates/aggregator/src/settings/mod.rs
+++ b/crates/aggregator/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' settings: one INI file for logging, the usage log, the ledger and the frontends.
+//! Settings of the operator: one INI file for logging, the usage log, the ledger and the frontends.
 
 mod log;
 
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use usage_ledger::settings as ledger;
 
-/// All sections that the file may have.
+/// Schema with all sections that the file may have.
 pub const SCHEMA: Schema = Schema(&[
     log::SECTION,
     ledger::USAGE,
@@ -25,15 +25,15 @@
     gateway::NETWORK_SECTION,
 ]);
 
-/// Why there are no valid settings.
+/// Why no settings could be read.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file can't be read.
-    #[error("cannot read the settings {}: {source}", path.display())]
+    /// The file cannot be read.
+    #[error("cannot read settings file {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// Why the file cannot be read.
         source: io::Error,
     },
     /// The file does not follow the schema, or its values contradict each other.
@@ -41,7 +41,7 @@
     Invalid(#[from] Problems),
 }
 
-/// Reads the settings from a file, or returns the defaults where no file is named.
+/// Reads the settings from a file. Returns the defaults if no file is named.
 pub fn read(path: Option<&Path>) -> Result<Settings, SettingsError> {
     let Some(path) = path else {
         return Ok(Settings::defaults());
--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -1,4 +1,4 @@
-//! Writes the engine's usage records to the usage log.
+//! Writes the usage records of the engine to the usage log.
 
 use aggregator_core::engine::usage::{QueryOutcome, QueryUsage, UsageWatermark};
 use aggregator_core::net::UsageRecorder;
@@ -10,13 +10,13 @@
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// Records the engine's usage in a usage log.
+/// Recorder that writes the engine's usage records to a usage log.
 pub struct UsageLogRecorder {
     writer: UsageLogWriter,
 }
 
 impl UsageLogRecorder {
-    /// A recorder whose records go to the thread of this writer.
+    /// Creates a recorder that sends its records to the thread of `writer`.
     pub fn new(writer: UsageLogWriter) -> UsageLogRecorder {
         UsageLogRecorder { writer }
     }
@@ -31,12 +31,13 @@
         accepted
     }
 
-    /// A watermark that does not fit into the writer's queue is dropped: the next one covers it.
-    fn record_watermark(&mut self, mark: UsageWatermark) {
+    /// Queues a watermark. If the writer's queue is full, the watermark is dropped, since the next
+    /// one covers it.
+    fn record_watermark(&mut self, watermark: UsageWatermark) {
         self.writer.try_enqueue(What::Mark(Mark {
-            sequence: mark.sequence,
-            complete_ms: mark.complete_until / NANOS_PER_MS,
-            end: mark.is_final,
+            sequence: watermark.sequence,
+            complete_ms: watermark.complete_until / NANOS_PER_MS,
+            end: watermark.is_final,
         }));
     }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// Converts a record to the published wire format, whose names differ from the engine's.
+/// Converts a record to the published wire format, which uses other names than the engine.
 fn wire_record(usage: QueryUsage) -> Record {
     let (outcome, share) = match usage.outcome {
         QueryOutcome::Complete => (WireOutcome::Whole, 0),
--- a/crates/aggregator/tests/command_line.rs
+++ b/crates/aggregator/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as operators use it: its output, its messages and its exit codes.
+//! The command line as operators use it: output, messages and exit codes.
 
 mod support {
     pub mod command_line;
@@ -9,7 +9,7 @@
 use std::process::Stdio;
 use support::command_line::{command, run, stderr, stdout};
 
-/// Settings that are invalid, and what is reported after the name of their file.
+/// Invalid settings, and the beginning of the message after the name of the settings file.
 const INVALID_SETTINGS: &[(&str, &str)] = &[
     ("[loge]\nlevel = info\n", "1: unknown section [loge]; did you mean 'log'?"),
     ("[log]\n\nlevl = info\n", "3: unknown key 'levl' in [log]; did you mean 'level'?"),
@@ -36,7 +36,7 @@
     ("level = info\n", "1: key 'level' is outside of any section"),
 ];
 
-/// Calls that fail: arguments, exit code, and a part of the message.
+/// Calls that fail: arguments, exit code, and an excerpt of the message.
 const FAILING_CALLS: &[(&[&str], i32, &str)] = &[
     (&[], 3, "BALANCER_CONFIG"),
     (&["--config", "/nowhere"], 3, "/nowhere"),
@@ -111,14 +111,15 @@
     assert!(row("[price lookup] whole").contains("own.ini:5"), "{text}");
 }
 
-/// The sample names every key with its default; as it is it changes nothing.
+/// The sample settings name every key with its default. With all keys commented out, as delivered,
+/// they change nothing.
 #[test]
 fn the_sample_settings_document_every_key_with_its_default() {
     let sample = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/query-aggregator.ini");
     let text = fs::read_to_string(&sample).unwrap();
     let output = run(&["check", "--settings", sample.to_str().unwrap()]);
     assert!(output.status.success(), "{}", stderr(&output));
-    // It is valid with every line uncommented, too.
+    // The sample is also valid with every line uncommented.
     let folder = tempfile::tempdir().unwrap();
     let all = folder.path().join("all.ini");
     let uncommented: String = text
@@ -139,7 +140,7 @@
         .collect();
     assert!(
         settings_rows.len() >= 28 && missing.is_empty(),
-        "not in the sample: {missing:#?}"
+        "expected every key in the sample, missing: {missing:#?}"
     );
 }
 
@@ -165,8 +166,8 @@
     );
 }
 
-/// Unit files written for the old name of the program go on working, with one line that says what
-/// to change.
+/// Unit files that use the old name of the program keep working, with a one-line warning that says
+/// what to change.
 #[test]
 fn old_environment_variables_are_used_with_one_warning() {
     let folder = tempfile::tempdir().unwrap();
@@ -182,7 +183,7 @@
             .env_remove("COTTONHILL_LOG")
             .envs(variables.iter().copied())
             .output()
-            .expect("the program starts")
+            .expect("the program should start")
     };
     let old = check_with(&[
         ("COTTONHILL_SETTINGS", path.to_str().unwrap()),
@@ -207,7 +208,7 @@
     ];
     assert!(
         check_with(&both).status.success(),
-        "the new name takes precedence over the old one"
+        "expected the new name to take precedence over the old one"
     );
     let neither = check_with(&[]);
     assert!(
--- a/crates/aggregator/tests/reload.rs
+++ b/crates/aggregator/tests/reload.rs
@@ -1,5 +1,5 @@
-//! The program as operators run it: reload by SIGHUP with a valid and an invalid configuration, and
-//! graceful shutdown after both. It stays one process throughout.
+//! The program as operators run it: reloads on SIGHUP with a valid and an invalid configuration,
+//! and a graceful shutdown after both. The program stays a single process throughout.
 
 mod support {
     pub mod aggregator_process;
@@ -30,28 +30,30 @@
     let mut program = AggregatorProcess::start("reload", &config(&old));
     let mut first_watch = old.accept_watch().await;
     program.write_config("{");
-    program.signal("-HUP", "stays as it was").await;
+    program
+        .signal("-HUP", "previous configuration stays in force")
+        .await;
     program.write_config(&config(&new));
-    program.signal("-HUP", "read again").await;
+    program.signal("-HUP", "configuration reloaded").await;
     let second_watch = new.accept_watch().await;
     assert!(
         second_watch.request.contains("from=41 "),
-        "it resumes from the endpoint list it has: {}",
+        "expected a watch that continues from the known endpoint list: {}",
         second_watch.request
     );
     assert_eq!(
         first_watch.stream.read(&mut [0]).await.unwrap(),
         0,
-        "the old watch has ended"
+        "expected the old watch to have ended"
     );
     program.write_config(&config(&old));
-    program.signal("-HUP", "read again").await;
+    program.signal("-HUP", "configuration reloaded").await;
     let _third_watch = old.accept_watch().await;
     program.signal("-TERM", "exit requested").await;
     assert!(program.wait_for_exit());
 }
 
-/// The ids of all child processes of a process.
+/// Returns the ids of all child processes of a process, or an empty string if there are none.
 #[cfg(target_os = "linux")]
 fn child_processes(id: u32) -> String {
     let threads = std::fs::read_dir(format!("/proc/{id}/task")).unwrap();
@@ -68,7 +70,7 @@
     let mut program = AggregatorProcess::start("one-process", &config(&discovery));
     let _first_watch = discovery.accept_watch().await;
     assert_eq!(child_processes(program.id()), "");
-    program.signal("-HUP", "read again").await;
+    program.signal("-HUP", "configuration reloaded").await;
     let _second_watch = discovery.accept_watch().await;
     assert_eq!(child_processes(program.id()), "");
     program.signal("-TERM", "exit requested").await;
--- a/crates/aggregator/tests/support/aggregator_process.rs
+++ b/crates/aggregator/tests/support/aggregator_process.rs
@@ -1,4 +1,4 @@
-//! A running aggregator: its configuration file, its signals and its log.
+//! Runs the aggregator as a process: its configuration file, signals and log.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,10 +7,10 @@
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::net::unix::pipe;
 
-/// Ends a test whose program hangs: nothing in the tests waits for time to pass.
+/// Time after which a test whose program hangs is ended. No test waits for time to pass.
 pub const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running aggregator; killed when it is dropped.
+/// A running aggregator, which is killed when the value is dropped.
 pub struct AggregatorProcess {
     child: Child,
     config_path: PathBuf,
@@ -18,7 +18,7 @@
 }
 
 impl AggregatorProcess {
-    /// Starts the program with this configuration; `name` tells the files of several tests apart.
+    /// Starts the program with this configuration. `name` distinguishes the files of several tests.
     pub fn start(name: &str, config: &str) -> AggregatorProcess {
         let file_name = format!("query-aggregator-{}-{name}.json", std::process::id());
         let config_path = std::env::temp_dir().join(file_name);
@@ -28,7 +28,7 @@
             .env("QUERY_AGGREGATOR_LOG", "info")
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
+            .expect("the program should start");
         let stderr = child.stderr.take().unwrap();
         let log = pipe::Receiver::from_owned_fd(stderr.into()).unwrap();
         AggregatorProcess {
@@ -38,17 +38,17 @@
         }
     }
 
-    /// The process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Replaces the configuration file; the program does not read it before it gets a signal.
+    /// Replaces the configuration file, which the program does not read again before a signal.
     pub fn write_config(&self, config: &str) {
         fs::write(&self.config_path, config).unwrap();
     }
 
-    /// Sends a signal, then reads the log up to a line that contains `expected_log`.
+    /// Sends a signal, then reads the log up to the first line that contains `expected_log`.
     pub async fn signal(&mut self, signal: &str, expected_log: &str) {
         let pid = self.id().to_string();
         assert!(Command::new("kill")
@@ -63,7 +63,7 @@
         loop {
             let line = tokio::time::timeout(HANG_TIMEOUT, self.log.next_line())
                 .await
-                .unwrap_or_else(|_| panic!("'{expected}' is never logged"))
+                .unwrap_or_else(|_| panic!("expected '{expected}' in the log in time"))
                 .unwrap()
                 .unwrap_or_else(|| panic!("the program ended before it logged '{expected}'"));
             if line.contains(expected) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Waits for the program to end; whether it was successful.
+    /// Waits for the program to exit. Returns whether it was successful.
     pub fn wait_for_exit(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
--- a/crates/aggregator/tests/support/command_line.rs
+++ b/crates/aggregator/tests/support/command_line.rs
@@ -1,8 +1,8 @@
-//! Runs the program to its end, with an environment that names no files.
+//! Runs the program until it exits, with an environment that names no files.
 
 use std::process::{Command, Output};
 
-/// The program with these arguments, ready to run.
+/// Returns the command that runs the program with these arguments.
 pub fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_query-aggregator"));
     command
@@ -13,17 +13,19 @@
     command
 }
 
-/// Runs the program with these arguments.
+/// Runs the program with these arguments until it exits.
 pub fn run(arguments: &[&str]) -> Output {
-    command(arguments).output().expect("the program starts")
+    command(arguments)
+        .output()
+        .expect("the program should start")
 }
 
-/// What the program has written to standard error.
+/// Returns the standard error of the program.
 pub fn stderr(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// What the program has written to standard output.
+/// Returns the standard output of the program.
 pub fn stdout(output: &Output) -> String {
     String::from_utf8(output.stdout.clone()).unwrap()
 }
