--- a/crates/testkit/src/installation/ledger.rs
+++ b/crates/testkit/src/installation/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of an installation: its settlement process and its commands.
+//! Ledger of an installation: its settlement process and its commands.
 
 use super::InstallationError;
 use crate::process::Process;
@@ -9,18 +9,18 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// What a command printed, on both of its outputs.
+/// Exit status and output of a command.
 #[derive(Clone, Debug)]
 pub struct CommandOutput {
-    /// Whether its exit code was 0.
+    /// Whether the exit code was 0.
     pub success: bool,
-    /// The standard output and then the standard error.
+    /// Standard output followed by standard error.
     pub text: String,
 }
 
-/// The ledger's settings, and its settlement process if that runs.
+/// Ledger of an installation: its settings, and its settlement process while that runs.
 pub struct InstalledLedger {
-    /// The file of settings.
+    /// Path of the settings file.
     pub settings_file: PathBuf,
     folder: PathBuf,
     program: PathBuf,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Writes the settings: the store, the members' sections, and further ones.
+    /// Writes the settings: the store, the sections of the members, and `further` sections.
     pub(super) fn write_settings(&self, members: &str, further: &str) -> io::Result<()> {
         let store = self.folder.join("ledger.sqlite");
         let store = store.display();
@@ -47,33 +47,33 @@
         )
     }
 
-    /// Starts the settlement.
+    /// Starts the settlement process.
     ///
     /// # Errors
-    /// It can't be started.
+    /// Returns an error if the process cannot be started.
     pub fn start_settlement(&mut self) -> io::Result<()> {
         let log = self.folder.join("ledger.log");
         self.settlement = Some(Process::start(&mut self.command(["serve"]), &log)?);
         Ok(())
     }
 
-    /// Kills the settlement, as a crash does.
+    /// Kills the settlement process without a graceful shutdown, to simulate a crash.
     pub fn kill_settlement(&mut self) {
         self.settlement = None;
     }
 
-    /// Requests a graceful shutdown of the settlement; true if it exits with success within
-    /// `limit`.
+    /// Requests a graceful shutdown of the settlement process and waits. Returns whether it exits
+    /// successfully within `limit`.
     pub fn terminate_settlement(&mut self, limit: Duration) -> bool {
         self.settlement
             .as_mut()
             .is_some_and(|process| process.terminate(limit))
     }
 
-    /// Runs a command of the ledger.
+    /// Runs a ledger command to completion.
     ///
     /// # Errors
-    /// It can't be started.
+    /// Returns an error if the command cannot be started.
     pub fn run<Argument: AsRef<str>>(
         &self,
         arguments: impl IntoIterator<Item = Argument>,
@@ -86,10 +86,10 @@
         })
     }
 
-    /// Runs a command of the ledger that prints JSON.
+    /// Runs a ledger command with JSON output and parses the output.
     ///
     /// # Errors
-    /// It can't be started or prints no JSON.
+    /// Returns an error if the command cannot be started, or if its output is not valid JSON.
     pub fn run_json<Argument: AsRef<str>>(
         &self,
         arguments: impl IntoIterator<Item = Argument>,
@@ -98,7 +98,7 @@
             .command(arguments)
             .args(["--format", "json"])
             .output()?;
-        serde_json::from_slice(&output.stdout).map_err(|_| InstallationError::NoJson {
+        serde_json::from_slice(&output.stdout).map_err(|_| InstallationError::InvalidJson {
             stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
         })
     }
--- a/crates/testkit/src/installation/mod.rs
+++ b/crates/testkit/src/installation/mod.rs
@@ -1,5 +1,5 @@
-//! A complete installation on loopback: discovery, leaf servers in three zones, real aggregators,
-//! and their ledger.
+//! Complete installation on loopback: discovery, leaf servers in three zones, real aggregators, and
+//! their ledger.
 
 mod address;
 mod aggregator;
@@ -26,61 +26,62 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The program that aggregators and the ledger's commands run.
+/// Name of the executable of the aggregators and of the ledger commands.
 const AGGREGATOR_PROGRAM: &str = "query-aggregator";
 
-/// Why an installation can't be started or used.
+/// Error of starting or using an installation.
 #[derive(Debug, thiserror::Error)]
 pub enum InstallationError {
-    /// The aggregator's program has not been built.
+    /// The aggregators' executable was not found.
     #[error(transparent)]
     Program(#[from] ProgramError),
-    /// A started aggregator does not become ready in time.
-    #[error("aggregator {name} does not become ready: {log}")]
+    /// A started aggregator did not become ready in time.
+    #[error("aggregator {name} did not become ready in time; its log: {log}")]
     AggregatorNotReady {
-        /// The aggregator's name.
+        /// Name of the aggregator.
         name: String,
-        /// What it has logged.
+        /// Complete log of the aggregator.
         log: String,
     },
-    /// The output of a ledger command is not JSON.
-    #[error("{stderr}")]
-    NoJson {
-        /// Its standard error.
+    /// The output of a ledger command is not valid JSON.
+    #[error("output of a ledger command is not valid JSON; its standard error: {stderr}")]
+    InvalidJson {
+        /// Standard error of the command.
         stderr: String,
     },
-    /// A port, a file or a process can't be used.
+    /// An operation on a port, a file or a process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The options of an installation.
+/// Options of an installation.
 #[derive(Clone, Debug)]
 pub struct InstallationOptions {
-    /// The seed of all random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How the leaf servers work.
+    /// Speed and capacity of the leaf servers.
     pub leaf: LeafOptions,
-    /// Whether aggregators keep a usage log.
+    /// Whether the aggregators write a usage log.
     pub usage_log: bool,
-    /// Whether aggregators serve the OpenSearch gateway as well.
+    /// Whether the aggregators serve the OpenSearch gateway in addition to the native frontend.
     pub gateway: bool,
-    /// Further sections of the ledger's settings, after its store and members.
+    /// Sections appended to the ledger's settings, after its store and members.
     pub ledger_settings: String,
-    /// The client timeout of all classes, if it differs from each class's own.
+    /// Client timeout of all classes; `None` for each class's own.
     pub client_timeout: Option<Duration>,
-    /// The latency objective of all classes, if it differs from each class's own.
+    /// Latency objective of all classes; `None` for each class's own.
     pub latency_objective: Option<Duration>,
-    /// The log filter of the aggregators, if it differs from the default.
+    /// Log filter of the aggregators; `None` for the default.
     pub log_filter: Option<String>,
-    /// The limit on file descriptors of each aggregator, if it is below that of its settings.
+    /// Limit on open file descriptors of each aggregator, to set one below that of its
+    /// configuration; `None` to inherit the limit.
     pub max_descriptors: Option<u32>,
-    /// The aggregators' program, if it is not the one that was built along with this one.
+    /// Path of the aggregators' executable; `None` for the one built together with this program.
     pub program: Option<PathBuf>,
 }
 
 impl InstallationOptions {
-    /// Options with the native frontend only.
+    /// Creates options with the native frontend only and no usage log.
     pub fn new(seed: u64, leaf: LeafOptions) -> InstallationOptions {
         InstallationOptions {
             seed,
@@ -97,13 +98,13 @@
     }
 }
 
-/// A running installation. All its processes and servers end when it is dropped.
+/// Running installation. Its processes and servers are killed when it is dropped.
 pub struct Installation {
-    /// The aggregators, one a zone.
+    /// Aggregators, one per zone, in the order of [`ZONES`].
     pub aggregators: Vec<Aggregator>,
-    /// The ledger.
+    /// Ledger, with the aggregators as its members.
     pub ledger: InstalledLedger,
-    /// The path of the aggregator's program.
+    /// Path of the aggregators' executable.
     pub program: PathBuf,
     launch: LaunchOptions,
     discovery: DiscoveryServer,
@@ -111,10 +112,12 @@
 }
 
 impl Installation {
-    /// Starts leaf servers and discovery, writes all files, and starts the aggregators.
+    /// Starts leaf servers and discovery, writes all files to `folder`, and starts the aggregators.
+    /// The settlement process is not started.
     ///
     /// # Errors
-    /// A part of it can't be started.
+    /// Returns an error if the executable is missing, or if a file cannot be written, a process
+    /// cannot be started or an aggregator does not become ready.
     pub async fn start(
         folder: &Path,
         options: &InstallationOptions,
@@ -154,22 +157,22 @@
     /// Starts an aggregator's process without waiting until it is ready.
     ///
     /// # Errors
-    /// It can't be started.
+    /// Returns an error if the process cannot be started.
     pub fn launch_aggregator(&mut self, index: usize) -> io::Result<()> {
         self.aggregators[index].launch(&self.launch)
     }
 
-    /// Starts an aggregator, also one that was killed, and waits until it is ready.
+    /// Starts an aggregator, or restarts one that was killed, and waits until it is ready.
     ///
     /// # Errors
-    /// It can't be started or does not become ready within 10 s.
+    /// Returns an error if the process cannot be started or does not become ready within 10 s.
     pub async fn start_aggregator(&mut self, index: usize) -> Result<(), InstallationError> {
         self.launch_aggregator(index)?;
         self.aggregators[index].wait_until_ready().await
     }
 
-    /// Terminates all aggregators, one after the other; true if each exits with success within
-    /// `limit`.
+    /// Shuts down all aggregators gracefully, one after the other. Returns whether each exits
+    /// successfully within `limit`.
     pub fn terminate_aggregators(&mut self, limit: Duration) -> bool {
         let mut clean = true;
         for aggregator in &mut self.aggregators {
@@ -178,22 +181,22 @@
         clean
     }
 
-    /// Kills the leaf servers of a zone; discovery does not publish that.
+    /// Kills the leaf servers of a zone without a change of the endpoint list.
     pub fn lose_zone(&mut self, zone: usize) {
         self.leaves.stop_zone(zone);
     }
 
-    /// Starts the leaf servers of a zone, at other addresses than before, and publishes them.
+    /// Starts the leaf servers of a zone at new addresses and publishes them in the endpoint list.
     ///
     /// # Errors
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn restore_zone(&mut self, zone: usize, start: LeafStart) -> io::Result<()> {
         let changes = self.leaves.start_zone(zone, start).await?;
         self.discovery.publish(changes);
         Ok(())
     }
 
-    /// Where the aggregators serve queries.
+    /// Returns the addresses of the aggregators' native frontends.
     pub fn aggregator_addresses(&self) -> Vec<SocketAddr> {
         self.aggregators
             .iter()
@@ -201,7 +204,7 @@
             .collect()
     }
 
-    /// Adds the aggregator of the next zone and starts it.
+    /// Adds an aggregator as that of the next zone, writes its files and starts it.
     async fn add_aggregator(
         &mut self,
         aggregator: Aggregator,
@@ -224,7 +227,7 @@
     }
 }
 
-/// The current Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 pub fn now_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/testkit/src/leaf/frame.rs
+++ b/crates/testkit/src/leaf/frame.rs
@@ -1,25 +1,26 @@
-//! Frames between aggregators and leaf servers: a length in 4 bytes, a letter, and the payload.
+//! Frames of the protocol between aggregators and leaf servers: a big-endian length of 4 bytes, one
+//! letter for the kind, and the payload. The length covers the letter and the payload.
 
 use tokio::io::AsyncReadExt;
 use tokio::net::tcp::OwnedReadHalf;
 
-/// The longest frame that is accepted, in bytes.
+/// Maximum length of a received frame in bytes, without the length itself.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// The kind of a frame, a letter on the wire.
+/// Kind of a frame, encoded as one letter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FrameKind {
-    /// Parts of queries, from an aggregator.
+    /// Parts of queries, sent by an aggregator.
     Query,
-    /// The cancellation of a part, from an aggregator.
+    /// Cancellation of a part, sent by an aggregator.
     Cancel,
-    /// A health check and its answer.
+    /// Health check, and the answer to one.
     HealthCheck,
-    /// A request for a load report and its answer.
+    /// Request for a load report, and the answer to one.
     LoadReport,
-    /// The answer to a part, from a leaf server.
+    /// Answer to a part, sent by a leaf server.
     Answer,
-    /// A protocol error, from a leaf server.
+    /// Protocol error, sent by a leaf server.
     Error,
 }
 
@@ -51,20 +52,20 @@
     }
 }
 
-/// A frame without its length.
+/// Decoded frame.
 pub(super) struct LeafFrame {
     pub(super) kind: FrameKind,
     pub(super) payload: Vec<u8>,
 }
 
-/// A part of a query, for one shard.
+/// Part of a query for one shard, as received.
 pub(super) struct ReceivedPart {
     pub(super) id: String,
     pub(super) shard: u32,
     pub(super) text: String,
 }
 
-/// The bytes of a frame.
+/// Encodes a frame with its length.
 pub(super) fn encode(kind: FrameKind, payload: &[u8]) -> Vec<u8> {
     let mut bytes = ((payload.len() + 1) as u32).to_be_bytes().to_vec();
     bytes.push(kind.letter());
@@ -72,7 +73,7 @@
     bytes
 }
 
-/// Reads a frame; `None` if the connection has ended or the frame is malformed.
+/// Reads one frame. Returns `None` if the connection has ended or the frame is malformed.
 pub(super) async fn read(stream: &mut OwnedReadHalf) -> Option<LeafFrame> {
     let length = stream.read_u32().await.ok()? as usize;
     if length == 0 || length > MAX_FRAME_BYTES {
@@ -84,7 +85,7 @@
     Some(LeafFrame { kind, payload })
 }
 
-/// Parses the payload of a query frame; `None` if it is malformed.
+/// Parses the payload of a query frame. Returns `None` if the payload is malformed.
 pub(super) fn parse_parts(mut payload: &[u8]) -> Option<Vec<ReceivedPart>> {
     let mut parts = Vec::new();
     while !payload.is_empty() {
--- a/crates/testkit/src/leaf/mod.rs
+++ b/crates/testkit/src/leaf/mod.rs
@@ -1,16 +1,18 @@
-//! A leaf server that answers each part of a query after a service time.
+//! Leaf server that answers each part of a query after a random service time.
 
 mod frame;
 mod server;
 
 pub use server::{LeafOptions, LeafServer};
 
-/// Offset basis and prime of the 64-bit FNV-1a hash.
+/// Offset basis and prime of the 64-bit FNV-1a hash function.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The answer of a shard to a query's text, which clients can compute as well. A text that is JSON
-/// is a search on the shard's documents; the answer to any other text is a hash.
+/// Returns the answer of a shard to a query text, so that clients can verify answers.
+///
+/// A text that is a JSON object is evaluated as a search on the shard's documents; the answer to
+/// any other text is a hash of shard and text.
 pub fn expected_answer(shard: u32, text: &str) -> String {
     if text.starts_with('{') {
         let search = serde_json::from_str(text).unwrap_or_default();
--- a/crates/testkit/src/leaf/server.rs
+++ b/crates/testkit/src/leaf/server.rs
@@ -1,4 +1,4 @@
-//! The sockets of a leaf server and the processing of parts.
+//! Connections of a leaf server, and the processing of parts.
 
 use super::expected_answer;
 use super::frame::{self, FrameKind, LeafFrame, ReceivedPart};
@@ -17,24 +17,24 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Frames that wait to be written to one connection, at most.
+/// Maximum number of frames queued for writing on one connection.
 const MAX_PENDING_FRAMES: usize = 1024;
-/// The service time of a part relative to the configured one.
-const SERVICE_TIME_FACTORS: Range<f64> = 0.5..1.5;
+/// Range of a part's service time, as factors of the configured mean.
+const SERVICE_TIME_FACTOR: Range<f64> = 0.5..1.5;
 
-/// The speed and the capacity of a leaf server.
+/// Speed and capacity of a leaf server.
 #[derive(Clone, Copy, Debug)]
 pub struct LeafOptions {
-    /// The mean service time of a part; one takes between half of and one and a half times it.
+    /// Mean service time of a part; service times are uniform between 0.5 and 1.5 times the mean.
     pub service_time: Duration,
-    /// Parts that are processed at the same time; further ones are rejected as `busy`.
+    /// Maximum number of parts in flight; further parts are rejected as `busy`.
     pub capacity: usize,
 }
 
-/// A leaf server that runs until it is dropped. Its connections end then, as those of a killed
-/// process do.
+/// Leaf server that runs until it is dropped. Dropping it also ends its connections, like those of
+/// a killed process.
 pub struct LeafServer {
-    /// Where the server listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
     task: AbortHandle,
 }
@@ -46,10 +46,10 @@
 }
 
 impl LeafServer {
-    /// Serves on a free port.
+    /// Starts a leaf server on a free port of `ip`.
     ///
     /// # Errors
-    /// No port is free.
+    /// Returns an error if no port is free.
     pub async fn start(ip: IpAddr, options: LeafOptions, seed: u64) -> io::Result<LeafServer> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let address = listener.local_addr()?;
@@ -60,7 +60,7 @@
 
 async fn accept(listener: TcpListener, options: LeafOptions, seed: u64) {
     let in_flight = Arc::<AtomicUsize>::default();
-    // Ends with this task, so that no connection outlives the server.
+    // Dropped with this task, so that no connection outlives the server.
     let mut connections = JoinSet::new();
     for number in 0u64.. {
         let Ok((stream, _)) = listener.accept().await else {
@@ -110,15 +110,15 @@
 struct LeafConnection {
     options: LeafOptions,
     random: StdRng,
-    /// Parts that the server processes, over all connections.
+    /// Number of parts in flight over all connections of the server.
     in_flight: Arc<AtomicUsize>,
     frames: mpsc::Sender<Vec<u8>>,
-    /// The writer and the parts in flight, which end with the connection.
+    /// Tasks of the writer and of the parts in flight, aborted when the connection ends.
     tasks: JoinSet<()>,
 }
 
 impl LeafConnection {
-    /// Handles a frame; false if the connection is to be closed.
+    /// Handles a received frame. Returns whether the connection stays open.
     async fn handle_frame(&mut self, frame: &LeafFrame) -> bool {
         match frame.kind {
             FrameKind::Query => {
@@ -131,19 +131,19 @@
                     self.start_part(part).await;
                 }
             }
-            // A cancelled part is processed to its end, as by a server that reads the cancellation
+            // A cancelled part is still answered, as by a server that receives the cancellation
             // too late.
             FrameKind::Cancel => {}
             FrameKind::HealthCheck => self.send(FrameKind::HealthCheck, b"ok").await,
             FrameKind::LoadReport => self.send(FrameKind::LoadReport, b"-").await,
-            // Leaf servers send these and don't receive them.
+            // Sent by leaf servers only, so receiving one is a protocol error.
             FrameKind::Answer | FrameKind::Error => return false,
         }
         true
     }
 
     async fn start_part(&mut self, part: ReceivedPart) {
-        let factor = self.random.random_range(SERVICE_TIME_FACTORS);
+        let factor = self.random.random_range(SERVICE_TIME_FACTOR);
         let service_time = self.options.service_time.mul_f64(factor);
         if self.in_flight.fetch_add(1, Ordering::Relaxed) >= self.options.capacity {
             self.in_flight.fetch_sub(1, Ordering::Relaxed);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,9 @@
-//! Stand-ins for what an aggregator works with, on loopback: leaf servers, discovery, clients and a
-//! receiver of documents; and complete installations of real aggregators among them, for
-//! demonstrations, tests and benchmarks. Written from the protocol's description; never linked into
-//! the aggregator.
+//! Test doubles of the services around an aggregator, on loopback: leaf servers, discovery, clients
+//! and a receiver of documents.
+//!
+//! [`installation`] combines them with real aggregators into complete installations, on which the
+//! demonstration, the test programs and the benchmark of this crate run. The test doubles are
+//! written from the description of the protocol and are never linked into the aggregator.
 
 pub mod cli;
 pub mod client;
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes: each is killed, by its id, when it is dropped.
+//! Child processes, each of which is killed when its handle is dropped.
 
 use std::fs::{self, File};
 use std::io;
@@ -6,35 +6,35 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// The interval of the checks whether a process has exited.
+/// Interval at which a terminating process is checked for its exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The unit in which the kernel reports processor time.
+/// Clock ticks per second (`USER_HZ`), the unit of processor time in `/proc`.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
-/// Positions of the user and system times in `/proc/PID/stat`, counted after the command's name.
+/// Indices of the user and system times in `/proc/PID/stat`, counted after the command name.
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
 
-/// Why a program of the workspace can't be found.
+/// Error of locating a program of the workspace.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    /// No program of this name lies next to the running one.
-    #[error("{name} has not been built: run cargo build first")]
+    /// There is no executable of this name next to the running one.
+    #[error("program {name} not found; build it with `cargo build` first")]
     NotBuilt {
-        /// The program's name.
+        /// Name of the program.
         name: String,
     },
-    /// The path of the running program is unknown.
+    /// The path of the running executable is unknown.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The program of this name that was built along with the running one.
+/// Returns the path of the executable `name` that was built together with the running one.
 ///
 /// # Errors
-/// It was not built.
+/// Returns an error if the executable does not exist.
 pub fn sibling_program(name: &str) -> Result<PathBuf, ProgramError> {
     let own_path = std::env::current_exe()?;
-    // Tests run from a folder below that of the programs.
+    // Test executables are in a subdirectory of the directory that holds the programs.
     let folders = own_path.ancestors().skip(1).take(2);
     folders
         .map(|folder| folder.join(name))
@@ -42,23 +42,23 @@
         .ok_or_else(|| ProgramError::NotBuilt { name: name.into() })
 }
 
-/// A signal that is sent to a process.
+/// Signal to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Requests a graceful shutdown.
+    /// SIGTERM: requests a graceful shutdown.
     Terminate,
-    /// Requests a reload of the configuration.
+    /// SIGHUP: requests a reload of the configuration.
     Reload,
-    /// Ends the process at once.
+    /// SIGKILL: ends the process immediately.
     Kill,
-    /// Suspends the process.
+    /// SIGSTOP: suspends the process.
     Stop,
-    /// Resumes a suspended process.
+    /// SIGCONT: resumes a suspended process.
     Continue,
 }
 
 impl Signal {
-    /// The option of `kill` that sends it.
+    /// Returns the option of the `kill` command for this signal.
     fn option(self) -> &'static str {
         match self {
             Signal::Terminate => "-TERM",
@@ -70,7 +70,7 @@
     }
 }
 
-/// A running child process.
+/// Child process, killed when dropped.
 pub struct Process {
     child: Child,
 }
@@ -83,10 +83,10 @@
 }
 
 impl Process {
-    /// Starts a command; both of its outputs are appended to a file.
+    /// Starts a command whose standard output and standard error are appended to the file `log`.
     ///
     /// # Errors
-    /// It can't be started.
+    /// Returns an error if the file cannot be opened or the process cannot be started.
     pub fn start(command: &mut Command, log: &Path) -> io::Result<Process> {
         let file = File::options().create(true).append(true).open(log)?;
         let child = command
@@ -97,8 +97,8 @@
         Ok(Process { child })
     }
 
-    /// Requests a graceful shutdown and waits; true if the process exits with success within
-    /// `limit`.
+    /// Requests a graceful shutdown and waits. Returns whether the process exits successfully
+    /// within `limit`.
     pub fn terminate(&mut self, limit: Duration) -> bool {
         let deadline = Instant::now() + limit;
         let mut clean = self.send_signal(Signal::Terminate);
@@ -112,16 +112,17 @@
         false
     }
 
-    /// Seconds of processor time that the process has used.
+    /// Returns the processor time that the process has used, in seconds; `None` if `/proc` has no
+    /// entry for the process.
     pub fn cpu_seconds(&self) -> Option<f64> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
-        // The command's name, in parentheses, may contain spaces.
+        // The command name is in parentheses and may contain spaces.
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
         let ticks = |field: usize| fields.get(field)?.parse::<f64>().ok();
         Some((ticks(USER_TICKS_FIELD)? + ticks(SYSTEM_TICKS_FIELD)?) / CLOCK_TICKS_PER_SECOND)
     }
 
-    /// Sends a signal; false if that is not possible.
+    /// Sends a signal to the process. Returns whether the signal could be sent.
     pub fn send_signal(&self, signal: Signal) -> bool {
         Command::new("kill")
             .args([signal.option(), &self.child.id().to_string()])
@@ -129,7 +130,7 @@
             .is_ok_and(|status| status.success())
     }
 
-    /// The exit status; `None` while the process runs.
+    /// Returns the exit status; `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok()?
     }
--- a/crates/testkit/src/receiver.rs
+++ b/crates/testkit/src/receiver.rs
@@ -1,5 +1,5 @@
-//! A receiver of documents that fails in each way after which the sender can't know whether the
-//! document was stored.
+//! Receiver of exported documents that injects every fault after which the sender cannot tell
+//! whether the document was stored.
 
 use crate::sync::lock;
 use bytes::Bytes;
@@ -16,32 +16,32 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// So many first deliveries of each document are stored and then not acknowledged.
+/// Number of deliveries of each document that are stored without being acknowledged.
 const UNACKNOWLEDGED_DELIVERIES: u32 = 2;
-/// The delay of a response that hangs: longer than any sender waits.
-const HANG: Duration = Duration::from_secs(30);
+/// Delay of a hanging response, longer than the timeout of any sender.
+const HANG_DELAY: Duration = Duration::from_secs(30);
 const LISTEN_BACKLOG: u32 = 64;
 
-/// A document as it was first delivered.
+/// Document with the bytes of its first delivery.
 #[derive(Clone, Debug)]
 pub struct ReceivedDocument {
-    /// The bytes of the first delivery.
+    /// Body of the first delivery.
     pub body: Bytes,
-    /// How often the document was delivered.
+    /// Number of deliveries, the first one included.
     pub deliveries: u32,
 }
 
-/// What a receiver has stored.
+/// Documents that a receiver has stored.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedDocuments {
-    /// Each document once, by its idempotency key.
+    /// Stored documents by their idempotency keys.
     pub by_id: BTreeMap<String, ReceivedDocument>,
-    /// Deliveries of a known document with other bytes than the first time.
+    /// Number of repeated deliveries whose body differs from the first one.
     pub conflicting_deliveries: u32,
 }
 
 impl ReceivedDocuments {
-    /// Stores a delivery and returns how often this document has been delivered.
+    /// Stores a delivery. Returns the number of deliveries of this document so far.
     fn store(&mut self, id: String, body: Bytes) -> u32 {
         let document = self.by_id.entry(id).or_insert_with(|| ReceivedDocument {
             body: body.clone(),
@@ -53,10 +53,11 @@
     }
 }
 
-/// Receives documents until it is dropped; what it stores outlives it, as a disk would.
+/// Server that receives documents until it is dropped. The stored documents outlive the server, as
+/// on a disk.
 ///
-/// The first deliveries of each document are stored and then not acknowledged: the connection is
-/// dropped, the response is a 500, or none comes at all.
+/// The first deliveries of each document are stored but not acknowledged: the connection is
+/// dropped, the response has status 500, or the response hangs.
 pub struct DocumentReceiver {
     task: AbortHandle,
 }
@@ -68,10 +69,10 @@
 }
 
 impl DocumentReceiver {
-    /// Serves on `address`.
+    /// Starts a receiver at `address` that stores into `documents`.
     ///
     /// # Errors
-    /// The address is taken.
+    /// Returns an error if the address is in use.
     pub async fn start(
         address: SocketAddr,
         documents: Arc<Mutex<ReceivedDocuments>>,
@@ -119,13 +120,16 @@
     if deliveries > UNACKNOWLEDGED_DELIVERIES {
         return Ok(empty_response(StatusCode::OK));
     }
-    // Depends on the document, so that each failure is the first one of some document.
+    // The order of the faults depends on the document id, so that each kind of fault comes first
+    // for some documents.
     let failure = (id.bytes().map(u32::from).sum::<u32>() + deliveries) % 3;
     match failure {
-        0 => Err(io::Error::other("dropped after storing")),
+        0 => Err(io::Error::other(
+            "connection dropped after the document was stored",
+        )),
         1 => Ok(empty_response(StatusCode::INTERNAL_SERVER_ERROR)),
         _ => {
-            tokio::time::sleep(HANG).await;
+            tokio::time::sleep(HANG_DELAY).await;
             Ok(empty_response(StatusCode::OK))
         }
     }
--- a/crates/testkit/src/search/aggregation.rs
+++ b/crates/testkit/src/search/aggregation.rs
@@ -6,9 +6,9 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-const DEFAULT_BUCKETS: u64 = 10;
+const DEFAULT_TERMS_BUCKETS: u64 = 10;
 
-/// One aggregation over documents; the buckets of `terms` are exact.
+/// Computes one aggregation over all `hits`. The counts of `terms` buckets are exact.
 pub fn aggregate(aggregation: &Value, hits: &[SearchHit]) -> Value {
     let Some((kind, body)) = aggregation
         .as_object()
@@ -57,7 +57,7 @@
         let by_count = right.count.cmp(&left.count);
         by_count.then_with(|| compare_keys(left, right))
     });
-    let size = body["size"].as_u64().unwrap_or(DEFAULT_BUCKETS) as usize;
+    let size = body["size"].as_u64().unwrap_or(DEFAULT_TERMS_BUCKETS) as usize;
     let other_documents: u64 = buckets.iter().skip(size).map(|bucket| bucket.count).sum();
     buckets.truncate(size);
     json!({
@@ -67,7 +67,7 @@
     })
 }
 
-/// A `histogram` or, with an interval in days, a `date_histogram`.
+/// Computes a `histogram`, or a `date_histogram` with an interval in days.
 fn histogram(body: &Value, numbers: &[f64]) -> Value {
     let interval = body["interval"].as_f64().unwrap_or_else(|| {
         let text = body["fixed_interval"].as_str().unwrap_or("1d");
--- a/crates/testkit/src/search/documents.rs
+++ b/crates/testkit/src/search/documents.rs
@@ -1,28 +1,28 @@
-//! The documents of an index, generated from the shard and the position in it.
+//! Documents of an index, generated from the shard number and the position in the shard.
 
 use serde_json::{json, Value};
 
-/// Words that titles are made of.
+/// Words of which titles consist.
 pub const TITLE_WORDS: [&str; 8] = [
     "raga", "tala", "drum", "song", "night", "river", "gold", "road",
 ];
 /// Values of the field `genre`.
 pub const GENRES: [&str; 5] = ["baila", "film", "folk", "jazz", "pop"];
 
-/// The shard whose field `plays` is text and not a number.
-const SHARD_WITH_TEXTUAL_PLAYS: u32 = 5;
-/// From this shard on there are hardly any documents.
+/// Number of the shard in which the field `plays` is a string instead of a number.
+const SHARD_WITH_STRING_PLAYS: u32 = 5;
+/// Number of the first shard with only a few documents.
 const FIRST_SPARSE_SHARD: u32 = 14;
 const FIRST_RELEASE_MS: u64 = 1_000_000_000_000;
 pub(super) const DAY_MS: u64 = 86_400_000;
 
-/// One document of the index.
+/// Document of the index.
 pub(super) struct IndexDocument {
     pub(super) id: String,
     pub(super) fields: Value,
 }
 
-/// What a pseudo-random number of a document is used for.
+/// Purpose of a document's pseudo-random number; each purpose gets its own number.
 #[derive(Clone, Copy)]
 enum Draw {
     FirstWord = 1,
@@ -35,7 +35,8 @@
     Plays = 8,
 }
 
-/// Number of documents of a shard; later shards have fewer, the last ones hardly any.
+/// Returns the number of documents in a shard: 40 in the first, 2 fewer in each further shard, and
+/// only a few from [`FIRST_SPARSE_SHARD`] on.
 pub(super) fn document_count(shard: u32) -> u64 {
     u64::from(if shard >= FIRST_SPARSE_SHARD {
         shard - FIRST_SPARSE_SHARD + 1
@@ -44,7 +45,8 @@
     })
 }
 
-/// One document. The field `plays` is missing in about a quarter of them, and text in one shard.
+/// Generates one document. The field `plays` is missing in about a quarter of the documents, and is
+/// a string in one shard.
 pub(super) fn document(shard: u32, position: u64) -> IndexDocument {
     let draw = |draw: Draw| pseudo_random(shard, position, draw);
     let word = |which: Draw| TITLE_WORDS[(draw(which) % TITLE_WORDS.len() as u64) as usize];
@@ -59,7 +61,7 @@
     });
     if !draw(Draw::HasPlays).is_multiple_of(4) {
         let plays = draw(Draw::Plays) % 500;
-        fields["plays"] = if shard == SHARD_WITH_TEXTUAL_PLAYS {
+        fields["plays"] = if shard == SHARD_WITH_STRING_PLAYS {
             json!(plays.to_string())
         } else {
             json!(plays)
--- a/crates/testkit/src/search/faults.rs
+++ b/crates/testkit/src/search/faults.rs
@@ -1,13 +1,13 @@
-//! Faulted responses of a shard, which a search requests by an otherwise unused `min_score`.
+//! Faults in the responses of shards, which a search requests by an otherwise unused `min_score`.
 
 use serde_json::{json, Value};
 
-/// The shard that a search can request a fault of.
+/// Number of the shard that responds with the requested fault.
 pub const FAULTED_SHARD: u32 = 13;
 
-/// A way in which shards respond wrongly.
+/// Fault in the responses of shards.
 ///
-/// Declared in the order of the labels, in which reports list them.
+/// The variants are declared in the alphabetical order of their labels, in which reports list them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShardFault {
     /// Every shard responds with an error.
@@ -16,9 +16,9 @@
     ErrorFromOneShard,
     /// The faulted shard reports that its search timed out.
     TimedOut,
-    /// The faulted shard's response ends in the middle.
+    /// The response of the faulted shard is truncated in the middle.
     Truncated,
-    /// The faulted shard's hits have no sort values, and its aggregations are missing.
+    /// The hits of the faulted shard have no sort values, and its aggregations are missing.
     MissingFields,
 }
 
@@ -32,7 +32,7 @@
         ShardFault::MissingFields,
     ];
 
-    /// The `min_score` that requests this fault.
+    /// Returns the `min_score` that requests this fault.
     pub fn min_score(self) -> f64 {
         match self {
             ShardFault::ErrorFromOneShard => 0.5,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The name of this fault in reports.
+    /// Returns the name of this fault in reports.
     pub fn label(self) -> &'static str {
         match self {
             ShardFault::ErrorFromOneShard => "error from one shard",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The fault that a search requests, if any.
+    /// Returns the fault that a search requests, if any.
     pub fn requested_by(search: &Value) -> Option<ShardFault> {
         let min_score = search.get("min_score").and_then(Value::as_f64)?;
         ShardFault::ALL
@@ -62,7 +62,7 @@
             .find(|fault| fault.min_score() == min_score)
     }
 
-    /// What `shard` responds with this fault, given its correct response.
+    /// Applies the fault to the correct response of `shard`.
     pub(super) fn apply(self, shard: u32, mut response: Value) -> String {
         if self != ShardFault::ErrorFromEveryShard && shard != FAULTED_SHARD {
             return response.to_string();
--- a/crates/testkit/src/search/query.rs
+++ b/crates/testkit/src/search/query.rs
@@ -1,9 +1,9 @@
-//! Evaluation of a search's `query` on one document.
+//! Evaluation of the `query` of a search on one document.
 
 use super::{field_and_value, number, DEFAULT_NUMBER};
 use serde_json::Value;
 
-/// The score of a document, or `None` if it does not match the query.
+/// Returns the score of a document, or `None` if the document does not match the query.
 pub(super) fn score(query: &Value, id: &str, document: &Value) -> Option<f64> {
     let (kind, body) = query.as_object()?.iter().next()?;
     let boost = body.get("boost").map_or(DEFAULT_NUMBER, number);
@@ -27,7 +27,7 @@
     }
 }
 
-/// Which of a text's words a field has to contain.
+/// Which of the words of a text a field must contain to match.
 #[derive(Clone, Copy, PartialEq)]
 enum Operator {
     Any,
@@ -103,7 +103,7 @@
         .then_some(1.0)
 }
 
-/// The sum of the scores of all `must` and of the matching `should` clauses.
+/// Returns the sum of the scores of all `must` clauses and of the matching `should` clauses.
 fn score_bool(body: &Value, id: &str, document: &Value) -> Option<f64> {
     let clause_score = |clause: &Value| score(clause, id, document);
     let (must, should) = (clauses(body, "must"), clauses(body, "should"));
@@ -135,7 +135,8 @@
     body[field].get("boost").map_or(DEFAULT_NUMBER, number)
 }
 
-/// How many of a text's words a field contains, or `None` if they are too few to match.
+/// Returns the number of words of a text that a field contains, or `None` if the field does not
+/// match.
 fn matching_words(document: &Value, field: &str, text: &Value, operator: Operator) -> Option<f64> {
     let wanted = lowercase_words(text);
     let present = document.get(field).map(lowercase_words).unwrap_or_default();
--- a/crates/testkit/src/search/ranking.rs
+++ b/crates/testkit/src/search/ranking.rs
@@ -1,4 +1,4 @@
-//! The order of matching documents and the pages cut from it.
+//! Ranking of matching documents and selection of pages.
 
 use super::documents::{document, document_count, IndexDocument};
 use super::query::score;
@@ -8,22 +8,22 @@
 
 const DEFAULT_PAGE_SIZE: u64 = 10;
 
-/// A matching document with what it is ranked by.
+/// Matching document with its score and sort values.
 #[derive(Clone, Debug)]
 pub struct SearchHit {
-    /// The shard that holds the document.
+    /// Number of the shard that holds the document.
     pub shard: u32,
-    /// The document's id.
+    /// Id of the document.
     pub id: String,
-    /// How well the document matches.
+    /// Relevance score; higher scores rank first unless the search has sort keys.
     pub score: f64,
-    /// The document's values of the search's sort keys.
+    /// Values of the sort keys of the search, in the order of the keys.
     pub sort_values: Vec<Value>,
-    /// The document's fields.
+    /// Fields of the document.
     pub source: Value,
 }
 
-/// The direction in which values are sorted.
+/// Sort direction of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RankingOrder {
     Ascending,
@@ -35,7 +35,7 @@
     order: RankingOrder,
 }
 
-/// All documents of `shards` that match a search, ranked, regardless of its page.
+/// Returns all documents of `shards` that match a search, in ranking order, without paging.
 pub fn matching_documents(search: &Value, shards: &[u32]) -> Vec<SearchHit> {
     let sort_keys = sort_keys(search);
     let mut hits = Vec::new();
@@ -47,7 +47,7 @@
     hits
 }
 
-/// The page of ranked hits that a search requests with `from`, `size` and `search_after`.
+/// Returns the page of ranked hits that a search requests by `from`, `size` and `search_after`.
 pub fn page(search: &Value, hits: &[SearchHit]) -> Vec<SearchHit> {
     let sort_keys = sort_keys(search);
     let search_after = search.get("search_after").and_then(Value::as_array);
@@ -66,8 +66,8 @@
         .collect()
 }
 
-/// Compares two values of a field. Numbers come before texts and those before missing values, in
-/// either order.
+/// Compares two values of a field. In either direction, numbers come before strings and strings
+/// before missing values.
 pub(super) fn compare_values(left: &Value, right: &Value, order: RankingOrder) -> Ordering {
     let type_rank = |value: &Value| match value {
         Value::Number(_) => 0,
@@ -93,8 +93,8 @@
     shard: u32,
     document: IndexDocument,
 ) -> Option<SearchHit> {
-    let everything = json!({"match_all": {}});
-    let query = search.get("query").unwrap_or(&everything);
+    let match_all = json!({"match_all": {}});
+    let query = search.get("query").unwrap_or(&match_all);
     let score = score(query, &document.id, &document.fields)?;
     let min_score = search.get("min_score");
     if min_score.is_some_and(|minimum| score < number(minimum)) {
--- a/crates/testkit/src/search/shard.rs
+++ b/crates/testkit/src/search/shard.rs
@@ -1,11 +1,11 @@
-//! The response of one shard to a search.
+//! Response of one shard to a search.
 
 use super::aggregation::aggregate;
 use super::faults::ShardFault;
 use super::ranking::{matching_documents, page, SearchHit};
 use serde_json::{json, Map, Value};
 
-/// The text with which one shard responds to a search, with a fault if the search requests one.
+/// Returns the JSON response of one shard to a search, with a fault if the search requests one.
 pub fn shard_response(shard: u32, search: &Value) -> String {
     let response = correct_response(shard, search);
     match ShardFault::requested_by(search) {
@@ -35,7 +35,7 @@
 
 fn hit_json(search: &Value, hit: &SearchHit) -> Value {
     let sorted = search.get("sort").is_some();
-    // With sort keys, scores are not computed.
+    // OpenSearch computes no scores for a search with sort keys.
     let score = if sorted {
         Value::Null
     } else {
--- a/crates/testkit/src/sync.rs
+++ b/crates/testkit/src/sync.rs
@@ -1,14 +1,14 @@
-//! State that tasks share.
+//! State shared between tasks.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also a poisoned one: no task panics in the middle of a change.
+/// Locks a mutex and ignores poisoning: no task panics in the middle of a change.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A count that several tasks add to.
+/// Event counter shared by several tasks.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -18,7 +18,7 @@
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The count so far.
+    /// Returns the current count.
     pub fn value(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/testkit/src/test_program.rs
+++ b/crates/testkit/src/test_program.rs
@@ -1,4 +1,4 @@
-//! The entry point and the verdict of the test programs.
+//! Entry point and verdict of the test programs.
 
 use crate::cli;
 use crate::installation::InstallationError;
@@ -7,28 +7,28 @@
 
 const WORKER_THREADS: usize = 3;
 
-/// Why a test program can't run to its end.
+/// Error that ends a test program early.
 #[derive(Debug, thiserror::Error)]
 pub enum TestProgramError {
-    /// The installation fails.
+    /// The installation could not be started or used.
     #[error(transparent)]
     Installation(#[from] InstallationError),
-    /// A client's task panicked.
+    /// The task of a client panicked.
     #[error(transparent)]
     Task(#[from] tokio::task::JoinError),
-    /// A file or a process can't be used.
+    /// An operation on a file or a process failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Runs a test program, whose value says whether it passed, and prints why if it can't run to its
-/// end.
+/// Runs a test program to completion, and prints its error if it fails early. The value of
+/// `program` is whether the test passed.
 pub fn run(program: impl Future<Output = Result<bool, TestProgramError>>) -> ExitCode {
     let result = cli::block_on(WORKER_THREADS, program);
     cli::exit_code(result, |error| println!("{}: {error}", verdict(false)))
 }
 
-/// The first word of a test program's last line.
+/// Returns the first word of a test program's last line: `PASSED` or `FAILED`.
 pub fn verdict(passed: bool) -> &'static str {
     if passed {
         "PASSED"
--- a/crates/testkit/tests/installation.rs
+++ b/crates/testkit/tests/installation.rs
@@ -1,12 +1,12 @@
-//! The demonstration and the test programs, each on a small run. They start real aggregators, which
-//! `make test` builds first.
+//! Short runs of the demonstration and of the test programs. The programs start real aggregators,
+//! which `make test` builds first.
 
 use std::process::Command;
 
-/// What a program came to.
+/// Result of a program.
 struct ProgramRun {
     success: bool,
-    /// The standard output and then the standard error.
+    /// Standard output followed by standard error.
     output: String,
 }
 
@@ -21,7 +21,7 @@
     let output = Command::new(program)
         .args(arguments)
         .output()
-        .expect("the program starts");
+        .expect("program failed to start");
     let standard_output = String::from_utf8_lossy(&output.stdout).into_owned();
     ProgramRun {
         success: output.status.success(),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn ledger_fault_test_passes_on_a_small_run() {
+fn ledger_fault_test_passes_a_short_run() {
     let arguments = [
         "--queries",
         "2500",
@@ -44,18 +44,18 @@
     let run = run(env!("CARGO_BIN_EXE_ledger-fault-test"), &arguments);
     assert!(
         run.success && run.last_line_starts_with("PASSED: 2500 uses"),
-        "{}",
+        "expected exit code 0 and a last line with prefix 'PASSED: 2500 uses', got:\n{}",
         run.output
     );
 }
 
 #[test]
-fn gateway_conformance_test_passes_on_a_small_run() {
+fn gateway_conformance_test_passes_a_short_run() {
     let arguments = ["--queries", "600", "--clients", "6", "--seed", "5"];
     let run = run(env!("CARGO_BIN_EXE_gateway-conformance-test"), &arguments);
     assert!(
         run.success && run.last_line_starts_with("PASSED: "),
-        "{}",
+        "expected exit code 0 and a last line with prefix 'PASSED: ', got:\n{}",
         run.output
     );
 }
@@ -70,13 +70,13 @@
                 .output
                 .contains("One query of class chart-ranking and its answer:\n")
             && run.output.contains("all ended\n"),
-        "{}",
+        "expected exit code 0, an example request and answer, and 'all ended', got:\n{}",
         run.output
     );
 }
 
-/// Without SIGKILL, so that a machine with other work only delays the processes: what was read has
-/// to be answered however long that takes.
+/// Sends no SIGKILL, so that other load on the machine only delays the processes: every request
+/// that was read must be answered, however long that takes.
 #[test]
 fn shutdown_stress_test_loses_no_request_that_was_read() {
     let arguments = [
@@ -93,7 +93,7 @@
     let run = run(env!("CARGO_BIN_EXE_shutdown-stress-test"), &arguments);
     assert!(
         run.success && run.last_line_starts_with("PASSED: "),
-        "{}",
+        "expected exit code 0 and a last line with prefix 'PASSED: ', got:\n{}",
         run.output
     );
 }
