--- a/crates/testkit/src/bin/demo/main.rs
+++ b/crates/testkit/src/bin/demo/main.rs
@@ -53,6 +53,7 @@
     /// Stop after this number of seconds instead of on Ctrl-C
     #[arg(long)]
     seconds: Option<u64>,
+    /// Seed of all random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -89,10 +90,10 @@
 fn print_summary(counters: &OutcomeCounters, clean: bool) {
     let answered = counters.answered.value();
     let rejected = counters.rejected.value();
-    let other = counters.other.value();
+    let failed = counters.failed.value();
     let suffix = if clean { "" } else { ", not all gracefully" };
     print_line(&format!(
-        "\n{answered} answered, {rejected} rejected, {other} otherwise; all ended{suffix}"
+        "\n{answered} answered, {rejected} rejected, {failed} failed; all processes ended{suffix}"
     ));
 }
 
--- a/crates/testkit/src/bin/demo/traffic.rs
+++ b/crates/testkit/src/bin/demo/traffic.rs
@@ -22,8 +22,8 @@
     pub answered: Counter,
     /// Queries that were rejected.
     pub rejected: Counter,
-    /// Queries with an error or without a response.
-    pub other: Counter,
+    /// Queries with an error response or without a response.
+    pub failed: Counter,
 }
 
 impl OutcomeCounters {
@@ -31,7 +31,7 @@
         let counter = match outcome {
             ClientOutcome::Answered { .. } => &self.answered,
             ClientOutcome::Rejected { .. } => &self.rejected,
-            _ => &self.other,
+            _ => &self.failed,
         };
         counter.increment();
     }
--- a/crates/testkit/src/bin/gateway-conformance-test/load.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/load.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Sends random searches to one aggregator, each through both frontends in a random order.
+/// Sends random searches to one aggregator, each through both frontends in random order.
 async fn run_client(load: Arc<GatewayLoad>, client: u64, searches: u64) {
     let mut random = random::stream(load.seed, client + 1);
     let aggregator = load.aggregators[client as usize % load.aggregators.len()];
--- a/crates/testkit/src/bin/gateway-conformance-test/main.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/main.rs
@@ -27,6 +27,7 @@
 /// pass.
 #[derive(Parser)]
 struct Arguments {
+    /// Seed of all random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Number of searches, each sent through both frontends
--- a/crates/testkit/src/bin/gateway-conformance-test/tally.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/tally.rs
@@ -57,7 +57,7 @@
 pub struct OutcomeCounts(BTreeMap<ServedOutcome, u64>);
 
 impl OutcomeCounts {
-    /// Counts one search.
+    /// Counts one search with the given outcome.
     pub fn add(&mut self, outcome: ServedOutcome) {
         *self.0.entry(outcome).or_default() += 1;
     }
--- a/crates/testkit/src/bin/ledger-fault-test/load.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/load.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time before and after a period's edge in which no first attempt is sent, so that each attempt
-/// arrives in the period in which it was sent.
+/// Time after the start and before the end of a period in which no first attempt is sent, so that
+/// each first attempt arrives in the period in which it was sent.
 const PERIOD_EDGE_MS: u64 = 300;
 const PERIOD_EDGE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
--- a/crates/testkit/src/bin/ledger-fault-test/main.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/main.rs
@@ -47,6 +47,7 @@
 /// pass.
 #[derive(Parser)]
 struct Arguments {
+    /// Seed of all random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Logical requests of all clients, each sent in one or more attempts
--- a/crates/testkit/src/bin/ledger-fault-test/receiver.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/receiver.rs
@@ -27,7 +27,7 @@
         Ok(receiver)
     }
 
-    /// Starts the receiver again after it was stopped.
+    /// Starts the receiver again at the same address.
     pub async fn restart(&mut self) -> io::Result<()> {
         let receiver = DocumentReceiver::start(self.address, self.documents.clone()).await?;
         self.running = Some(receiver);
--- a/crates/testkit/src/bin/ledger-fault-test/results.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/results.rs
@@ -37,7 +37,7 @@
     ) {
         let answered = self.answered_requests();
         println!(
-            "{}: {} uses ({answered} answered) in {} attempts at {:.0} a second, {} periods, \
+            "{}: {} uses ({answered} answered) in {} attempts at {:.0} per second, {} periods, \
              {} adjustments, {} documents in {} deliveries, \
              2 aggregator kills, 1 zone lost, 2 settlement kills, seed {seed}, {:.0} s{}",
             test_program::verdict(checks.passed()),
--- a/crates/testkit/src/bin/shutdown-stress-test/main.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/main.rs
@@ -43,6 +43,7 @@
 /// request is lost.
 #[derive(Parser)]
 struct Arguments {
+    /// Seed of all random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Client deadlines in milliseconds
--- a/crates/testkit/src/bin/shutdown-stress-test/shutdown_result.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/shutdown_result.rs
@@ -5,7 +5,8 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Message of the log line for a request that was read, and the prefix of the request's name in it.
+/// Message that an aggregator logs for a request that was read, and the prefix of the request's
+/// name in that line.
 const REQUEST_READ: &str = "request read";
 const NAME_FIELD: &str = "name=\"";
 /// Field with the number of unanswered requests in the last log line of a process, and the same
@@ -123,9 +124,9 @@
     if shutdown.was_killed {
         "killed".to_string()
     } else if suspended_ms == 0 {
-        "by itself".to_string()
+        "not killed".to_string()
     } else {
-        format!("by itself, suspended for {suspended_ms} ms")
+        format!("not killed, suspended for {suspended_ms} ms")
     }
 }
 
--- a/crates/testkit/src/bin/shutdown-stress-test/table.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/table.rs
@@ -10,7 +10,7 @@
 /// Results for one client deadline and one leaf server speed.
 pub struct Row {
     deadline: Duration,
-    leaf_servers: &'static str,
+    leaf_speed: &'static str,
     shutdowns: usize,
     requests: usize,
     answered: usize,
@@ -23,10 +23,10 @@
 }
 
 impl Row {
-    pub fn new(deadline: Duration, leaf_servers: &'static str) -> Row {
+    pub fn new(deadline: Duration, leaf_speed: &'static str) -> Row {
         Row {
             deadline,
-            leaf_servers,
+            leaf_speed,
             shutdowns: 0,
             requests: 0,
             answered: 0,
@@ -55,7 +55,7 @@
         println!(
             "{:>8} {:>8} {:>9} {:>8} {:>8} {:>7} {:>6} {:>6} {:>10.3}",
             self.deadline.as_millis(),
-            self.leaf_servers,
+            self.leaf_speed,
             self.shutdowns,
             self.requests,
             self.answered,
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -38,7 +38,7 @@
         .collect()
 }
 
-/// A query as a client sends it to an aggregator.
+/// Query that a client sends to an aggregator.
 #[derive(Clone, Debug)]
 pub struct ClientQuery {
     /// Name of the query class.
@@ -97,7 +97,7 @@
     },
     /// The connection could not be established or was lost before the response was complete.
     ConnectionLost,
-    /// No complete response arrived within the timeout and the tolerance for late answers.
+    /// No complete response arrived within the timeout plus the tolerance for late answers.
     TimedOut,
 }
 
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -205,7 +205,7 @@
 
 /// One client's watch of the endpoint list.
 struct Watcher {
-    /// Index of the last update sent to the client; `None` before the first one.
+    /// Index up to which the client knows the endpoint list; `None` if the client has no list yet.
     known_index: Option<usize>,
     list: Arc<Mutex<EndpointList>>,
     changed: watch::Receiver<usize>,
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// Interval at which a terminating process is checked for its exit.
+/// Interval at which a process is checked for its exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Clock ticks per second (`USER_HZ`), the unit of processor time in `/proc`.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
--- a/crates/testkit/src/sync.rs
+++ b/crates/testkit/src/sync.rs
@@ -13,7 +13,7 @@
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Adds 1.
+    /// Adds 1 to the counter.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/testkit/tests/installation.rs
+++ b/crates/testkit/tests/installation.rs
@@ -69,8 +69,8 @@
             && run
                 .output
                 .contains("One query of class chart-ranking and its answer:\n")
-            && run.output.contains("all ended\n"),
-        "expected exit code 0, an example request and answer, and 'all ended', got:\n{}",
+            && run.output.contains("all processes ended\n"),
+        "expected exit code 0, an example request and answer, and 'all processes ended', got:\n{}",
         run.output
     );
 }
