--- a/crates/aggregator/src/cli/ledger/serve.rs
+++ b/crates/aggregator/src/cli/ledger/serve.rs
@@ -94,7 +94,10 @@
         let settings = settings::read(self.files.settings.as_deref())?;
         let ledger_settings = read_ledger_settings(&settings)?;
         self.logging.reload(LogSettings::read(&settings)?)?;
-        let restart = self.settings.needs_restart(&settings, &SCHEMA).join(", ");
+        let restart = self
+            .settings
+            .keys_requiring_restart(&settings, &SCHEMA)
+            .join(", ");
         tracing::info!(restart, "settings reloaded");
         Ok(ledger_settings)
     }
--- a/crates/aggregator/src/process/reload.rs
+++ b/crates/aggregator/src/process/reload.rs
@@ -49,7 +49,7 @@
     fn reload_settings(&self) {
         match self.apply_settings() {
             Ok(settings) => {
-                let changed = self.settings.needs_restart(&settings, &SCHEMA);
+                let changed = self.settings.keys_requiring_restart(&settings, &SCHEMA);
                 warn_if_restart_needed("settings", &changed.join(", "));
             }
             Err(error) => {
@@ -79,7 +79,7 @@
     fn reload_configuration(&self) -> Option<Addresses> {
         match configuration::read(self.files.config.as_deref()?) {
             Ok(config) => {
-                let changed = self.config.needs_restart(&config);
+                let changed = self.config.fields_requiring_restart(&config);
                 warn_if_restart_needed("configuration", &changed.join(", "));
                 let discovery = config.addresses.discovery;
                 tracing::info!(%discovery, "configuration reloaded");
--- a/crates/ini-config/src/settings.rs
+++ b/crates/ini-config/src/settings.rs
@@ -102,7 +102,7 @@
 
     /// Returns the keys whose values differ in `next` and require a restart to take effect, in the
     /// form `[section] key`.
-    pub fn needs_restart(&self, next: &Settings, schema: &Schema) -> Vec<String> {
+    pub fn keys_requiring_restart(&self, next: &Settings, schema: &Schema) -> Vec<String> {
         let before = self.restart_values(schema);
         let after = next.restart_values(schema);
         let keys: BTreeSet<&QualifiedKey> = before.keys().chain(after.keys()).collect();
--- a/crates/ini-config/tests/settings.rs
+++ b/crates/ini-config/tests/settings.rs
@@ -163,10 +163,13 @@
     assert_eq!(origin("segment"), Origin::Default);
     assert_eq!(values[0].value, "(not set)");
     let after = Settings::read(&SCHEMA, "b", "[log]\nflush = 2s\nqueue = 6\n").unwrap();
-    assert_eq!(before.needs_restart(&after, &SCHEMA), ["[log] queue"]);
+    assert_eq!(
+        before.keys_requiring_restart(&after, &SCHEMA),
+        ["[log] queue"]
+    );
     assert_eq!(
         Settings::defaults()
-            .needs_restart(&Settings::defaults(), &SCHEMA)
+            .keys_requiring_restart(&Settings::defaults(), &SCHEMA)
             .len(),
         0
     );
