--- a/crates/aggregator/src/cli/check.rs
+++ b/crates/aggregator/src/cli/check.rs
@@ -94,7 +94,7 @@
                 Origin::Line(line) => format!("{file}:{line}"),
                 Origin::Default => "default".into(),
             },
-            reloadable: effective.reloadable,
+            reloadable: effective.is_reloadable,
         })
         .collect()
 }
--- a/crates/ini-config/src/schema.rs
+++ b/crates/ini-config/src/schema.rs
@@ -12,7 +12,7 @@
     /// Value that applies if the file does not set the key. If `None`, the key is then unset.
     pub default: Option<&'static str>,
     /// Whether a running program applies a change on SIGHUP; otherwise, a restart is required.
-    pub reloadable: bool,
+    pub is_reloadable: bool,
     /// Description for operators, in one sentence.
     pub doc: &'static str,
 }
@@ -29,7 +29,7 @@
             name,
             kind,
             default,
-            reloadable: false,
+            is_reloadable: false,
             doc,
         }
     }
@@ -42,7 +42,7 @@
         doc: &'static str,
     ) -> Key {
         Key {
-            reloadable: true,
+            is_reloadable: true,
             ..Key::new(name, kind, default, doc)
         }
     }
--- a/crates/ini-config/src/settings.rs
+++ b/crates/ini-config/src/settings.rs
@@ -33,7 +33,7 @@
     /// Line or default that defines the value.
     pub origin: Origin,
     /// Whether a running program applies a change on SIGHUP; otherwise, a restart is required.
-    pub reloadable: bool,
+    pub is_reloadable: bool,
 }
 
 /// The values of a settings file.
@@ -96,7 +96,7 @@
             key: key.name,
             value: text.unwrap_or(NOT_SET).to_string(),
             origin: source.map_or(Origin::Default, |value| Origin::Line(value.line)),
-            reloadable: key.reloadable,
+            is_reloadable: key.is_reloadable,
         }
     }
 
@@ -119,11 +119,11 @@
             section,
             key,
             value,
-            reloadable,
+            is_reloadable,
             ..
         } in self.effective_values(schema)
         {
-            if !reloadable {
+            if !is_reloadable {
                 values.insert(QualifiedKey { section, key }, value);
             }
         }
