--- a/crates/ini-config/src/file_values.rs
+++ b/crates/ini-config/src/file_values.rs
@@ -10,11 +10,11 @@
     pub(crate) line: usize,
 }
 
-/// Identifies a value in a file.
+/// Section, name and key that identify a value in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ValueKey {
     section: String,
-    /// Name of the section `[section name]`; empty for `[section]`.
+    /// Name in the header `[section NAME]`; empty for `[section]`.
     name: String,
     key: String,
 }
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct FileValues {
     values: BTreeMap<ValueKey, SourceValue>,
-    /// Line number of the header of each named section, by section and name.
+    /// Line numbers of the headers `[section NAME]`, by section and name.
     header_lines: BTreeMap<String, BTreeMap<String, usize>>,
 }
 
@@ -51,12 +51,12 @@
         self.values.get(&ValueKey::new(section, name, key))
     }
 
-    /// Returns the line number of the header `[section name]`.
+    /// Returns the line number of the header `[section NAME]`.
     pub(crate) fn header_line(&self, section: &str, name: &str) -> Option<usize> {
         self.header_lines.get(section)?.get(name).copied()
     }
 
-    /// Returns the names of all sections `[section NAME]`, in alphabetical order.
+    /// Returns the names in all headers `[section NAME]`, in alphabetical order.
     pub(crate) fn section_names(&self, section: &str) -> Vec<&str> {
         let lines = self.header_lines.get(section).into_iter();
         lines.flat_map(BTreeMap::keys).map(String::as_str).collect()
--- a/crates/ini-config/src/kind.rs
+++ b/crates/ini-config/src/kind.rs
@@ -5,7 +5,7 @@
 use crate::suggestion::Suggestion;
 use std::net::SocketAddr;
 
-/// The kind of a key's values, which determines the valid texts.
+/// Kind of a key's values, which determines the valid texts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     /// Any text.
--- a/crates/ini-config/src/lib.rs
+++ b/crates/ini-config/src/lib.rs
@@ -4,8 +4,8 @@
 //! default of each value and whether a running program applies a change. [`Settings::read`] checks
 //! a file against the schema and reports all [`Problems`] at once, each with the file, the line,
 //! the key and a suggestion for a misspelled name. [`Settings::section`] provides typed access to
-//! the values of one section. Each effective value has an [`Origin`], which tells whether the file
-//! or the schema defines the value.
+//! the values of one section. The [`Origin`] of an effective value states whether the file or the
+//! schema defines the value.
 
 mod file_values;
 mod invalid_value;
--- a/crates/ini-config/src/line_index.rs
+++ b/crates/ini-config/src/line_index.rs
@@ -6,13 +6,13 @@
 
 /// Line numbers of the sections and keys of a text, counted from 1.
 pub(crate) struct LineIndex {
-    /// Lines of all headers, by header.
+    /// Lines on which each header occurs, by header without the brackets.
     sections: BTreeMap<String, Vec<usize>>,
-    /// Lines of all assignments, by section and key.
+    /// Lines on which each key is assigned, by section and key.
     keys: BTreeMap<QualifiedKey, Vec<usize>>,
 }
 
-/// A key with the header of its section.
+/// A key with the header of its section, without the brackets.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QualifiedKey {
     header: String,
@@ -54,14 +54,13 @@
         index
     }
 
-    /// Returns the line of a section's header. `occurrence` selects among equal headers, counted
-    /// from 0.
+    /// Returns the line of a section's header. `occurrence` counts equal headers from 0.
     pub(crate) fn section_line(&self, header: &str, occurrence: usize) -> Option<usize> {
         self.sections.get(header)?.get(occurrence).copied()
     }
 
-    /// Returns the line of an assignment to a key. `occurrence` selects among the assignments to
-    /// the same key of a section, counted from 0.
+    /// Returns the line of an assignment to a key. `occurrence` counts the assignments to the same
+    /// key of a section from 0.
     pub(crate) fn key_line(&self, header: &str, key: &str, occurrence: usize) -> Option<usize> {
         let lines = self.keys.get(&QualifiedKey::new(header, key))?;
         lines.get(occurrence).copied()
--- a/crates/ini-config/src/parser.rs
+++ b/crates/ini-config/src/parser.rs
@@ -15,7 +15,7 @@
         Problems(vec![Problem {
             file: file.into(),
             line: Some(error.line),
-            kind: ProblemKind::Syntax(error.msg.to_string()),
+            kind: ProblemKind::InvalidSyntax(error.msg.to_string()),
         }])
     })?;
     let mut parser = Parser {
@@ -32,11 +32,12 @@
     parser.finish()
 }
 
-/// State of the parser for one file.
+/// State of parsing one file.
 struct Parser<'a> {
     schema: &'a Schema,
     file: &'a str,
     lines: LineIndex,
+    /// Headers that have occurred so far, without the brackets.
     seen_headers: BTreeSet<String>,
     values: FileValues,
     problems: Vec<Problem>,
@@ -46,7 +47,7 @@
 struct ResolvedSection<'a> {
     /// Header without the brackets.
     header: &'a str,
-    /// Name of the section `[section name]`; empty for `[section]`.
+    /// Name in the header `[section NAME]`; empty for `[section]`.
     name: &'a str,
     schema: &'static Section,
 }
@@ -69,7 +70,7 @@
             Ok(section) => section,
             Err(kind) => return self.report(line, kind),
         };
-        if section.schema.named {
+        if section.schema.is_named {
             let line = line.unwrap_or_default();
             self.values
                 .insert_named_section(section.schema.name, section.name, line);
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Looks up the schema of a section by its header.
+    /// Splits a header into section and name, and looks up the schema of the section.
     fn resolve_section<'h>(&self, header: &'h str) -> Result<ResolvedSection<'h>, ProblemKind> {
         let (section_name, name) = header
             .split_once(char::is_whitespace)
@@ -102,11 +103,11 @@
                 suggestion: Suggestion::for_name(section_name, valid),
             });
         };
-        if schema.named == name.is_empty() {
+        if schema.is_named == name.is_empty() {
             return Err(ProblemKind::InvalidHeader {
                 header: header.into(),
                 section: section_name.into(),
-                named: schema.named,
+                is_named: schema.is_named,
             });
         }
         Ok(ResolvedSection {
--- a/crates/ini-config/src/problem.rs
+++ b/crates/ini-config/src/problem.rs
@@ -4,7 +4,7 @@
 use crate::suggestion::Suggestion;
 use std::fmt;
 
-/// A problem at one place in a settings file.
+/// A problem in a settings file, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}{}: {kind}", .line.map(|line| format!(":{line}")).unwrap_or_default())]
 pub struct Problem {
@@ -21,7 +21,7 @@
 pub enum ProblemKind {
     /// The text is not a well-formed INI file.
     #[error("invalid INI syntax: {0}")]
-    Syntax(String),
+    InvalidSyntax(String),
     /// A key is set before the first section.
     #[error("key '{key}' is outside of any section")]
     KeyOutsideSection {
@@ -37,20 +37,20 @@
     /// The schema does not define the section.
     #[error("unknown section [{section}]; {suggestion}")]
     UnknownSection {
-        /// Name of the section in the file.
+        /// First word of the header in the file.
         section: String,
         /// Valid names that may have been intended.
         suggestion: Suggestion,
     },
     /// A header lacks a required name, or has a name although the section is unnamed.
-    #[error("[{header}] must have the form [{section}{}]", if *.named { " NAME" } else { "" })]
+    #[error("[{header}] must have the form [{section}{}]", if *.is_named { " NAME" } else { "" })]
     InvalidHeader {
         /// Section header without the brackets.
         header: String,
         /// Name of the section in the schema.
         section: String,
-        /// Whether the schema requires a name.
-        named: bool,
+        /// Whether the header must contain a name after the section.
+        is_named: bool,
     },
     /// A key is set more than once in the same section.
     #[error("[{header}] {key} is set more than once")]
@@ -84,7 +84,7 @@
     },
     /// A value matches the kind of its key, but the program rejects it.
     #[error("[{header}] {key}: {reason}")]
-    Rejected {
+    RejectedValue {
         /// Section header without the brackets.
         header: String,
         /// Name of the key.
--- a/crates/ini-config/src/schema.rs
+++ b/crates/ini-config/src/schema.rs
@@ -9,7 +9,7 @@
     pub name: &'static str,
     /// Kind that the key's values must have.
     pub kind: Kind,
-    /// Value that applies if the file does not set the key. If `None`, the key is then unset.
+    /// Value that applies if the file does not set the key; `None` leaves the key unset.
     pub default: Option<&'static str>,
     /// Whether a running program applies a change on SIGHUP; otherwise, a restart is required.
     pub is_reloadable: bool,
@@ -48,32 +48,32 @@
     }
 }
 
-/// Definition of a section. A named section may appear several times, as `[section NAME]`.
+/// Definition of a section. A named section may appear several times with different names.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
-    /// Name of the section, which is the first word in the brackets of the header.
+    /// First word in the brackets of the section's header.
     pub name: &'static str,
-    /// Whether the header must contain a further name after the name of the section.
-    pub named: bool,
+    /// Whether the header must contain a name after the section, as `[section NAME]`.
+    pub is_named: bool,
     /// Keys that the section may contain.
     pub keys: &'static [Key],
 }
 
 impl Section {
-    /// Creates a section that may appear once, as `[name]`.
+    /// Creates a section that may appear once, with the header `[name]`.
     pub const fn new(name: &'static str, keys: &'static [Key]) -> Section {
         Section {
             name,
-            named: false,
+            is_named: false,
             keys,
         }
     }
 
-    /// Creates a section that may appear several times, as `[name NAME]`.
+    /// Creates a section that may appear several times, with headers of the form `[name NAME]`.
     pub const fn named(name: &'static str, keys: &'static [Key]) -> Section {
         Section {
             name,
-            named: true,
+            is_named: true,
             keys,
         }
     }
--- a/crates/ini-config/src/section_values.rs
+++ b/crates/ini-config/src/section_values.rs
@@ -11,13 +11,13 @@
 /// The values of one section, with the defaults of the schema.
 ///
 /// The values were checked when the file was read, so the methods return `None` only if the key is
-/// unset or has a different kind.
+/// unset, has an empty value or has a different kind.
 #[derive(Clone, Copy)]
 pub struct SectionValues<'a> {
     pub(crate) file: &'a str,
     pub(crate) values: &'a FileValues,
     pub(crate) section: &'a str,
-    /// Name of the section `[section name]`; empty for `[section]`.
+    /// Name in the header `[section NAME]`; empty for `[section]`.
     pub(crate) name: &'a str,
     /// `None` if the schema does not define the section. All keys are then unset.
     pub(crate) schema: Option<&'static Section>,
@@ -34,7 +34,7 @@
             .filter(|text| !text.is_empty())
     }
 
-    /// Returns whether a [`Kind::Flag`](crate::Kind::Flag) is `yes`.
+    /// Returns whether the value of a [`Kind::Flag`](crate::Kind::Flag) is `yes`.
     pub fn flag(&self, key: &str) -> bool {
         self.text(key) == Some("yes")
     }
@@ -71,7 +71,7 @@
         Problems(vec![Problem {
             file: self.file.into(),
             line,
-            kind: ProblemKind::Rejected {
+            kind: ProblemKind::RejectedValue {
                 header: header(self.section, self.name),
                 key: key.into(),
                 reason: reason.to_string(),
--- a/crates/ini-config/src/settings.rs
+++ b/crates/ini-config/src/settings.rs
@@ -7,7 +7,7 @@
 use crate::section_values::SectionValues;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Internal name of an unnamed section.
+/// Name under which the values of a section without a name are stored.
 const UNNAMED: &str = "";
 /// Text that is shown for a key without a value.
 const NOT_SET: &str = "(not set)";
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Returns the names of all sections `[section NAME]`, in alphabetical order.
+    /// Returns the names in all headers `[section NAME]`, in alphabetical order.
     pub fn section_names(&self, section: &str) -> Vec<&str> {
         self.values.section_names(section)
     }
@@ -75,7 +75,7 @@
     pub fn effective_values(&self, schema: &Schema) -> Vec<EffectiveValue> {
         let mut values = Vec::new();
         for section in schema.0 {
-            let names = if section.named {
+            let names = if section.is_named {
                 self.section_names(section.name)
             } else {
                 vec![UNNAMED]
@@ -100,11 +100,11 @@
         }
     }
 
-    /// Returns the keys whose values differ in `next` and require a restart to take effect, in the
+    /// Returns the keys whose values differ in `next` and take effect only after a restart, in the
     /// form `[section] key`.
     pub fn keys_requiring_restart(&self, next: &Settings, schema: &Schema) -> Vec<String> {
-        let before = self.restart_values(schema);
-        let after = next.restart_values(schema);
+        let before = self.values_requiring_restart(schema);
+        let after = next.values_requiring_restart(schema);
         let keys: BTreeSet<&QualifiedKey> = before.keys().chain(after.keys()).collect();
         keys.into_iter()
             .filter(|key| before.get(*key) != after.get(*key))
@@ -112,8 +112,8 @@
             .collect()
     }
 
-    /// Returns the values that can change only with a restart.
-    fn restart_values(&self, schema: &Schema) -> BTreeMap<QualifiedKey, String> {
+    /// Returns the values that only a restart can change, by section and key.
+    fn values_requiring_restart(&self, schema: &Schema) -> BTreeMap<QualifiedKey, String> {
         let mut values = BTreeMap::new();
         for EffectiveValue {
             section,
@@ -135,7 +135,7 @@
         self.named_section(schema, section, UNNAMED)
     }
 
-    /// Returns the values of the section `[section name]`, with the defaults of `schema`.
+    /// Returns the values of the section `[section NAME]`, with the defaults of `schema`.
     pub fn named_section<'a>(
         &'a self,
         schema: &Schema,
--- a/crates/ini-config/src/suggestion.rs
+++ b/crates/ini-config/src/suggestion.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Jaro-Winkler similarity, from 0 to 1, above which a name counts as a misspelling of another.
+/// Jaro-Winkler similarity, from 0 to 1, above which an unknown name counts as a misspelling.
 const MIN_SIMILARITY: f64 = 0.7;
 
 /// Valid names that may have been intended instead of an unknown name.
@@ -10,7 +10,7 @@
 pub enum Suggestion {
     /// The most similar valid name.
     Nearest(String),
-    /// All valid names, because none is similar to the unknown name.
+    /// All valid names, because none is similar enough to the unknown name.
     AnyOf(Vec<String>),
 }
 
@@ -21,7 +21,7 @@
         valid: impl Iterator<Item = &'a str> + Clone,
     ) -> Suggestion {
         match nearest(name, valid.clone()) {
-            Some(near) => Suggestion::Nearest(near.to_string()),
+            Some(nearest) => Suggestion::Nearest(nearest.to_string()),
             None => Suggestion::AnyOf(valid.map(str::to_string).collect()),
         }
     }
--- a/crates/ini-config/tests/settings.rs
+++ b/crates/ini-config/tests/settings.rs
@@ -25,7 +25,7 @@
     ),
 ]);
 
-fn problems(text: &str) -> Vec<String> {
+fn problem_messages(text: &str) -> Vec<String> {
     let problems = Settings::read(&SCHEMA, "file.ini", text).unwrap_err();
     problems.0.iter().map(Problem::to_string).collect()
 }
@@ -85,7 +85,7 @@
         qq = 1\n\
         [member n0]\n";
     assert_eq!(
-        problems(text),
+        problem_messages(text),
         [
             "file.ini:1: key 'stray' is outside of any section",
             "file.ini:3: [log] flush = 2: must be a whole number with a unit \
@@ -110,10 +110,13 @@
 
 #[test]
 fn a_syntax_error_is_reported_as_a_single_problem() {
-    let found = problems("[log\n");
-    assert_eq!(found.len(), 1);
-    assert!(found[0].starts_with("file.ini:"), "{found:?}");
-    assert!(found[0].contains(": invalid INI syntax: "), "{found:?}");
+    let messages = problem_messages("[log\n");
+    assert_eq!(messages.len(), 1);
+    assert!(messages[0].starts_with("file.ini:"), "{messages:?}");
+    assert!(
+        messages[0].contains(": invalid INI syntax: "),
+        "{messages:?}"
+    );
 }
 
 #[test]
--- a/crates/opensearch-gateway/src/compression.rs
+++ b/crates/opensearch-gateway/src/compression.rs
@@ -5,7 +5,7 @@
 use flate2::Compression;
 use std::io::{self, Read, Write};
 
-/// Minimum length in bytes of a response that is compressed.
+/// Minimum length of a response body that is compressed, in bytes.
 pub const MIN_COMPRESSED_BYTES: usize = 1024;
 
 /// Ratio of the body's length to the capacity that is reserved for the compressed body.
--- a/crates/opensearch-gateway/src/error.rs
+++ b/crates/opensearch-gateway/src/error.rs
@@ -15,7 +15,7 @@
 /// Error of a request. The `Display` text is the `reason` in the response to the client.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum GatewayError {
-    /// The body is not a valid or supported search.
+    /// The search is invalid or not supported.
     #[error(transparent)]
     InvalidSearch(#[from] SearchRequestError),
     /// A URL parameter has an invalid value.
@@ -35,7 +35,7 @@
     BodyTimeout,
     /// The body cannot be decompressed, or is too long when decompressed.
     #[error(transparent)]
-    Decompress(#[from] DecompressError),
+    InvalidCompressedBody(#[from] DecompressError),
     /// The `Content-Encoding` of the body is not supported.
     #[error("Content-Encoding [{encoding}] is not supported; gzip is")]
     UnsupportedEncoding { encoding: String },
@@ -54,7 +54,7 @@
     /// The tenant of the request cannot be determined.
     #[error("nothing tells the tenant: see tenant-by in the settings")]
     MissingTenant,
-    /// The `preference` selects shards that the index does not have.
+    /// The `preference` selects shards that the index does not have, or selects a shard twice.
     #[error("the preference names shards that index [{index}] does not have")]
     UnknownShards { index: String },
     /// The aggregator rejected the query to shed load.
@@ -75,10 +75,10 @@
     /// The usable answers do not reach the minimum coverage of the query's class.
     #[error("{} of {} shards failed", shards.failures.len(), shards.total)]
     BelowMinimumCoverage { index: String, shards: ShardSummary },
-    /// The client does not accept partial results.
+    /// Some shards failed, and the client does not accept partial results.
     #[error("Partial shards failure")]
     PartialResults { index: String, shards: ShardSummary },
-    /// The body of a count contains paging, sort keys or aggregations.
+    /// A count has paging parameters, sort keys or aggregations.
     #[error("a count takes a query only")]
     UnsupportedCountOption,
     /// The number of lines in a multi-search is zero or odd.
@@ -106,11 +106,11 @@
 pub(crate) struct ErrorResponse {
     pub(crate) status: StatusCode,
     pub(crate) body: Value,
-    /// Delay to send as `Retry-After`.
+    /// Delay to send as `Retry-After`; `None` omits the header.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// Returns the part of the reason that states the retry delay; empty without a delay.
+/// Returns the part of the reason that states the retry delay, or an empty text without a delay.
 fn retry_after_hint(retry_after: &Option<Duration>) -> String {
     match retry_after {
         Some(delay) => format!("; come back in {} ms", delay.as_millis()),
@@ -126,7 +126,7 @@
             Self::UnknownTenant { .. } => StatusCode::FORBIDDEN,
             Self::UnknownIndex { .. } => StatusCode::NOT_FOUND,
             Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
-            Self::TruncatedOrTooLongBody { .. } | Self::Decompress(_) => {
+            Self::TruncatedOrTooLongBody { .. } | Self::InvalidCompressedBody(_) => {
                 StatusCode::PAYLOAD_TOO_LARGE
             }
             Self::UnsupportedEncoding { .. } => StatusCode::UNSUPPORTED_MEDIA_TYPE,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Adds the members that are specific to this kind of error.
+    /// Adds the JSON members that only some errors have.
     fn add_details(&self, error: &mut Value) {
         match self {
             Self::UnknownIndex { index } => add_index(error, index),
@@ -200,7 +200,7 @@
     }
 }
 
-/// Adds the members that identify a missing index.
+/// Adds the JSON members that identify a missing index.
 fn add_index(error: &mut Value, index: &str) {
     error["index"] = json!(index);
     error["resource.type"] = json!("index_or_alias");
--- a/crates/opensearch-gateway/src/lib.rs
+++ b/crates/opensearch-gateway/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! [`server`] accepts HTTP requests, optionally over [`tls`], and runs each search as one query of
 //! the aggregator, subject to the same policy as a native query. The documentation of [`server`]
-//! describes where the two kinds of queries start to share one code path. The other modules perform
+//! describes the point from which both share one code path. The other modules perform
 //! no I/O:
 //!
 //! - [`query_dsl`] parses a request body into a typed search and rewrites it for the shards,
 //! - [`merge`] merges the answers of the shards,
-//! - [`networks`] determines the client's address and the tenant that owns this address,
+//! - [`networks`] determines the client's address and the tenant to which its network belongs,
 //! - [`compression`] compresses and decompresses bodies,
 //! - [`settings`] reads the gateway's sections of the INI file.
 
--- a/crates/opensearch-gateway/src/merge/aggregations.rs
+++ b/crates/opensearch-gateway/src/merge/aggregations.rs
@@ -61,13 +61,13 @@
     partials.iter().map(|partial| count(partial, key)).sum()
 }
 
-/// Returns the average, computed from the shards' counts and sums, or `None` if the count is zero.
+/// Returns the sum of all shards divided by their count, or `None` if the count is zero.
 fn average_of(partials: &[Value]) -> Option<f64> {
     let count = count_of(partials, "count");
     (count > 0).then(|| sum_of(partials, "sum") / count as f64)
 }
 
-/// Returns the unsigned integer under `key`, or 0 if it is missing or malformed.
+/// Returns the unsigned integer under `key`, or 0 if the key is missing or has another type.
 fn count(partial: &Value, key: &str) -> u64 {
     partial.get(key).and_then(Value::as_u64).unwrap_or(0)
 }
@@ -118,23 +118,24 @@
     json!({ "buckets": buckets })
 }
 
-/// Returns the `size` most frequent terms, with an upper bound on the error of their counts.
+/// Reduces `terms` results to the `size` most frequent terms and an upper bound on the error of
+/// their counts.
 fn reduce_terms(size: usize, partials: &[Value]) -> Value {
     let error_bound: u64 = partials.iter().map(terms_error_bound).sum();
-    let omitted: u64 = partials.iter().map(omitted_doc_count).sum();
+    let omitted_by_shards: u64 = partials.iter().map(omitted_doc_count).sum();
     let mut buckets = sum_buckets(partials);
     buckets.sort_by(|left, right| {
         let by_count = right.doc_count.cmp(&left.doc_count);
         by_count.then_with(|| compare_sort_values(&left.key, &right.key, SortOrder::Asc))
     });
-    let beyond_size = buckets.iter().skip(size).map(|bucket| bucket.doc_count);
-    let other_doc_count = omitted + beyond_size.sum::<u64>();
+    let counts_beyond_size = buckets.iter().skip(size).map(|bucket| bucket.doc_count);
+    let other_doc_count = omitted_by_shards + counts_beyond_size.sum::<u64>();
     let buckets = buckets.into_iter().take(size);
-    let top: Vec<Value> = buckets.map(Bucket::into_json).collect();
+    let top_buckets: Vec<Value> = buckets.map(Bucket::into_json).collect();
     json!({
         "doc_count_error_upper_bound": error_bound,
         "sum_other_doc_count": other_doc_count,
-        "buckets": top,
+        "buckets": top_buckets,
     })
 }
 
--- a/crates/opensearch-gateway/src/merge/mod.rs
+++ b/crates/opensearch-gateway/src/merge/mod.rs
@@ -29,9 +29,9 @@
 /// The merged result of a search.
 #[derive(Debug, Default)]
 pub struct MergedResult {
-    /// Number of matching documents, or `None` if no shard has counted them.
+    /// Number of matching documents, or `None` if no shard counted them.
     pub total: Option<Total>,
-    /// Highest score of any hit, or `None` if there is none or the search has sort keys.
+    /// Highest score of any hit, or `None` if no hit has a score or the search has sort keys.
     pub max_score: Option<f64>,
     /// Hits of the requested page, in order.
     pub hits: Vec<ShardHit>,
@@ -82,7 +82,7 @@
         return None;
     }
     hits.iter()
-        .filter_map(|ranked| ranked.hit.score)
+        .filter_map(|ranked_hit| ranked_hit.hit.score)
         .max_by(f64::total_cmp)
 }
 
@@ -92,7 +92,7 @@
     hits.into_iter()
         .skip(request.from() as usize)
         .take(request.size() as usize)
-        .map(|ranked| ranked.hit)
+        .map(|ranked_hit| ranked_hit.hit)
         .collect()
 }
 
--- a/crates/opensearch-gateway/src/merge/ordering.rs
+++ b/crates/opensearch-gateway/src/merge/ordering.rs
@@ -11,7 +11,7 @@
     pub(super) hit: ShardHit,
 }
 
-/// Compares two hits by score or sort keys, then by shard, then by document id.
+/// Compares two hits by score or sort keys, then by shard number, then by document id.
 pub(super) fn compare_hits(
     request: &SearchRequest,
     left: &RankedHit,
@@ -76,7 +76,8 @@
     }
 }
 
-/// Compares two numbers. Integers are compared as `i64`, because `f64` rounds integers beyond 2^53.
+/// Compares two numbers. Integers in the range of `i64` are compared exactly, because `f64` rounds
+/// integers beyond 2^53.
 fn compare_numbers(left: &Number, right: &Number) -> Ordering {
     if let (Some(left), Some(right)) = (left.as_i64(), right.as_i64()) {
         return left.cmp(&right);
--- a/crates/opensearch-gateway/src/merge/shard_answer.rs
+++ b/crates/opensearch-gateway/src/merge/shard_answer.rs
@@ -46,7 +46,8 @@
     /// Relevance score, or `None` if the shard did not compute it.
     #[serde(rename = "_score")]
     pub score: Option<f64>,
-    /// The document as raw JSON, reduced to the requested fields.
+    /// The document as raw JSON, reduced to the requested fields, or `None` if the shard did not
+    /// return it.
     #[serde(rename = "_source", skip_serializing_if = "Option::is_none")]
     pub source: Option<Box<RawValue>>,
     /// Sort values, one for each sort key of the search.
@@ -87,7 +88,7 @@
     pub relation: Relation,
 }
 
-/// How a [`Total`] relates to the actual count.
+/// Relation of a [`Total`] to the actual count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Relation {
@@ -152,8 +153,8 @@
     /// Parses a shard's answer and checks that it contains everything that `request` asks for.
     ///
     /// # Errors
-    /// The shard reported an error or timed out, the answer is malformed, or the answer does not
-    /// match the request.
+    /// Returns an error if the shard reported an error or timed out, or if the answer is malformed
+    /// or does not match the request.
     pub fn parse(text: &str, request: &SearchRequest) -> Result<ShardAnswer, ShardFailure> {
         let answer: ShardAnswer = serde_json::from_str(text)
             .map_err(|error| reported_error(text).unwrap_or(ShardFailure::Malformed(error)))?;
--- a/crates/opensearch-gateway/src/networks/mod.rs
+++ b/crates/opensearch-gateway/src/networks/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Networks are matched by longest prefix. For a client behind proxies, the client's address is the
 //! last address in `X-Forwarded-For` that does not belong to a trusted proxy. The header is ignored
-//! on connections from other peers than trusted proxies.
+//! on connections from peers that are not trusted proxies.
 
 mod client_address;
 mod network_map;
--- a/crates/opensearch-gateway/src/networks/parse.rs
+++ b/crates/opensearch-gateway/src/networks/parse.rs
@@ -17,7 +17,7 @@
     HostBitsSet {
         /// The invalid entry.
         text: String,
-        /// The network with these bits cleared.
+        /// The network with the bits beyond the prefix cleared.
         truncated: IpNet,
     },
 }
--- a/crates/opensearch-gateway/src/networks/tenant_networks.rs
+++ b/crates/opensearch-gateway/src/networks/tenant_networks.rs
@@ -15,7 +15,7 @@
         /// Tenant to which the network is already assigned.
         tenant: String,
     },
-    /// A wider network is already assigned to the same tenant.
+    /// The narrowest wider network is already assigned to the same tenant.
     #[error(
         "{network} is already covered by a wider network of tenant '{tenant}'; \
          this entry has no effect"
@@ -38,13 +38,13 @@
     /// Assigns a network to a tenant.
     ///
     /// Networks must be added in order of increasing prefix length, because a redundant network is
-    /// detected only if the wider network has been added before.
+    /// detected only if the wider networks have been added before.
     ///
     /// # Errors
     /// Returns an error if the network is already assigned, or if the assignment has no effect.
     pub fn insert(&mut self, network: IpNet, tenant: &str) -> Result<(), TenantNetworkError> {
-        if let Some(other) = self.tenants.get(network) {
-            let tenant = other.clone();
+        if let Some(assigned_tenant) = self.tenants.get(network) {
+            let tenant = assigned_tenant.clone();
             return Err(TenantNetworkError::Duplicate { network, tenant });
         }
         if self.tenants.longest_match(network).map(String::as_str) == Some(tenant) {
--- a/crates/opensearch-gateway/src/query_dsl/error.rs
+++ b/crates/opensearch-gateway/src/query_dsl/error.rs
@@ -29,38 +29,38 @@
 pub enum SearchRequestErrorCause {
     /// The body is not JSON, or does not have the structure of a supported request.
     #[error(transparent)]
-    Syntax(#[from] serde_json::Error),
-    /// Clauses are nested too deeply.
+    Malformed(#[from] serde_json::Error),
+    /// Clauses, or the brackets of the JSON text, are nested too deeply.
     #[error("clauses are more than {MAX_CLAUSE_DEPTH} deep")]
     ClausesTooDeep,
-    /// The query has too many clauses.
+    /// The query has more than [`MAX_CLAUSES`] clauses.
     #[error("has more than {MAX_CLAUSES} clauses")]
     TooManyClauses,
-    /// One clause has too many values.
+    /// One clause has more than [`MAX_CLAUSES`] values or field names.
     #[error("a clause has more than {MAX_CLAUSES} values")]
     TooManyValues {
-        /// Number of values in the clause.
+        /// Number of values or field names in the clause.
         values: usize,
     },
-    /// The requested page ends beyond the maximum result window.
+    /// The requested page ends beyond [`MAX_RESULT_WINDOW`] hits.
     #[error("from + size is {window}, and {MAX_RESULT_WINDOW} at most")]
     ResultWindowTooLarge {
         /// The sum of `from` and `size` in the request.
         window: u64,
     },
-    /// The sort has too many keys.
+    /// The sort has more than [`MAX_SORT_KEYS`] keys.
     #[error("has more than {MAX_SORT_KEYS} keys")]
     TooManySortKeys {
         /// Number of sort keys in the request.
         keys: usize,
     },
-    /// The search has too many aggregations.
+    /// The search has more than [`MAX_AGGREGATIONS`] aggregations.
     #[error("are more than {MAX_AGGREGATIONS}")]
     TooManyAggregations {
         /// Number of aggregations in the request.
         aggregations: usize,
     },
-    /// The bucket count of a `terms` aggregation is zero or exceeds the maximum.
+    /// The bucket count of a `terms` aggregation is zero or exceeds [`MAX_BUCKETS`].
     #[error("size has to be from 1 to {MAX_BUCKETS}")]
     BucketCountOutOfRange {
         /// Bucket count in the request.
@@ -71,7 +71,7 @@
     SearchAfterWithoutSort,
     /// `search_after` and `sort` differ in length.
     #[error("has to have a value for each key of the sort")]
-    SearchAfterLength {
+    SearchAfterLengthMismatch {
         /// Number of values in `search_after`.
         values: usize,
         /// Number of keys in `sort`.
@@ -107,7 +107,7 @@
 }
 
 impl SearchRequestErrorCause {
-    /// Returns whether the request exceeds a limit, as opposed to being malformed.
+    /// Returns whether the request exceeds a limit, as opposed to being malformed or contradictory.
     pub fn exceeds_limit(&self) -> bool {
         matches!(
             self,
--- a/crates/opensearch-gateway/src/query_dsl/leaf_clause.rs
+++ b/crates/opensearch-gateway/src/query_dsl/leaf_clause.rs
@@ -20,7 +20,7 @@
 }
 
 /// Defines the parameters of a clause that the DSL accepts in two forms: a bare value, or an object
-/// with the value, keyed by the name of the first field, and options.
+/// that contains the value under the name of the first field, and optional further fields.
 macro_rules! value_or_object {
     (
         $(#[$type_doc:meta])*
--- a/crates/opensearch-gateway/src/query_dsl/request.rs
+++ b/crates/opensearch-gateway/src/query_dsl/request.rs
@@ -78,8 +78,8 @@
     /// Fields of the documents to return.
     #[serde(rename = "_source", skip_serializing_if = "Option::is_none")]
     pub source: Option<SourceFilter>,
-    /// Extent to which hits are counted. By default, the gateway reports totals above 10,000 as a
-    /// lower bound.
+    /// Whether hits are counted, and up to which number. By default, the gateway reports totals
+    /// above 10,000 as a lower bound.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub track_total_hits: Option<TrackTotalHits>,
     /// Minimum score of a returned hit.
@@ -104,7 +104,7 @@
         self.size.unwrap_or(DEFAULT_PAGE_SIZE)
     }
 
-    /// Returns whether hits are sorted by score, which is the case without sort keys.
+    /// Returns whether hits are sorted by score, which is the case if the search has no sort keys.
     pub fn is_sorted_by_score(&self) -> bool {
         self.sort.is_empty()
     }
--- a/crates/opensearch-gateway/src/query_dsl/validation.rs
+++ b/crates/opensearch-gateway/src/query_dsl/validation.rs
@@ -49,7 +49,7 @@
         return error(Cause::SearchAfterWithoutSort);
     }
     if search_after.len() != request.sort.len() {
-        return error(Cause::SearchAfterLength {
+        return error(Cause::SearchAfterLengthMismatch {
             values: search_after.len(),
             keys: request.sort.len(),
         });
@@ -139,17 +139,17 @@
 /// Counts and checks the clauses of a query.
 #[derive(Default)]
 struct ClauseCounter {
-    clauses: usize,
+    clause_count: usize,
 }
 
 impl ClauseCounter {
     /// Checks a clause at nesting depth `depth` and all clauses within it.
     fn check(&mut self, clause: &QueryClause, depth: usize) -> Result<(), SearchRequestError> {
-        self.clauses += 1;
+        self.clause_count += 1;
         if depth > MAX_CLAUSE_DEPTH {
             return Err(SearchRequestError::new("query", Cause::ClausesTooDeep));
         }
-        if self.clauses > MAX_CLAUSES {
+        if self.clause_count > MAX_CLAUSES {
             return Err(SearchRequestError::new("query", Cause::TooManyClauses));
         }
         let values = value_count(clause);
@@ -172,7 +172,7 @@
     }
 }
 
-/// Returns the number of values in a clause, without those of nested clauses.
+/// Returns the number of values or field names in a clause, without those of nested clauses.
 fn value_count(clause: &QueryClause) -> usize {
     match clause {
         QueryClause::Terms(terms) => terms.value.len(),
--- a/crates/opensearch-gateway/src/response.rs
+++ b/crates/opensearch-gateway/src/response.rs
@@ -16,7 +16,7 @@
     pub(crate) failure: ShardFailure,
 }
 
-/// Numbers of shards of a search, and the failures of individual shards.
+/// Number of shards of a search by outcome, and the failures of individual shards.
 #[derive(Debug, Default)]
 pub(crate) struct ShardSummary {
     pub(crate) total: usize,
@@ -42,12 +42,12 @@
 
     /// Returns the failed shards with their reasons, as a JSON array.
     pub(crate) fn failures_json(&self, index: &str) -> Value {
-        let failure_json = |failed: &FailedShard| {
+        let failure_json = |failed_shard: &FailedShard| {
             let reason = json!({
-                "type": failed.failure.kind(),
-                "reason": failed.failure.to_string(),
+                "type": failed_shard.failure.kind(),
+                "reason": failed_shard.failure.to_string(),
             });
-            json!({"shard": failed.shard, "index": index, "node": null, "reason": reason})
+            json!({"shard": failed_shard.shard, "index": index, "node": null, "reason": reason})
         };
         self.failures.iter().map(failure_json).collect()
     }
@@ -83,8 +83,8 @@
 
 /// Returns the total in the form that the client requested.
 ///
-/// The result is `None` if the client disabled counting. A total above the requested maximum is
-/// replaced by the maximum as a lower bound.
+/// The result is `None` if the client disabled counting or no shard counted the hits. A total above
+/// the requested maximum is replaced by the maximum as a lower bound.
 fn reported_total(request: &SearchRequest, total: Option<Total>) -> Option<Total> {
     let max_value = match request.track_total_hits {
         Some(TrackTotalHits::Enabled(false)) => return None,
--- a/crates/opensearch-gateway/src/server/context.rs
+++ b/crates/opensearch-gateway/src/server/context.rs
@@ -17,10 +17,10 @@
 pub(super) struct Gateway {
     pub(super) settings: GatewaySettings,
     pub(super) aggregator: InternalClient,
-    /// Prefix of query names, random for each process. Leaf servers require query names to be
-    /// unique across all aggregators and restarts.
+    /// Prefix of query names, random for each process, and the cluster UUID that is reported to
+    /// clients. Leaf servers require query names to be unique across all aggregators and restarts.
     pub(super) instance_id: String,
-    /// Number of queries that have been named so far.
+    /// Number in the most recent query name; 0 before the first query.
     last_query_number: Cell<u64>,
 }
 
--- a/crates/opensearch-gateway/src/server/http.rs
+++ b/crates/opensearch-gateway/src/server/http.rs
@@ -25,8 +25,8 @@
 /// Properties of a request that determine the form of its response.
 #[derive(Clone, Copy)]
 struct ResponseOptions {
-    /// Whether the response has no body because the request's method is `HEAD`.
-    omit_body: bool,
+    /// Whether the response has no body, because the request's method is `HEAD`.
+    omits_body: bool,
     accepts_gzip: bool,
 }
 
@@ -34,7 +34,7 @@
     fn from_request(parts: &Parts) -> ResponseOptions {
         let accepted_encodings = header_text(&parts.headers, ACCEPT_ENCODING.as_str());
         ResponseOptions {
-            omit_body: parts.method == Method::HEAD,
+            omits_body: parts.method == Method::HEAD,
             accepts_gzip: accepted_encodings.is_some_and(|encodings| encodings.contains("gzip")),
         }
     }
@@ -98,7 +98,7 @@
 }
 
 fn success_response(body: Vec<u8>, options: ResponseOptions) -> Response<Full<Bytes>> {
-    if options.omit_body {
+    if options.omits_body {
         return json_response(StatusCode::OK, Vec::new());
     }
     if options.accepts_gzip && body.len() >= MIN_COMPRESSED_BYTES {
@@ -114,14 +114,14 @@
 
 fn error_response(error: &GatewayError, options: ResponseOptions) -> Response<Full<Bytes>> {
     let error = error.to_response();
-    let body = if options.omit_body {
+    let body = if options.omits_body {
         Vec::new()
     } else {
         to_json_bytes(&error.body)
     };
     let mut response = json_response(error.status, body);
     if let Some(delay) = error.retry_after {
-        // The header has a resolution of one second; the error's reason states milliseconds.
+        // The unit of the header is one second, so the delay is rounded up.
         let seconds = HeaderValue::from(delay.as_millis().div_ceil(1000) as u64);
         response.headers_mut().insert(RETRY_AFTER, seconds);
     }
--- a/crates/opensearch-gateway/src/server/listener.rs
+++ b/crates/opensearch-gateway/src/server/listener.rs
@@ -25,10 +25,11 @@
     tokio::task::spawn_local(accept_connections(gateway, tls, listener));
 }
 
-/// Accepts connections up to the configured maximum; further ones wait in the listener's backlog.
+/// Accepts connections up to the configured maximum; further connections wait in the listener's
+/// backlog.
 ///
 /// When the aggregator stops accepting connections, all connections in the backlog are accepted
-/// before the listener is closed, because closing it would reset them.
+/// before the listener is closed, because closing the listener would reset them.
 async fn accept_connections(
     gateway: Rc<Gateway>,
     tls: Option<Rc<ReloadableTls>>,
@@ -37,7 +38,7 @@
     let permits = Arc::new(Semaphore::new(gateway.settings.max_connections));
     loop {
         let connection = tokio::select! {
-            accepted = accept_next(&permits, &listener) => accepted,
+            connection = accept_next(&permits, &listener) => connection,
             () = gateway.aggregator.listening_stopped() => break,
         };
         spawn_connection(&gateway, &tls, connection);
--- a/crates/opensearch-gateway/src/server/mod.rs
+++ b/crates/opensearch-gateway/src/server/mod.rs
@@ -9,7 +9,8 @@
 //!    `tenant.rs` the tenant, and `shard_selection.rs` the parts. [`InternalClient::send_query`]
 //!    passes the query to the engine.
 //! 4. `execution.rs` receives the [`QueryReply`], `shard_selection.rs` checks that the answers
-//!    cover enough of the index, and `search.rs` merges them and renders the response.
+//!    cover enough of the selected shards, and `search.rs` merges the answers and renders the
+//!    response.
 //!
 //! From [`InternalClient::send_query`] on (`core/src/net/internal_client.rs`), a search is handled
 //! like a native query: both reach the engine as [`Input::RequestReceived`] with a [`QueryRequest`]
--- a/crates/opensearch-gateway/src/server/multi_search.rs
+++ b/crates/opensearch-gateway/src/server/multi_search.rs
@@ -34,7 +34,7 @@
     search_type: Option<String>,
 }
 
-/// The two lines of a search.
+/// The two lines of a search, without whitespace at their ends.
 struct SearchLines {
     header: Bytes,
     body: Bytes,
@@ -44,7 +44,7 @@
 #[derive(Clone)]
 struct SearchDefaults {
     context: RequestContext,
-    /// The index in the URL, if any.
+    /// Name of the index in the URL, or `None` if the URL names no index.
     index: Option<String>,
     parameters: UrlParameters,
 }
@@ -56,7 +56,7 @@
     parameters: &UrlParameters,
     body: &Bytes,
 ) -> Result<Vec<u8>, GatewayError> {
-    let started = Instant::now();
+    let started_at = Instant::now();
     let searches = split_searches(body)?;
     let defaults = SearchDefaults {
         context: context.clone(),
@@ -64,7 +64,7 @@
         parameters: parameters.clone(),
     };
     let responses = run_searches(searches, &defaults).await;
-    Ok(join_responses(started.elapsed(), &responses))
+    Ok(join_responses(started_at.elapsed(), &responses))
 }
 
 /// Splits the body into the header and body lines of each search.
@@ -79,10 +79,10 @@
     if lines.is_empty() || lines.len() % 2 == 1 {
         return Err(GatewayError::UnpairedLines);
     }
-    let searches = lines.len() / 2;
-    if searches > MAX_SEARCHES_PER_REQUEST {
+    let search_count = lines.len() / 2;
+    if search_count > MAX_SEARCHES_PER_REQUEST {
         return Err(GatewayError::TooManySearches {
-            searches,
+            searches: search_count,
             max_searches: MAX_SEARCHES_PER_REQUEST,
         });
     }
@@ -104,29 +104,29 @@
 /// Runs the searches and returns the bodies of their responses in the order of the searches.
 async fn run_searches(searches: Vec<SearchLines>, defaults: &SearchDefaults) -> Vec<Vec<u8>> {
     let mut responses = vec![Vec::new(); searches.len()];
-    // If the client disconnects, dropping the set cancels the searches in flight.
-    let mut running = JoinSet::new();
-    for (position, search) in searches.into_iter().enumerate() {
-        while running.len() >= MAX_CONCURRENT_SEARCHES {
-            if let Some(finished) = running.join_next().await {
-                store_response(&mut responses, finished);
+    // If the client disconnects, dropping `tasks` cancels the searches in flight.
+    let mut tasks = JoinSet::new();
+    for (position, search_lines) in searches.into_iter().enumerate() {
+        while tasks.len() >= MAX_CONCURRENT_SEARCHES {
+            if let Some(task_result) = tasks.join_next().await {
+                store_response(&mut responses, task_result);
             }
         }
         let defaults = defaults.clone();
-        running.spawn_local(async move {
-            let result = run_search(&search, defaults).await;
+        tasks.spawn_local(async move {
+            let result = run_search(&search_lines, defaults).await;
             let body = response_with_status(result);
             PositionedResponse { position, body }
         });
     }
-    while let Some(finished) = running.join_next().await {
-        store_response(&mut responses, finished);
+    while let Some(task_result) = tasks.join_next().await {
+        store_response(&mut responses, task_result);
     }
     responses
 }
 
-fn store_response(responses: &mut [Vec<u8>], finished: Result<PositionedResponse, JoinError>) {
-    if let Ok(response) = finished {
+fn store_response(responses: &mut [Vec<u8>], task_result: Result<PositionedResponse, JoinError>) {
+    if let Ok(response) = task_result {
         responses[response.position] = response.body;
     }
 }
@@ -153,7 +153,7 @@
 ) -> Result<UrlParameters, GatewayError> {
     let mut parameters = url_parameters;
     if let Some(preference) = &header.preference {
-        // Parsed as a URL parameter, which has the same syntax and the same errors.
+        // Parsed as a URL parameter, because both have the same syntax and the same errors.
         let query = format!("preference={preference}");
         parameters.shards = UrlParameters::parse("/_msearch", Some(&query))?.shards;
     }
@@ -205,7 +205,7 @@
     }
 }
 
-/// Joins the responses to the single searches into the body of the whole response.
+/// Joins the responses to the individual searches into the body of the whole response.
 fn join_responses(took: Duration, responses: &[Vec<u8>]) -> Vec<u8> {
     let head = format!("{{\"took\":{},\"responses\":[", took.as_millis());
     let mut body = head.into_bytes();
--- a/crates/opensearch-gateway/src/server/parameters.rs
+++ b/crates/opensearch-gateway/src/server/parameters.rs
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Parses a list of shards, for example `_shards:0,2`. A further preference after `|` is
-    /// ignored.
+    /// Parses a list of shards, for example `_shards:0,2`. Ignores a further preference, which may
+    /// follow after `|`.
     fn shards(&self) -> Result<Vec<u32>, GatewayError> {
         let preference = self
             .value
--- a/crates/opensearch-gateway/src/server/search.rs
+++ b/crates/opensearch-gateway/src/server/search.rs
@@ -18,14 +18,14 @@
     body: &[u8],
 ) -> Result<Vec<u8>, GatewayError> {
     let request = parse_request(parameters, body)?;
-    let started = Instant::now();
+    let started_at = Instant::now();
     let SearchOutcome {
         index,
         shards,
         results,
     } = execute(context, index, parameters, &request).await?;
     let merged = merge(&request, results);
-    let took = started.elapsed();
+    let took = started_at.elapsed();
     Ok(search_response(
         index.name, &request, took, &shards, &merged,
     ))
@@ -56,7 +56,9 @@
     Ok(count_response(index.name, &shards, count))
 }
 
-/// Parses and validates a search. URL parameters take precedence over the body.
+/// Parses and validates a search.
+///
+/// The URL parameters `from`, `size` and `track_total_hits` take precedence over the body.
 fn parse_request(parameters: &UrlParameters, body: &[u8]) -> Result<SearchRequest, GatewayError> {
     let mut request = SearchRequest::parse(body)?;
     request.from = parameters.from.or(request.from);
--- a/crates/opensearch-gateway/src/server/shard_selection.rs
+++ b/crates/opensearch-gateway/src/server/shard_selection.rs
@@ -1,4 +1,4 @@
-//! Selects the shards of a search and checks that their answers cover enough of the index.
+//! Selects the shards of a search and checks that the answers cover enough of these shards.
 
 use super::context::Index;
 use crate::error::GatewayError;
@@ -22,7 +22,7 @@
 impl ShardSelection {
     /// Selects the `preferred` shards of the index, or all of its shards if there is no preference.
     ///
-    /// Fails if the index lacks a preferred shard.
+    /// Fails if the index lacks a preferred shard, or if `preferred` contains a shard twice.
     pub(super) fn new(
         index: Index,
         preferred: Option<&[u32]>,
@@ -32,8 +32,8 @@
         };
         let index_shards = index.settings.shards.iter();
         let shards: Vec<ShardWeight> = index_shards.filter(is_selected).copied().collect();
-        let all_found = preferred.is_none_or(|preferred| preferred.len() == shards.len());
-        if shards.is_empty() || !all_found {
+        let has_all_preferred = preferred.is_none_or(|preferred| preferred.len() == shards.len());
+        if shards.is_empty() || !has_all_preferred {
             let index = index.name.to_string();
             return Err(GatewayError::UnknownShards { index });
         }
@@ -84,8 +84,8 @@
                     answers.results.push(ShardResult { shard, answer });
                 }
                 Err(failure) => {
-                    let failed = FailedShard { shard, failure };
-                    answers.shards.failures.push(failed);
+                    let failed_shard = FailedShard { shard, failure };
+                    answers.shards.failures.push(failed_shard);
                 }
             }
         }
@@ -96,7 +96,7 @@
 
 /// Conditions that the answers to a search must meet.
 pub(super) struct AnswerRequirements {
-    /// Minimum total weight of the shards with a usable answer, from 0 to 1.
+    /// Minimum share of the selected shards' weight that usable answers must cover, from 0 to 1.
     pub(super) minimum_coverage: f64,
     /// Whether every shard must have a usable answer, because the client rejects partial results.
     pub(super) requires_all_shards: bool,
@@ -113,7 +113,7 @@
 pub(super) struct CollectedAnswers {
     shards: ShardSummary,
     results: Vec<ShardResult>,
-    /// Total weight of the shards with a usable answer, from 0 to 1.
+    /// Share of the selected shards' weight that the usable answers cover, from 0 to 1.
     coverage: f64,
 }
 
--- a/crates/opensearch-gateway/src/settings/index.rs
+++ b/crates/opensearch-gateway/src/settings/index.rs
@@ -24,7 +24,7 @@
 pub struct IndexSettings {
     /// Name of the class that queries to this index belong to.
     pub class: String,
-    /// Shards of the index in the order of the settings; each shard occurs once.
+    /// Shards of the index in the order of the settings, without duplicates.
     pub shards: Vec<ShardWeight>,
 }
 
@@ -32,9 +32,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum ShardListError {
     #[error("'{entry}' is not a shard number or a range of shard numbers")]
-    NotANumber { entry: String },
+    NotShardNumber { entry: String },
     #[error(
-        "'{entry}' is not a valid range: the last shard must be 0 to {MAX_SHARD_RANGE} above the first"
+        "'{entry}' is not a valid range: the last shard must be from 0 to {MAX_SHARD_RANGE} above the first"
     )]
     InvalidRange { entry: String },
     #[error("shard {shard} is listed more than once")]
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 enum WeightsError {
     #[error("'{text}' is not a comma-separated list of numbers")]
-    NotANumber { text: String },
+    NotNumbers { text: String },
     #[error("found {weights} weights for {shards} shards; expected one weight per shard")]
     CountMismatch { weights: usize, shards: usize },
     #[error("each weight must be from 0 to 1 and their sum must be 1; the sum is {sum}")]
@@ -114,18 +114,21 @@
 
 /// Parses a shard number, which is a part of the list entry `entry`.
 fn parse_shard_number(text: &str, entry: &str) -> Result<u32, ShardListError> {
-    text.trim().parse().map_err(|_| ShardListError::NotANumber {
-        entry: entry.to_string(),
-    })
+    text.trim()
+        .parse()
+        .map_err(|_| ShardListError::NotShardNumber {
+            entry: entry.to_string(),
+        })
 }
 
-/// Parses the weights of an index with `shards` shards. Without a text, all weights are equal.
-fn read_weights(text: Option<&str>, shards: usize) -> Result<Vec<f64>, WeightsError> {
+/// Parses the weights of an index with `shard_count` shards. If `text` is `None`, all weights are
+/// equal.
+fn read_weights(text: Option<&str>, shard_count: usize) -> Result<Vec<f64>, WeightsError> {
     let weights = match text {
         Some(text) => parse_weights(text)?,
-        None => vec![1.0 / shards as f64; shards],
+        None => vec![1.0 / shard_count as f64; shard_count],
     };
-    check_weights(&weights, shards)?;
+    check_weights(&weights, shard_count)?;
     Ok(weights)
 }
 
@@ -133,20 +136,22 @@
     text.split(',')
         .map(|weight| weight.trim().parse())
         .collect::<Result<Vec<f64>, _>>()
-        .map_err(|_| WeightsError::NotANumber {
+        .map_err(|_| WeightsError::NotNumbers {
             text: text.to_string(),
         })
 }
 
 /// Checks the number of weights, their range and their sum.
-fn check_weights(weights: &[f64], shards: usize) -> Result<(), WeightsError> {
-    if weights.len() != shards {
-        let weights = weights.len();
-        return Err(WeightsError::CountMismatch { weights, shards });
+fn check_weights(weights: &[f64], shard_count: usize) -> Result<(), WeightsError> {
+    if weights.len() != shard_count {
+        return Err(WeightsError::CountMismatch {
+            weights: weights.len(),
+            shards: shard_count,
+        });
     }
     let sum: f64 = weights.iter().sum();
-    let in_range = weights.iter().all(|weight| (0.0..=1.0).contains(weight));
-    if !in_range || (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
+    let are_in_range = weights.iter().all(|weight| (0.0..=1.0).contains(weight));
+    if !are_in_range || (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
         return Err(WeightsError::NotNormalized { sum });
     }
     Ok(())
--- a/crates/opensearch-gateway/src/settings/mod.rs
+++ b/crates/opensearch-gateway/src/settings/mod.rs
@@ -26,9 +26,9 @@
     pub listen: SocketAddr,
     /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Maximum length of a request body, both compressed and decompressed.
+    /// Maximum length of a request body in bytes, both before and after decompression.
     pub max_body_bytes: usize,
-    /// Maximum total length of the shards' answers to one search.
+    /// Maximum total length of the shards' answers to one search, in bytes.
     pub max_answer_bytes: usize,
     /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
@@ -47,7 +47,7 @@
     pub trusted_proxies: NetworkSet,
     /// Tenants by network; empty if the tenant source does not use networks.
     pub tenant_networks: TenantNetworks,
-    /// Settings of the indices by name; never empty.
+    /// Settings of the indices by name; contains at least one index.
     pub indices: BTreeMap<String, IndexSettings>,
 }
 
--- a/crates/opensearch-gateway/src/tls.rs
+++ b/crates/opensearch-gateway/src/tls.rs
@@ -36,7 +36,7 @@
 pub enum TlsError {
     /// The metadata of the key file cannot be read.
     #[error("{}: cannot read the file's metadata: {source}", path.display())]
-    KeyMetadata {
+    UnreadableKeyMetadata {
         /// Path of the file.
         path: PathBuf,
         /// I/O error of the system call.
@@ -47,7 +47,7 @@
         "{}: private key file is accessible by group or others (mode {mode:03o}); expected mode 600",
         path.display()
     )]
-    KeyPermissions {
+    InsecureKeyPermissions {
         /// Path of the file.
         path: PathBuf,
         /// Permission bits of the file.
@@ -55,7 +55,7 @@
     },
     /// A file cannot be read, or is not a PEM file of the expected kind.
     #[error("{}: cannot load the PEM file: {source}", path.display())]
-    Pem {
+    InvalidPem {
         /// Path of the file.
         path: PathBuf,
         /// I/O error or syntax error in the PEM file.
@@ -63,7 +63,7 @@
     },
     /// A PEM file contains no certificate.
     #[error("{}: the PEM file contains no certificate", path.display())]
-    NoCertificate {
+    MissingCertificate {
         /// Path of the file.
         path: PathBuf,
     },
@@ -77,10 +77,10 @@
     },
     /// The verifier for client certificates cannot be built.
     #[error(transparent)]
-    ClientVerifier(#[from] VerifierBuilderError),
+    InvalidClientVerifier(#[from] VerifierBuilderError),
     /// The crypto provider does not support the default protocol versions.
     #[error(transparent)]
-    Protocol(rustls::Error),
+    UnsupportedProtocolVersions(rustls::Error),
     /// The certificate cannot be used with the private key.
     #[error("certificate {} cannot be used with private key {}: {source}", certificate.display(), key.display())]
     CertificateKeyMismatch {
@@ -132,7 +132,7 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
-        .map_err(TlsError::Protocol)?;
+        .map_err(TlsError::UnsupportedProtocolVersions)?;
     let builder = match &files.client_ca {
         None => builder.with_no_client_auth(),
         Some(path) => builder.with_client_cert_verifier(load_client_verifier(path, provider)?),
@@ -151,13 +151,13 @@
 
 /// Loads the private key and checks that only the owner has access to its file.
 fn load_key(path: &Path) -> Result<PrivateKeyDer<'static>, TlsError> {
-    let metadata = std::fs::metadata(path).map_err(|source| TlsError::KeyMetadata {
+    let metadata = std::fs::metadata(path).map_err(|source| TlsError::UnreadableKeyMetadata {
         path: path.into(),
         source,
     })?;
     let mode = metadata.permissions().mode();
     if mode & GROUP_AND_OTHERS_MASK != 0 {
-        return Err(TlsError::KeyPermissions {
+        return Err(TlsError::InsecureKeyPermissions {
             path: path.into(),
             mode: mode & PERMISSIONS_MASK,
         });
@@ -170,13 +170,13 @@
         .and_then(|certificates| certificates.collect::<Result<Vec<_>, _>>())
         .map_err(|source| pem_error(path, source))?;
     if certificates.is_empty() {
-        return Err(TlsError::NoCertificate { path: path.into() });
+        return Err(TlsError::MissingCertificate { path: path.into() });
     }
     Ok(certificates)
 }
 
 fn pem_error(path: &Path, source: pem::Error) -> TlsError {
-    TlsError::Pem {
+    TlsError::InvalidPem {
         path: path.into(),
         source,
     }
--- a/crates/opensearch-gateway/tests/merge.rs
+++ b/crates/opensearch-gateway/tests/merge.rs
@@ -47,10 +47,10 @@
     };
     let expected = ["big", "c", "a", "b", "m", "t", "f", "z"];
     assert_eq!(ids(results()), expected);
-    let mut reversed = results();
-    reversed.reverse();
+    let mut reversed_results = results();
+    reversed_results.reverse();
     assert_eq!(
-        ids(reversed),
+        ids(reversed_results),
         expected,
         "expected an order that does not depend on the order of arrival"
     );
@@ -150,12 +150,12 @@
     /// distribution of hits over shards.
     #[test]
     fn a_merged_page_equals_the_page_of_all_sorted_hits(
-        scores in prop::collection::vec((0u8..4, 0u32..5), 0..60), from in 0u64..30, size in 0u64..30,
+        scores_and_shards in prop::collection::vec((0u8..4, 0u32..5), 0..60), from in 0u64..30, size in 0u64..30,
     ) {
         let request = parse_request(&json!({"from": from, "size": size})).unwrap();
         let mut expected: Vec<ExpectedHit> = Vec::new();
         let mut shards: Vec<Vec<Value>> = vec![Vec::new(); 5];
-        for (number, (score, shard)) in scores.iter().enumerate() {
+        for (number, (score, shard)) in scores_and_shards.iter().enumerate() {
             let id = format!("{number:03}");
             shards[*shard as usize].push(json!({"_id": id, "_score": score}));
             expected.push(ExpectedHit { score: *score, shard: *shard, id });
@@ -173,6 +173,6 @@
         let expected_page = expected.into_iter().skip(from as usize).take(size as usize);
         let expected_ids: Vec<String> = expected_page.map(|hit| hit.id).collect();
         prop_assert_eq!(ids, expected_ids);
-        prop_assert_eq!(merged.total.map_or(0, |total| total.value), scores.len() as u64);
+        prop_assert_eq!(merged.total.map_or(0, |total| total.value), scores_and_shards.len() as u64);
     }
 }
--- a/crates/opensearch-gateway/tests/networks.rs
+++ b/crates/opensearch-gateway/tests/networks.rs
@@ -77,12 +77,12 @@
         ("10.0.0.1", &[], "10.0.0.1"),
         ("::ffff:10.0.0.1", &["::ffff:192.0.2.7"], "192.0.2.7"),
     ];
-    for (peer, forwarded, expected) in cases {
-        let client = client_address(peer.parse().unwrap(), forwarded, &proxies);
+    for (peer, forwarded_for, expected) in cases {
+        let client = client_address(peer.parse().unwrap(), forwarded_for, &proxies);
         assert_eq!(
             client,
             expected.parse::<IpAddr>().unwrap(),
-            "{peer} {forwarded:?}"
+            "{peer} {forwarded_for:?}"
         );
     }
 }
@@ -101,16 +101,16 @@
         }).collect();
         rules.sort_by_key(|(network, _)| network.prefix_len());
         let mut networks = TenantNetworks::default();
-        let mut accepted: Vec<(Ipv4Net, u8)> = Vec::new();
+        let mut accepted_rules: Vec<(Ipv4Net, u8)> = Vec::new();
         for (network, tenant) in rules {
             if networks.insert(network.into(), &tenant.to_string()).is_ok() {
-                accepted.push((network, tenant));
+                accepted_rules.push((network, tenant));
             }
         }
         let address = address_from_bits(address);
-        let containing = accepted.iter().filter(|(network, _)| network.contains(&address));
-        let narrowest = containing.max_by_key(|(network, _)| network.prefix_len());
-        let expected = narrowest.map(|(_, tenant)| tenant.to_string());
+        let containing_rules = accepted_rules.iter().filter(|(network, _)| network.contains(&address));
+        let narrowest_rule = containing_rules.max_by_key(|(network, _)| network.prefix_len());
+        let expected = narrowest_rule.map(|(_, tenant)| tenant.to_string());
         prop_assert_eq!(networks.find(IpAddr::V4(address)).map(str::to_string), expected);
     }
 }
--- a/crates/opensearch-gateway/tests/tls.rs
+++ b/crates/opensearch-gateway/tests/tls.rs
@@ -161,10 +161,10 @@
         .is_err());
     before.client.write_all(b"still here").await.unwrap();
     before.client.flush().await.unwrap();
-    let mut received = [0; 10];
-    before.server.read_exact(&mut received).await.unwrap();
+    let mut received_bytes = [0; 10];
+    before.server.read_exact(&mut received_bytes).await.unwrap();
     assert_eq!(
-        &received, b"still here",
+        &received_bytes, b"still here",
         "expected the connection from before the reload to stay open"
     );
 }
