--- a/crates/opensearch-gateway/src/merge/aggregations.rs
+++ b/crates/opensearch-gateway/src/merge/aggregations.rs
@@ -149,10 +149,10 @@
 /// The bound is the error that the shard itself reports. If the shard omitted terms, the count of
 /// its least frequent returned term is added, because an omitted term cannot have a higher count.
 fn terms_error_bound(partial: &Value) -> u64 {
-    let reported = count(partial, "doc_count_error_upper_bound");
+    let reported_bound = count(partial, "doc_count_error_upper_bound");
     if omitted_doc_count(partial) == 0 {
-        return reported;
+        return reported_bound;
     }
     let least_frequent = buckets(partial).map(|bucket| bucket.doc_count).min();
-    least_frequent.unwrap_or(0) + reported
+    least_frequent.unwrap_or(0) + reported_bound
 }
--- a/crates/opensearch-gateway/src/merge/ordering.rs
+++ b/crates/opensearch-gateway/src/merge/ordering.rs
@@ -52,16 +52,18 @@
 /// Numbers come before strings, strings before booleans, and missing values last. `order` applies
 /// only to values of the same type.
 pub fn compare_sort_values(left: &Value, right: &Value, order: SortOrder) -> Ordering {
-    let directed = |ordering: Ordering| match order {
+    let apply_order = |ordering: Ordering| match order {
         SortOrder::Asc => ordering,
         SortOrder::Desc => ordering.reverse(),
     };
     type_rank(left)
         .cmp(&type_rank(right))
         .then_with(|| match (left, right) {
-            (Value::Number(left), Value::Number(right)) => directed(compare_numbers(left, right)),
-            (Value::String(left), Value::String(right)) => directed(left.cmp(right)),
-            (Value::Bool(left), Value::Bool(right)) => directed(left.cmp(right)),
+            (Value::Number(left), Value::Number(right)) => {
+                apply_order(compare_numbers(left, right))
+            }
+            (Value::String(left), Value::String(right)) => apply_order(left.cmp(right)),
+            (Value::Bool(left), Value::Bool(right)) => apply_order(left.cmp(right)),
             _ => Ordering::Equal,
         })
 }
--- a/crates/opensearch-gateway/src/query_dsl/request.rs
+++ b/crates/opensearch-gateway/src/query_dsl/request.rs
@@ -12,7 +12,7 @@
 const DEFAULT_PAGE_SIZE: u64 = 10;
 
 /// Selection of the document fields to return.
-// Clients may depend on this error text, so it contains an earlier name of the type.
+// Clients may depend on the text of `expecting`, which contains an earlier name of the type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(
     untagged,
@@ -40,7 +40,7 @@
 }
 
 /// Whether the total number of hits is counted, and up to which number.
-// Clients may depend on this error text, so it contains an earlier name of the type.
+// Clients may depend on the text of `expecting`, which contains an earlier name of the type.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(
     untagged,
--- a/crates/opensearch-gateway/src/settings/index.rs
+++ b/crates/opensearch-gateway/src/settings/index.rs
@@ -104,9 +104,9 @@
         }
         shards.extend(first..=last);
     }
-    let mut sorted = shards.clone();
-    sorted.sort_unstable();
-    match sorted.windows(2).find(|pair| pair[0] == pair[1]) {
+    let mut sorted_shards = shards.clone();
+    sorted_shards.sort_unstable();
+    match sorted_shards.windows(2).find(|pair| pair[0] == pair[1]) {
         Some(pair) => Err(ShardListError::Duplicate { shard: pair[0] }),
         None => Ok(shards),
     }
--- a/crates/opensearch-gateway/tests/query_dsl.rs
+++ b/crates/opensearch-gateway/tests/query_dsl.rs
@@ -12,7 +12,7 @@
 #[test]
 #[allow(clippy::too_many_lines, reason = "the test is one list of cases")]
 fn invalid_requests_are_rejected_with_the_path_of_the_invalid_field() {
-    let nested = |depth: usize| {
+    let nested_query = |depth: usize| {
         (0..depth).fold(
             json!({"match_all": {}}),
             |inner, _| json!({"constant_score": {"filter": inner}}),
@@ -59,7 +59,11 @@
             "from",
             "10000 at most",
         ),
-        (json!({"query": nested(MAX_CLAUSE_DEPTH)}), "query", "deep"),
+        (
+            json!({"query": nested_query(MAX_CLAUSE_DEPTH)}),
+            "query",
+            "deep",
+        ),
         (
             json!({"query": {"bool": {"should": max_clauses}}}),
             "query",
@@ -111,7 +115,7 @@
             "{body}: {error}"
         );
     }
-    assert!(parse_request(&json!({"query": nested(MAX_CLAUSE_DEPTH - 1)})).is_ok());
+    assert!(parse_request(&json!({"query": nested_query(MAX_CLAUSE_DEPTH - 1)})).is_ok());
     // A body of extreme depth is rejected before the recursive parser can overflow the stack.
     let deep = [b"[".repeat(60_000), b"]".repeat(60_000)].concat();
     assert!(SearchRequest::parse(&deep)
