--- a/crates/core/src/engine/endpoint_table.rs
+++ b/crates/core/src/engine/endpoint_table.rs
@@ -208,7 +208,7 @@
             replica: id,
             cell: endpoint.group,
             zone,
-            started: endpoint.since_ms.saturating_mul(MILLISECOND),
+            started_at: endpoint.since_ms.saturating_mul(MILLISECOND),
             state,
         })
     }
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -24,7 +24,7 @@
     /// Zone of the replica.
     pub zone: u16,
     /// Time of the replica's last start; 0 if it started long ago.
-    pub started: Nanos,
+    pub started_at: Nanos,
     /// State of the replica.
     pub state: ReplicaState,
 }
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -252,15 +252,15 @@
         for entry in entries {
             let new = ReplicaRecord {
                 id: entry.replica,
-                started: entry.started,
+                started: entry.started_at,
                 ..ReplicaRecord::default()
             };
             let replica = self.replicas.entry(entry.replica).or_insert(new);
             replica.cell = entry.cell;
             replica.zone = entry.zone;
             replica.state = entry.state;
-            if entry.state == ReplicaState::Ready && replica.started != entry.started {
-                replica.restart(entry.started);
+            if entry.state == ReplicaState::Ready && replica.started != entry.started_at {
+                replica.restart(entry.started_at);
             }
         }
     }
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -168,7 +168,7 @@
             replica: ReplicaId(replica),
             cell: (replica as u32 % placement_cells) as u16,
             zone: (replica % 2) as u16,
-            started: 0,
+            started_at: 0,
             state: ReplicaState::Ready,
         });
         Scenario {
@@ -265,7 +265,7 @@
             0 => entry.state = ReplicaState::Draining,
             1 => entry.state = ReplicaState::Gone,
             _ => {
-                (entry.state, entry.started) =
+                (entry.state, entry.started_at) =
                     (ReplicaState::Ready, self.now.saturating_sub(300 * MS));
             }
         }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -27,7 +27,7 @@
     harness.update_endpoints(
         EndpointUpdateKind::Snapshot,
         vec![ReplicaEntry {
-            started: START - MS,
+            started_at: START - MS,
             ..ready_replica(1)
         }],
     );
@@ -46,7 +46,7 @@
     harness.update_endpoints(
         EndpointUpdateKind::Snapshot,
         vec![ReplicaEntry {
-            started: START - MS,
+            started_at: START - MS,
             ..ready_replica(1)
         }],
     );
@@ -78,7 +78,7 @@
         harness.update_endpoints(
             EndpointUpdateKind::Snapshot,
             vec![ReplicaEntry {
-                started: START - MS,
+                started_at: START - MS,
                 ..ready_replica(1)
             }],
         );
@@ -123,7 +123,7 @@
         let notified_ms = 160_500 + u64::from(number) * 37 % 500;
         harness.now = START + notified_ms * MS;
         let warming_replica = ReplicaEntry {
-            started: START + 160_000 * MS,
+            started_at: START + 160_000 * MS,
             ..ready_replica(9)
         };
         harness.update_endpoints(EndpointUpdateKind::Delta, vec![warming_replica]);
@@ -195,7 +195,7 @@
     harness.update_endpoints(
         EndpointUpdateKind::Delta,
         vec![ReplicaEntry {
-            started: START + 9_990 * MS,
+            started_at: START + 9_990 * MS,
             ..ready_replica(2)
         }],
     );
@@ -224,7 +224,7 @@
     harness.update_endpoints(
         EndpointUpdateKind::Delta,
         vec![ReplicaEntry {
-            started: START + 1_990 * MS,
+            started_at: START + 1_990 * MS,
             ..ready_replica(2)
         }],
     );
@@ -248,7 +248,7 @@
     harness.update_endpoints(
         EndpointUpdateKind::Snapshot,
         vec![ReplicaEntry {
-            started: START - MS,
+            started_at: START - MS,
             ..ready_replica(1)
         }],
     );
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -53,7 +53,7 @@
         replica: ReplicaId(replica),
         cell: 0,
         zone: 0,
-        started: 0,
+        started_at: 0,
         state: ReplicaState::Ready,
     }
 }
--- a/crates/simulator-adapter/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -51,7 +51,7 @@
         replica: fields.replica(REPLICA),
         cell: fields.u16(CELL),
         zone: fields.u16(ZONE),
-        started: fields.u64(STARTED),
+        started_at: fields.u64(STARTED),
         state: decode_state(fields.u8(STATE))?,
     })
 }
