--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -2,15 +2,15 @@
 
 use super::{Nanos, ReplicaId, RequestId};
 
-/// One request of the policy. The caller executes the actions of a batch in order, at the time of
-/// the batch.
+/// One action that the policy requests. The caller executes the actions of a batch in order, at the
+/// time of the batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a part to a replica.
     SendAttempt {
-        /// Part to send.
+        /// Identifier of the part.
         part: RequestId,
-        /// Replica to send the part to.
+        /// Replica that receives the part.
         replica: ReplicaId,
         /// Time at which the attempt times out; 0 stands for the deadline of the query.
         times_out_at: Nanos,
@@ -20,47 +20,48 @@
     },
     /// Cancel an attempt in flight.
     CancelAttempt {
-        /// Part that is attempted.
+        /// Identifier of the part.
         part: RequestId,
         /// Number of the attempt among those at the part, from 0.
         attempt: u8,
     },
     /// Answer a query from the results so far.
     Answer {
-        /// Query to answer.
+        /// Identifier of the query.
         query: RequestId,
         /// Whether to mark the answer as complete.
         complete: bool,
     },
-    /// Reject a query in such a way that the client knows that a retry is harmless.
+    /// End a query without an answer, and tell the client that a retry is harmless.
     Reject {
-        /// Query to reject.
+        /// Identifier of the query.
         query: RequestId,
-        /// Time that the client should wait before a retry; `None` leaves it to the client.
+        /// Time that the client should wait before a retry; `None` if the client decides.
         retry_after: Option<Nanos>,
     },
-    /// End a query whose parts may have been executed, so that a retry by the client may do harm.
+    /// End a query without an answer. Its parts may have been executed, so a retry by the client
+    /// may do harm.
     Fail {
-        /// Query to end.
+        /// Identifier of the query.
         query: RequestId,
     },
-    /// Request an [`Event::TimerFired`](super::Event::TimerFired).
+    /// Set a timer that causes an [`Event::TimerFired`](super::Event::TimerFired).
     SetTimer {
-        /// Token to return in the event.
+        /// Token that the event repeats.
         token: u64,
-        /// Time until the timer fires.
+        /// Time from the batch until the timer fires.
         after: Nanos,
     },
-    /// Watch the endpoint list, or stop watching it.
+    /// Watch or poll the endpoint list, or stop watching it.
     WatchEndpoints {
-        /// Whether to watch the list.
+        /// Whether to start (`true`) or stop (`false`).
         enabled: bool,
     },
-    /// Read the whole endpoint list once.
+    /// Request the complete endpoint list once.
     FetchEndpoints,
     /// Send a health check to a replica.
     CheckHealth {
-        /// Replica to check.
+        /// Replica that is checked.
         replica: ReplicaId,
     },
     /// Close the idle connections to a replica.
@@ -68,11 +69,11 @@
         /// Replica whose connections are closed.
         replica: ReplicaId,
     },
-    /// Send a gossip message to one other aggregator or to all.
+    /// Send a gossip message to one other aggregator, or to all others.
     SendGossip {
-        /// Number of the receiving aggregator; `None` for all.
+        /// Number of the receiving aggregator; `None` for all other aggregators.
         to: Option<u32>,
-        /// Encoded message.
+        /// Encoded message, which the caller passes on unchanged.
         bytes: Vec<u8>,
     },
     /// Write a line to the log.
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -14,10 +14,10 @@
     Gone,
 }
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaEntry {
-    /// Replica that the line describes.
+    /// Replica that the entry describes.
     pub replica: ReplicaId,
     /// Placement cell of the replica.
     pub cell: u16,
@@ -25,24 +25,24 @@
     pub zone: u16,
     /// Time of the replica's last start; 0 if it started long ago.
     pub started_at: Nanos,
-    /// State of the replica.
+    /// State of the replica when the entry was sent.
     pub state: ReplicaState,
 }
 
-/// Kind of an update of the endpoint list, which determines the meaning of its lines.
+/// Kind of an update of the endpoint list, which determines the meaning of its entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// The lines that have changed.
+    /// The entries that have changed.
     Delta,
     /// The complete list.
     Snapshot,
     /// The complete list as cached before a restart, which may be stale.
     Cached,
-    /// No lines, since a poll or a watch failed.
+    /// No entries, since a poll or a watch failed.
     Unavailable,
 }
 
-/// Outcome of an attempt or a health check.
+/// Outcome of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The part was executed and its result was returned.
@@ -63,7 +63,7 @@
     NotSent,
 }
 
-/// Load values that a replica reports about itself, in an order that the operator defines.
+/// Load values that a replica reports about itself. The operator defines their order.
 pub type LoadReport = Vec<f32>;
 
 /// A query that has been received. Its parts follow in the same batch, with the same `group`.
@@ -71,15 +71,15 @@
 pub struct QueryReceived {
     /// Identifier of the query.
     pub id: RequestId,
-    /// Group that the query shares with its parts.
+    /// Number of the group that the query shares with its parts.
     pub group: u32,
     /// Index into [`PolicySettings::classes`](super::PolicySettings::classes).
     pub class: u16,
-    /// Number of the tenant.
+    /// Number of the tenant, assigned by the caller.
     pub tenant: u32,
-    /// Time from now until the client times out.
+    /// Time from the batch until the client times out.
     pub client_timeout: Nanos,
-    /// Execution time that the query is expected to take; `None` if it is unknown.
+    /// Expected execution time of the query; `None` if it is unknown.
     pub expected_work: Option<Nanos>,
     /// Whether the client has marked the query as a retry.
     pub is_retry: bool,
@@ -90,24 +90,24 @@
 pub struct PartReceived {
     /// Identifier of the part.
     pub id: RequestId,
-    /// Group that the part shares with its query.
+    /// Number of the group that the part shares with its query.
     pub group: u32,
     /// Shard that the part queries.
     pub shard: u32,
-    /// Share of the weight of the query's current step.
+    /// Share of the weight of the query's current step, from 0 to 1.
     pub weight: f64,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnded {
-    /// Part that was attempted.
+    /// Identifier of the part.
     pub part: RequestId,
     /// Number of the attempt among those at the part, from 0 in the order sent.
     pub attempt: u8,
     /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// Outcome of the attempt.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
     /// Load report that the replica sent with its reply; empty if there is none.
     pub report: LoadReport,
@@ -118,7 +118,7 @@
 pub struct HealthCheckEnded {
     /// Replica that was checked.
     pub replica: ReplicaId,
-    /// Outcome of the check.
+    /// How the check ended.
     pub outcome: AttemptOutcome,
     /// Time from the start of the check to its end.
     pub latency: Nanos,
@@ -133,7 +133,7 @@
     EndpointsUpdated {
         /// Kind of the update.
         kind: EndpointUpdateKind,
-        /// Lines of the list that the update contains.
+        /// Entries that the update contains.
         entries: Vec<ReplicaEntry>,
     },
     /// A query has been received.
@@ -144,7 +144,7 @@
     AttemptEnded(AttemptEnded),
     /// A streamed response has started.
     ResponseStarted {
-        /// Part that was attempted.
+        /// Identifier of the part.
         part: RequestId,
         /// Number of the attempt among those at the part, from 0.
         attempt: u8,
@@ -156,9 +156,9 @@
         /// Identifier of the query.
         id: RequestId,
     },
-    /// The process shuts down, and every open query must end by `answer_by`.
+    /// The process shuts down; the queries that are open must end by `answer_by`.
     ShutdownRequested {
-        /// Deadline for all answers.
+        /// Time by which these queries must have ended.
         answer_by: Nanos,
     },
     /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) has fired.
@@ -172,7 +172,7 @@
     GossipReceived {
         /// Number of the sending aggregator.
         from: u32,
-        /// Encoded message.
+        /// Encoded message, as received.
         bytes: Vec<u8>,
     },
 }
--- a/crates/policy/src/api/mod.rs
+++ b/crates/policy/src/api/mod.rs
@@ -14,12 +14,12 @@
 };
 pub use settings::{Idempotency, PolicySettings, QueryClass, RetryBudget};
 
-/// A point in time on the caller's clock or a duration, in nanoseconds.
+/// A time on the caller's clock or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 /// Identifier of a query or a part. Identifiers are never reused.
 pub type RequestId = u64;
 
-/// Identifier of a replica. The caller assigns the number.
+/// Identifier of a replica, assigned by the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u64);
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -22,17 +22,19 @@
 pub struct QueryClass {
     /// Time within which an answer has its full value.
     pub latency_objective: Nanos,
-    /// Multiple of a query's expected work that is added to its latency objective.
+    /// Multiple of a query's expected work that is added to its latency objective; `None` counts as
+    /// 0.
     pub objective_stretch: Option<f64>,
-    /// Longest time that a client waits, over all its attempts.
+    /// Longest time that a client waits for an answer, over all its attempts.
     pub deadline: Nanos,
-    /// Whether parts may be executed more than once.
+    /// Whether parts of the class may be executed more than once.
     pub idempotency: Idempotency,
     /// Time for which the leaf server drops duplicates of a part with an idempotency key.
     pub idempotency_window: Nanos,
-    /// Value of an answer, relative to other classes.
+    /// Value of an answer relative to other classes; `None` counts as 1.
     pub priority_weight: Option<f64>,
-    /// Value of an answer after the latency objective, as a fraction of the full value.
+    /// Value of an answer after the latency objective, as a fraction of the full value; 0 if it has
+    /// none.
     pub late_value: f64,
     /// Share of the first step's part weight that a complete answer needs.
     pub completeness_threshold: f64,
@@ -53,11 +55,11 @@
     pub minimum: f64,
     /// Number of further retries allowed per query or part received.
     pub ratio: f64,
-    /// Length of the sliding window.
+    /// Length of the sliding window over retries, queries and parts.
     pub window: Nanos,
 }
 
-/// Settings of a policy, which are constant during its lifetime.
+/// Settings of a policy, which are constant during the lifetime of the policy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicySettings {
     /// Classes of queries, which events refer to by index.
@@ -73,7 +75,7 @@
     pub cross_zone_price: f64,
     /// Maximum number of parts that share a call if they are sent to one replica in one batch.
     pub max_parts_per_call: Option<u32>,
-    /// Number of aggregators, including this one.
+    /// Number of aggregators in the deployment, including this one.
     pub aggregators: u32,
     /// Minimum time between two batches of events.
     pub min_batch_interval: Nanos,
@@ -89,24 +91,25 @@
     pub health_checks_allowed: bool,
     /// Longest `Retry-After` that a rejected client may be given; 0 if none may be given.
     pub max_retry_after: Nanos,
-    /// Minimum share of its capacity that a replica has when it starts. It has its full capacity
-    /// after `warm_up_time`.
+    /// Minimum share of its full capacity that a replica has when it starts. The replica has its
+    /// full capacity after `warm_up_time`.
     pub initial_capacity: Option<f64>,
     /// Time that a replica needs to warm up after its start.
     pub warm_up_time: Nanos,
-    /// Multiple of its current capacity above which a replica that is warming up fails, if the load
+    /// Multiple of its current capacity above which a replica that is warming up fails if the load
     /// lasts for `overload_window`.
     pub overload_multiple: Option<f64>,
     /// Time for which a replica that is warming up tolerates a load above `overload_multiple`.
     pub overload_window: Nanos,
-    /// Limit on retries; `None` if there is no budget.
+    /// Limit on retries; `None` if retries are not limited by a budget.
     pub retry_budget: Option<RetryBudget>,
-    /// Time after which a leaf server closes an idle connection. The aggregator closes it earlier.
+    /// Time after which a leaf server closes an idle connection; 0 if it is unknown. The aggregator
+    /// closes idle connections earlier.
     pub idle_timeout: Nanos,
-    /// Time after the notice that a replica is draining or gone, after which no attempt may be sent
+    /// Time from the notice that a replica is draining or gone, after which no attempt may be sent
     /// to the replica.
     pub drain_notice: Nanos,
-    /// Whether the endpoint list is polled and not pushed.
+    /// Whether the endpoint list is polled rather than pushed.
     pub endpoint_list_polled: bool,
     /// Time after which a change of a polled endpoint list counts as notified.
     pub poll_interval: Nanos,
@@ -119,7 +122,7 @@
         objectives.min().unwrap_or(1_000_000_000)
     }
 
-    /// Returns the maximum number of parts that share a call, which is 1 by default.
+    /// Returns the maximum number of parts that share a call, at least 1.
     pub fn parts_per_call(&self) -> u32 {
         self.max_parts_per_call.unwrap_or(1).max(1)
     }
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Returns the minimum weight of any answer, as a share of the part weight.
+    /// Returns the minimum weight of an answer, as a share of the part weight.
     pub fn minimum(&self) -> f64 {
         self.minimum_coverage.min(self.completeness_threshold)
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,9 +2,9 @@
 //! to answer or reject a query. [`Policy::handle`] takes events and returns actions, without I/O or
 //! a clock.
 //!
-//! [`api`] defines the events, actions and settings. `policy` has one file per decision, including
-//! the state of that decision. `state` defines the records of queries and replicas, and `stats`
-//! generic statistics.
+//! [`api`] defines the events, actions and settings. `policy` has one file per decision, which also
+//! defines the state of that decision. `state` defines the records of queries and replicas, and
+//! `stats` provides generic statistics.
 
 pub mod api;
 mod policy;
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -21,27 +21,28 @@
     ShortClientTimeout,
     /// The time left is shorter than the mean latency of an answer.
     TooLittleTime,
-    /// Too few shards can respond in time to reach the class's minimum coverage.
+    /// The parts that can be answered in time do not reach the class's minimum coverage.
     InsufficientCoverage,
     /// The class has no permit left; see [`super::permits`].
     NoPermit,
 }
 
-/// Checks whether queries can meet their latency objectives.
+/// Decides whether queries can meet their latency objectives.
 #[derive(Debug, Default)]
 pub struct Admission {
-    /// Mean value of a part over recent queries.
+    /// Moving average, over queries, of the priority weight per part.
     mean_value_per_part: Ewma,
 }
 
 impl Admission {
     /// Checks a query whose parts are known, before any of them is sent. If the class takes partial
-    /// answers, drops the parts that cannot be answered in time.
+    /// answers, drops the parts that cannot be answered in time. Returns the reason if the query is
+    /// to be rejected.
     pub fn check(&mut self, query: &mut QueryState, context: &Context) -> Result<(), Rejection> {
         let class = context.class(query.class);
         let max_wait_share = tuning::REJECT_SHARE * self.value_factor(query, class);
-        let time_left = (query.objective - query.arrived) as f64;
-        if query.arrived_late && class.late_value <= 0.0 {
+        let time_left = (query.objective - query.arrived_at) as f64;
+        if query.is_late_arrival && class.late_value <= 0.0 {
             return Err(Rejection::Expired);
         }
         if query.has_short_timeout {
@@ -70,14 +71,14 @@
 
 /// Returns the mean latency of an answer, ns, limited to a share of the latency objective. Without
 /// the limit, a period of high latency would be followed by the rejection of all queries, and no
-/// new measurement could end that.
+/// new measurement could lower the mean.
 fn mean_latency(class: &QueryClass, context: &Context) -> f64 {
-    let longest = tuning::REJECT_SHARE * class.latency_objective as f64;
-    context.latency.mean().unwrap_or(0.0).min(longest)
+    let max_latency = tuning::REJECT_SHARE * class.latency_objective as f64;
+    context.latency.mean().unwrap_or(0.0).min(max_latency)
 }
 
 /// Drops the parts whose expected wait exceeds `max_wait`, ns, if the class takes partial answers.
-/// Returns an error if the other parts do not reach minimum coverage.
+/// Returns [`Rejection::InsufficientCoverage`] if the other parts do not reach minimum coverage.
 fn drop_slow_parts(
     query: &mut QueryState,
     class: &QueryClass,
--- a/crates/policy/src/policy/attempt_end.rs
+++ b/crates/policy/src/policy/attempt_end.rs
@@ -27,17 +27,17 @@
         match ended.outcome {
             Success => self.on_response(ended.replica),
             TimedOut | Unreachable | ConnectionLost => {
-                let sent = self.context.now.saturating_sub(ended.latency);
+                let sent_at = self.context.now.saturating_sub(ended.latency);
                 let connection = ConnectionUse::RecentlyUsed;
-                let check = InFlightAttempt::new(ended.replica, sent, connection);
+                let check = InFlightAttempt::new(ended.replica, sent_at, connection);
                 self.record_end_at_replica(check, ended.outcome);
             }
             Error | Rejected | Cancelled | NotSent => {}
         }
     }
 
-    /// Handles a response that does not end an attempt: the start of a streamed one, or the answer
-    /// to a health check.
+    /// Handles a response that does not end an attempt: the start of a streamed response, or the
+    /// reply to a health check.
     pub(super) fn on_response(&mut self, id: ReplicaId) {
         let now = self.context.now;
         if let Some(replica) = self.context.replicas.get_mut(id) {
@@ -47,23 +47,26 @@
         }
     }
 
-    /// Returns whether the end of the attempt indicates missing capacity. A rejection does. A
-    /// failed connection does if the replica responded recently or a retry budget limits attempts;
-    /// otherwise connecting may just be slow, and dropping light parts would not help.
+    /// Returns whether the end of the attempt indicates missing capacity. This is the case if the
+    /// part was rejected. If the replica was unreachable, it is the case if the replica responded
+    /// recently or a retry budget limits attempts; otherwise connecting may just be slow, and
+    /// dropping light parts would not help.
     fn indicates_missing_capacity(
         &self,
         attempt: &InFlightAttempt,
         outcome: AttemptOutcome,
     ) -> bool {
         let Context { now, latency, .. } = &self.context;
-        let is_recent = |response: Nanos| latency.staleness(*now, response) < 1.0;
+        let is_recent = |response_at: Nanos| latency.staleness(*now, response_at) < 1.0;
         let replica = self.context.replicas.get(attempt.replica);
-        let has_responded = replica.is_some_and(|replica| is_recent(replica.last_response));
-        let is_capacity_lost = has_responded || self.context.settings.retry_budget.is_some();
+        let has_responded_recently =
+            replica.is_some_and(|replica| is_recent(replica.last_response));
+        let is_capacity_lost =
+            has_responded_recently || self.context.settings.retry_budget.is_some();
         outcome == Rejected || outcome == Unreachable && is_capacity_lost
     }
 
-    /// Updates the replica's record and all measurements of replicas.
+    /// Updates the replica's record and the measurements over all replicas.
     fn record_end_at_replica(&mut self, attempt: InFlightAttempt, outcome: AttemptOutcome) {
         let Some(replica) = self.context.replicas.get(attempt.replica) else {
             return;
@@ -75,7 +78,7 @@
         };
         update.mark_saturated(replica);
         update.record_result_interval(replica);
-        replica.outstanding.remove_part(end.sent);
+        replica.outstanding.remove_part(end.sent_at);
         update.record_latency(replica);
         update.record_lost_connection(replica);
         let lost_connections = update.record_response(replica);
@@ -87,7 +90,7 @@
             .on_attempt_end(&end, replica, &mut self.output);
     }
 
-    /// Updates the part's record and all measurements of parts.
+    /// Updates the part's record and the measurements over all parts.
     fn record_end_at_part(&mut self, key: AttemptKey, outcome: AttemptOutcome, is_missed: bool) {
         let Some(part) = self.queries.part_mut(key.part) else {
             return;
@@ -101,16 +104,17 @@
     }
 }
 
-/// Changes to the record of a replica that follow from the end of an attempt.
+/// Changes to a replica's record at the end of an attempt.
 #[derive(Debug)]
 struct ReplicaUpdate {
     end: AttemptEnd,
-    /// Whether the attempt counts as a failure of the replica. A cancelled attempt does only if it
-    /// was overdue and the replica had not responded since the attempt was sent.
+    /// Whether the attempt counts as a failure of the replica. A cancelled attempt does so only if
+    /// it was overdue and the replica had not responded since the attempt was sent.
     is_failure: bool,
     /// Smoothed latency of the replica before the end of the attempt, ns.
     smoothed_latency: f64,
-    /// Sample for the smoothed latency, ns. For a failure, it is at least that of a late answer.
+    /// Sample for the smoothed latency, ns. For a failure other than a cancellation, the sample is
+    /// at least the latency of a late answer.
     latency_sample: f64,
     /// Time for which the replica counts as saturated if it rejected the attempt.
     saturation_time: Nanos,
@@ -130,7 +134,7 @@
             _ => known_latency.max(tuning::LATE_SHARE * context.shortest_objective),
         };
         let hedging_delay = context.latency.hedging_delay(context.shortest_objective);
-        let is_overdue = latency > hedging_delay && replica.last_response <= end.sent;
+        let is_overdue = latency > hedging_delay && replica.last_response <= end.sent_at;
         ReplicaUpdate {
             end,
             is_failure: end.outcome != Success && (end.outcome != Cancelled || is_overdue),
@@ -143,13 +147,13 @@
     /// Marks the replica as saturated if it rejected the attempt.
     fn mark_saturated(&self, replica: &mut ReplicaRecord) {
         if self.end.outcome == Rejected {
-            replica.saturated_until = self.end.ended + self.saturation_time;
+            replica.saturated_until = self.end.ended_at + self.saturation_time;
         }
     }
 
     fn record_result_interval(&self, replica: &mut ReplicaRecord) {
         if self.end.is_success() {
-            replica.record_result(self.end.sent, self.end.ended, tuning::LATENCY_WEIGHT);
+            replica.record_result(self.end.sent_at, self.end.ended_at, tuning::LATENCY_WEIGHT);
         }
     }
 
@@ -163,10 +167,10 @@
             tuning::LATENCY_WEIGHT
         };
         let (smoothed, sample) = (self.smoothed_latency, self.latency_sample);
-        replica.record_latency(self.end.ended, smoothed, sample, weight);
+        replica.record_latency(self.end.ended_at, smoothed, sample, weight);
     }
 
-    /// Records the connection of a failed attempt without a response as possibly lost.
+    /// Records the connection of a failed attempt as possibly lost if the replica did not respond.
     fn record_lost_connection(&self, replica: &mut ReplicaRecord) {
         if self.is_failure && !matches!(self.end.outcome, Error | Rejected | NotSent) {
             replica.lost_connections.push(self.end.connection);
@@ -174,10 +178,10 @@
     }
 
     /// Records a response if the attempt ended with one. Returns the connections of the attempts
-    /// that were lost since the response before it.
+    /// that were lost since the previous response.
     fn record_response(&self, replica: &mut ReplicaRecord) -> Vec<ConnectionUse> {
         if self.end.is_response() {
-            replica.record_response(self.end.ended)
+            replica.record_response(self.end.ended_at)
         } else {
             Vec::new()
         }
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -13,10 +13,10 @@
     pub(super) fn advance_attempts(&mut self, query: &mut QueryState) {
         let now = self.context.now;
         let counts = query.step_counts();
-        let is_mostly_answered = 2 * counts.answered >= counts.wanted;
+        let is_half_answered = 2 * counts.answered >= counts.kept;
         let step_objective = self.context.settings.step_objective(query.class);
         let late_after = tuning::LATE_SHARE * step_objective;
-        let is_late = (now - query.step_started) as f64 > late_after;
+        let is_late = (now - query.step_started_at) as f64 > late_after;
         for index in 0..query.parts.len() {
             let part = &mut query.parts[index];
             if part.is_answered {
@@ -31,14 +31,14 @@
             }
             if !part.has_attempt_in_flight() {
                 self.retry(query, index);
-            } else if self.should_hedge(query, &query.parts[index], is_mostly_answered) {
+            } else if self.should_hedge(query, &query.parts[index], is_half_answered) {
                 self.hedge(query, index);
             }
         }
     }
 
-    /// Sends a part to the best available replica. Returns `false` if the attempt is not allowed or
-    /// no replica is available.
+    /// Sends a part to the best available replica. Returns `false` without sending the part if the
+    /// attempt would time out at once or is not allowed, or if no replica is available.
     pub(super) fn send_attempt(&mut self, query: &mut QueryState, index: usize) -> bool {
         let class = query.class;
         let times_out_at = if self.accepts_late_answer(class) {
@@ -64,12 +64,13 @@
         true
     }
 
-    /// Retries a failed part. The first retry is sent at once; later ones wait, so that a brief
+    /// Sends a part without an attempt in flight again, or for the first time if no replica was
+    /// available before. The first retry is sent at once; later retries wait, so that a brief
     /// outage does not use up all attempts.
     fn retry(&mut self, query: &mut QueryState, index: usize) {
         let attempts = &query.parts[index].attempts;
         let now = self.context.now;
-        let age = attempts.last().map_or(0, |last| now - last.sent) as f64;
+        let age = attempts.last().map_or(0, |last| now - last.sent_at) as f64;
         let step_objective = self.context.settings.step_objective(query.class);
         let wait = tuning::MIN_WAIT_SHARE * step_objective;
         if attempts.len() < 2 || age > wait {
@@ -78,10 +79,10 @@
     }
 
     /// Returns whether to hedge the last attempt at a part. All of these conditions must be met:
-    /// - The attempt is slow.
-    /// - Most of the query's parts are answered, or the attempt's replica has not responded since
-    ///   the attempt was sent.
-    /// - Another replica is likely to be faster.
+    /// - The attempt is older than the hedging delay.
+    /// - At least half of the step's parts are answered, or the attempt's replica has not responded
+    ///   since the attempt was sent.
+    /// - The expected latency at another replica is less than the age of the attempt.
     /// - The hedging budget allows one more hedged request.
     ///
     /// `may_attempt` checks the conditions that apply to every further attempt.
@@ -89,18 +90,18 @@
         &mut self,
         query: &QueryState,
         part: &PartState,
-        is_mostly_answered: bool,
+        is_half_answered: bool,
     ) -> bool {
         let Some(last) = part.attempts.last() else {
             return false;
         };
         let now = self.context.now;
-        let age = (now - last.sent) as f64;
+        let age = (now - last.sent_at) as f64;
         let step_objective = self.context.settings.step_objective(query.class);
         let is_slow = age > self.context.latency.hedging_delay(step_objective);
         let replica = self.context.replicas.get(last.replica);
-        let is_unresponsive = replica.is_none_or(|replica| replica.last_response <= last.sent);
-        if !is_slow || !(is_mostly_answered || is_unresponsive) {
+        let is_unresponsive = replica.is_none_or(|replica| replica.last_response <= last.sent_at);
+        if !is_slow || !(is_half_answered || is_unresponsive) {
             return false;
         }
         let selected = self.select_replica(part);
@@ -108,9 +109,9 @@
             return false;
         };
         let calls = other.open_calls(now, self.context.settings.parts_per_call());
-        let expected = self.context.latency.smoothed_latency(now, other) * (calls + 1.0);
+        let expected_latency = self.context.latency.smoothed_latency(now, other) * (calls + 1.0);
         let open_parts = self.queries.part_count();
-        expected < age && self.hedging.allows_hedge(&self.retry_limiter, open_parts)
+        expected_latency < age && self.hedging.allows_hedge(&self.retry_limiter, open_parts)
     }
 
     /// Sends a hedged request, and records that the replica of the previous attempt did not respond
@@ -125,7 +126,7 @@
         let now = self.context.now;
         if let Some(replica) = self.context.replicas.get_mut(last.replica) {
             self.outliers
-                .on_no_response(now, replica, last.sent, &mut self.output);
+                .on_no_response(now, replica, last.sent_at, &mut self.output);
         }
     }
 
@@ -149,7 +150,8 @@
         selector.select(part, &mut self.random)
     }
 
-    /// Records an attempt that is sent now.
+    /// Adds an attempt that is sent now to the records of the part, the replica and the retry
+    /// limiter.
     fn record_attempt(&mut self, part: &mut PartState, id: ReplicaId) {
         let now = self.context.now;
         let connection = self.connection_for(id);
@@ -163,14 +165,15 @@
         let in_flight = InFlightAttempt::new(id, now, connection);
         self.in_flight.insert(key, in_flight);
         part.attempts.push(AttemptRecord::new(id, now));
-        let oldest = self.slow_start.window_start(now);
+        let recent_since = self.slow_start.window_start(now);
         if let Some(replica) = self.context.replicas.get_mut(id) {
-            replica.record_part(now, oldest);
+            replica.record_part(now, recent_since);
         }
     }
 
     /// Returns the kind of connection that an attempt sent now will use. Parts of one call share a
-    /// connection. If the connection is to be renewed, idle connections are closed first.
+    /// connection. If the connection is to be renewed, requests that the
+    /// idle connections be closed first.
     fn connection_for(&mut self, id: ReplicaId) -> ConnectionUse {
         let now = self.context.now;
         let Some(replica) = self.context.replicas.get_mut(id) else {
--- a/crates/policy/src/policy/client_timeouts.rs
+++ b/crates/policy/src/policy/client_timeouts.rs
@@ -6,23 +6,26 @@
 use crate::stats::MajorityVote;
 use std::collections::BTreeMap;
 
-/// Clients that are expected to use the same timeout.
+/// Group of clients that are expected to use the same timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ClientGroup {
+    /// Index of the class.
     class: u16,
+    /// Number of the tenant.
     tenant: u32,
 }
 
-/// Client timeout of the majority of first attempts, by class and tenant.
+/// Client timeout of the majority of first attempts, for each class and tenant.
 #[derive(Debug, Default)]
 pub struct ClientTimeouts {
     majorities: BTreeMap<ClientGroup, MajorityVote>,
 }
 
 impl ClientTimeouts {
-    /// Returns how much of its latency objective a client's retry had spent before it was received,
-    /// and 0 for a first attempt. The timeout of a retry is assumed to end at the deadline of the
-    /// client's first attempt, so it is shorter than the timeout of the majority.
+    /// Returns the time that the client had spent on earlier attempts when the query was received,
+    /// or 0 for a first attempt. A query counts as a retry if its client timeout differs from that
+    /// of the majority; if `retries_marked`, only marked queries do so. The timeout of a retry is
+    /// assumed to end at the deadline of the client's first attempt.
     pub fn time_spent_by_earlier_attempts(
         &mut self,
         received: &QueryReceived,
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -20,9 +20,9 @@
     Answer { is_complete: bool },
     /// End the query without an answer.
     RejectOrFail,
-    /// Keep the query open and retry or hedge its attempts.
+    /// Keep the query open, and send retries and hedged requests for its parts.
     AdvanceAttempts,
-    /// Keep the query open and send no attempts for it.
+    /// Keep the query open without further attempts.
     Wait,
 }
 
@@ -49,7 +49,7 @@
         self.queries.put_back(query);
     }
 
-    /// Ends a query if it is due to end, and advances its attempts otherwise.
+    /// Decides about an open query, and answers, rejects, fails or advances it accordingly.
     pub(super) fn advance(&mut self, id: RequestId) {
         let Some(mut query) = self.queries.take(id) else {
             return;
@@ -63,8 +63,8 @@
         self.queries.put_back(query);
     }
 
-    /// Moves the deadline of every open query to `answer_by` or earlier. A query with a sufficient
-    /// answer by then is answered.
+    /// Limits the deadline of every open query to `answer_by`. A query whose results are sufficient
+    /// by then is answered.
     pub(super) fn shorten_deadlines(&mut self, answer_by: Nanos) {
         for id in self.queries.ids() {
             if let Some(mut query) = self.queries.take(id) {
@@ -82,9 +82,9 @@
         self.discard(query);
     }
 
-    /// Returns whether an answer after the latency objective is worth its cost. It is not while
-    /// permits limit the class: parts that wait at saturated replicas until the deadline would hold
-    /// permits that other queries need to be answered in time.
+    /// Returns whether a query of this class is still worth answering after its latency objective.
+    /// It is not while permits limit the class: parts that wait at saturated replicas until the
+    /// deadline would hold permits that other queries need to be answered in time.
     pub(super) fn accepts_late_answer(&self, class: usize) -> bool {
         self.context.class(class).late_value > 0.0 && !self.permits.is_limited(class)
     }
@@ -113,7 +113,7 @@
             return QueryDecision::RejectOrFail;
         }
         let objective = self.context.shortest_objective;
-        let step_age = (self.context.now - query.step_started) as f64;
+        let step_age = (self.context.now - query.step_started_at) as f64;
         let is_overdue = step_age > self.context.latency.hedging_delay(objective);
         if !is_query_of_death || is_overdue {
             QueryDecision::AdvanceAttempts
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Returns whether a part without a result may still get one, from an attempt in flight or from
-    /// one that may still be sent.
+    /// Returns whether a part without a result may still get one, either from an attempt in flight
+    /// or from an attempt that may still be sent.
     fn may_be_answered(&self, part: &PartState, query: &QueryState) -> bool {
         if part.has_attempt_in_flight() {
             return true;
@@ -141,24 +141,25 @@
         has_budget && limiter.may_repeat(part, class, *now) && holders.next().is_some()
     }
 
-    /// Returns whether to send a sufficient answer now. It is sent when no further result can
-    /// arrive, and at the latest:
+    /// Returns whether to answer a query with sufficient results now. The answer is sent when no
+    /// further result can arrive, and at the latest:
     /// - just before the deadline if a late complete answer would have more value,
     /// - halfway to the latency objective if a second step follows,
     /// - just before the latency objective otherwise.
     fn is_time_to_answer(&self, query: &QueryState, sums: &StepSums) -> bool {
         let class = self.context.class(query.class);
         let value = class.partial_value * sums.answered_weight / class.completeness_threshold;
-        let mut end = self.timer.safely_before(query.objective);
+        let mut answer_by = self.timer.safely_before(query.objective);
         if class.late_value > value {
-            end = self.timer.safely_before(query.deadline);
+            answer_by = self.timer.safely_before(query.deadline);
         } else if query.step < self.context.settings.steps(query.class) {
-            end = query.arrived + (end - query.arrived) / 2;
+            answer_by = query.arrived_at + (answer_by - query.arrived_at) / 2;
         }
-        sums.all_answered || !sums.any_open || self.context.now >= end
+        sums.is_fully_answered || !sums.has_open_parts || self.context.now >= answer_by
     }
 
-    /// Returns the time from which on an answer has no value or would miss the deadline.
+    /// Returns the time from which the query is no longer answered, since the answer would have no
+    /// value or might miss the deadline.
     fn latest_answer_time(&self, query: &QueryState) -> Nanos {
         let before_deadline = self.timer.safely_before(query.deadline);
         if self.accepts_late_answer(query.class) {
@@ -195,7 +196,7 @@
         let now = self.context.now;
         let max_retry_after = self.context.settings.max_retry_after;
         let class = self.context.class(query.class);
-        let end = if query.is_safe_to_repeat(class, now + max_retry_after) {
+        let action = if query.is_safe_to_repeat(class, now + max_retry_after) {
             Action::Reject {
                 query: query.id,
                 retry_after: (max_retry_after > 0).then_some(max_retry_after),
@@ -203,7 +204,7 @@
         } else {
             Action::Fail { query: query.id }
         };
-        self.output.push(end);
+        self.output.push(action);
         if query.parts.iter().any(PartState::is_lost_to_saturation) {
             self.permits
                 .on_lost_to_saturation(now, &query, &self.queries);
@@ -222,8 +223,9 @@
 }
 
 /// Returns whether the query appears to crash the replicas that execute it (a query of death):
-/// connections to several replicas were lost and no part is answered. Retries of such a query are
-/// delayed, so that a query that was sent to failing replicas by chance can still be answered.
+/// connections to several replicas were lost and no part is answered. Such a query ends once no
+/// attempt is in flight, and gets no retry before the hedging delay has passed since the start of
+/// its step. A query that was sent to failing replicas by chance can thus still be answered.
 fn is_query_of_death(query: &QueryState) -> bool {
     let is_answered = query.parts.iter().any(|part| part.is_answered);
     !is_answered && query.replicas_with_lost_connections() >= tuning::QUERY_OF_DEATH_REPLICAS
--- a/crates/policy/src/policy/connection_renewal.rs
+++ b/crates/policy/src/policy/connection_renewal.rs
@@ -1,5 +1,6 @@
 //! Renewal of long-idle connections. A device on the network path may have dropped such a
-//! connection without notice; an attempt on it is lost although the replica is healthy.
+//! connection without notice; an attempt on the connection is then lost although the replica is
+//! healthy.
 //!
 //! Invariant: connections are renewed only while attempts on long-idle connections are lost clearly
 //! more often than on others. Renewal ends if it does not help, since an unresponsive replica, a
@@ -19,20 +20,21 @@
     long_idle_time: Nanos,
     /// Duration of one renewal, and of the pause after a renewal that did not help.
     duration: Nanos,
-    /// Share of attempts lost on recently used connections.
+    /// Moving average of the share of attempts lost on recently used connections.
     recent_loss: f64,
-    /// Share of attempts lost on long-idle connections.
+    /// Moving average of the share of attempts lost on long-idle connections.
     long_idle_loss: f64,
-    /// Share of attempts lost on renewed connections.
+    /// Moving average of the share of attempts lost on renewed connections.
     renewed_loss: f64,
     /// Earliest time at which renewal may start again.
     allowed_from: Nanos,
-    /// Time at which the current renewal ends; in the past if there is none.
+    /// Time at which the current renewal ends; 0 or in the past while there is no renewal.
     renewing_until: Nanos,
 }
 
 impl ConnectionRenewal {
-    /// Creates a tracker without losses. `objective` is the shortest latency objective, ns.
+    /// Creates the state of a policy that has lost no attempts. `objective` is the shortest latency
+    /// objective, ns.
     pub fn new(settings: &PolicySettings, objective: f64) -> ConnectionRenewal {
         let long_idle_time = tuning::LONG_IDLE_SHARE * settings.idle_timeout as f64;
         ConnectionRenewal {
@@ -62,28 +64,29 @@
         }
     }
 
-    /// Counts the `lost` connections, and the connection of the attempt if it ended with a result.
+    /// Counts the connections in `lost_connections`, and the connection of the attempt if the
+    /// attempt ended with a result.
     pub fn on_attempt_end(
         &mut self,
         end: &AttemptEnd,
-        lost: Vec<ConnectionUse>,
+        lost_connections: Vec<ConnectionUse>,
         output: &mut BatchOutput,
     ) {
-        self.record_losses(end.ended, lost, output);
+        self.record_losses(end.ended_at, lost_connections, output);
         if end.is_success() {
-            self.record(end.ended, end.connection, false, output);
+            self.record(end.ended_at, end.connection, false, output);
         }
     }
 
-    /// Counts connections on which attempts were lost. The replica must have responded since:
-    /// before that, the replica itself may be the cause.
+    /// Counts connections on which attempts were lost. The replica must have responded since then:
+    /// without a response, the replica itself may be the cause of the loss.
     pub fn record_losses(
         &mut self,
         now: Nanos,
-        lost: Vec<ConnectionUse>,
+        lost_connections: Vec<ConnectionUse>,
         output: &mut BatchOutput,
     ) {
-        for connection in lost {
+        for connection in lost_connections {
             self.record(now, connection, true, output);
         }
     }
@@ -118,14 +121,14 @@
 
     /// Returns whether renewed connections lose nearly as many attempts as long-idle ones.
     fn is_ineffective(&self) -> bool {
-        let similar = tuning::MIN_SIMILAR_LOSS_RATIO * self.long_idle_loss;
-        self.renewed_loss > similar.max(tuning::CONNECTION_LOSS_THRESHOLD)
+        let min_similar = tuning::MIN_SIMILAR_LOSS_RATIO * self.long_idle_loss;
+        self.renewed_loss > min_similar.max(tuning::CONNECTION_LOSS_THRESHOLD)
     }
 
     /// Returns whether long-idle connections lose clearly more attempts than recently used ones.
     fn is_long_idle_loss_high(&self) -> bool {
-        let similar = self.recent_loss / tuning::MIN_SIMILAR_LOSS_RATIO;
-        self.long_idle_loss > similar.max(tuning::CONNECTION_LOSS_THRESHOLD)
+        let max_similar = self.recent_loss / tuning::MIN_SIMILAR_LOSS_RATIO;
+        self.long_idle_loss > max_similar.max(tuning::CONNECTION_LOSS_THRESHOLD)
     }
 
     fn loss_mut(&mut self, connection: ConnectionUse) -> &mut f64 {
--- a/crates/policy/src/policy/context.rs
+++ b/crates/policy/src/policy/context.rs
@@ -7,7 +7,7 @@
 /// The current time, the settings, and the replicas with their latency.
 #[derive(Debug)]
 pub struct Context {
-    /// Time of the current batch.
+    /// Time of the current batch; 0 before the first one.
     pub now: Nanos,
     /// Settings of the deployment, which do not change.
     pub settings: PolicySettings,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the class with this index, which must exist.
+    /// Returns the class with this index. Panics if there is none.
     pub fn class(&self, index: usize) -> &QueryClass {
         &self.settings.classes[index]
     }
--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -5,7 +5,7 @@
 //! dropped first. The parts that minimum coverage needs are always sent. The cutoff falls after a
 //! few seconds without overload.
 //!
-//! Invariant: the cutoff is zero without overload, and is applied to each query once.
+//! Invariant: the cutoff rises only under overload, and is applied to each query once.
 
 use super::output::BatchOutput;
 use super::tuning;
@@ -18,13 +18,13 @@
 pub struct WeightCutoff {
     /// Minimum time between two increases, ns.
     min_increase_interval: f64,
-    /// Parts with a smaller weight may be dropped.
+    /// Weight below which a part may be dropped, from 0 to [`tuning::CUTOFF_CEILING`].
     value: f64,
-    /// Time of the last change of `value`.
-    changed: Nanos,
-    /// Time at which the signal last indicated overload.
+    /// Time of the last change of `value`; 0 before the first one.
+    changed_at: Nanos,
+    /// Time at which the signal last indicated overload; 0 before that.
     last_overload: Nanos,
-    /// Recent parts; `true` for each one that was late or rejected.
+    /// Recent parts, each with whether it was missed.
     parts: SlidingWindow<bool>,
 }
 
@@ -35,13 +35,14 @@
             // One second at an objective of two seconds, as the design specifies.
             min_increase_interval: objective / 2.0,
             value: 0.0,
-            changed: 0,
+            changed_at: 0,
             last_overload: 0,
             parts: SlidingWindow::default(),
         }
     }
 
-    /// Adds a part to the overload signal, unless it has been added before.
+    /// Adds a part to the overload signal, unless the part has been added before. `is_missed`
+    /// states whether the part was late, or ended in a way that indicates missing capacity.
     pub fn record(&mut self, now: Nanos, part: &mut PartState, is_missed: bool) {
         if !std::mem::replace(&mut part.is_counted, true) {
             self.parts.push(now, is_missed);
@@ -49,8 +50,8 @@
     }
 
     /// Adjusts the cutoff to the overload signal of the last window. An increase is one step, times
-    /// the ratio of the signal to its threshold: in a large fleet an aggregator gets few samples,
-    /// so its next reliable signal is seconds away.
+    /// the ratio of the signal to its threshold: in a large fleet, an aggregator gets so few
+    /// samples that its next reliable signal is seconds away.
     pub fn update(&mut self, now: Nanos, output: &mut BatchOutput) {
         self.parts
             .expire(now.saturating_sub(tuning::OVERLOAD_WINDOW));
@@ -61,7 +62,7 @@
         if is_overloaded {
             self.last_overload = now;
         }
-        let time_since_change = now.saturating_sub(self.changed);
+        let time_since_change = now.saturating_sub(self.changed_at);
         let time_since_overload = now.saturating_sub(self.last_overload);
         if is_overloaded && time_since_change as f64 >= self.min_increase_interval {
             let increase = tuning::CUTOFF_STEP * (missed / threshold).max(1.0);
@@ -75,8 +76,9 @@
         }
     }
 
-    /// Drops the query's parts whose weight is below the cutoff, lightest first. Of the weight that
-    /// minimum coverage does not need, it drops at most the cutoff's share of its ceiling.
+    /// Drops the query's parts whose weight is below the cutoff, lightest first. The weight dropped
+    /// is at most the weight that exceeds minimum coverage, times the ratio of the cutoff to its
+    /// ceiling.
     pub fn drop_light_parts(&self, query: &mut QueryState, class: &QueryClass) {
         let cutoff = self.value;
         if cutoff <= 0.0 || class.minimum_coverage >= 1.0 {
@@ -102,7 +104,7 @@
         if value == previous {
             return;
         }
-        self.changed = now;
+        self.changed_at = now;
         if previous == 0.0 {
             output.log("weight cutoff raised above zero: dropping light parts");
         } else if value == 0.0 {
--- a/crates/policy/src/policy/endpoint_poller.rs
+++ b/crates/policy/src/policy/endpoint_poller.rs
@@ -1,32 +1,34 @@
-//! Schedules polls of the endpoint list, and watches after one has failed.
+//! Schedules calls for the endpoint list: polls, and new watches after a watch has failed.
 //!
-//! Invariant: a failed call is repeated within the time in which a change counts as notified. A
-//! polled list is one service for all aggregators. If each of them repeated a failed poll at once,
-//! the load would prevent most polls from being answered, so each aggregator waits with exponential
-//! backoff and jitter.
+//! Invariant: a failed watch is repeated within the drain notice, and a failed poll within the poll
+//! interval or the time constant of the latency decay, whichever is longer. A polled list is one
+//! service for all aggregators. If all of them repeated a failed poll at once, the load would
+//! prevent most polls from being answered, so each aggregator waits with exponential backoff and
+//! jitter.
 
 use super::tuning;
 use crate::api::{Nanos, PolicySettings};
 use crate::stats::{exponential_backoff, uniform};
 use std::ops::Range;
 
-/// Schedule of the next poll or watch of the endpoint list.
+/// Schedule of the next call for the endpoint list.
 #[derive(Debug)]
 pub struct EndpointPoller {
-    /// Whether the list is polled and not pushed.
+    /// Whether the list is polled rather than pushed.
     is_polled: bool,
-    /// Longest time that a call may be delayed, ns.
+    /// Upper bound on the delay of a call, ns. Delays are random shares of this time.
     max_delay: f64,
     /// Time of the first batch; 0 before it.
-    started: Nanos,
-    /// Time of the next call; `None` while a call is open.
-    due: Option<Nanos>,
+    started_at: Nanos,
+    /// Time of the next call; `None` if no call is scheduled.
+    due_at: Option<Nanos>,
+    /// Number of failed calls since the last update.
     consecutive_failures: u32,
 }
 
 impl EndpointPoller {
-    /// Creates a poller that has not run. `decay_time` is the time in which measurements of
-    /// replicas decay, ns.
+    /// Creates a poller that has made no call. `decay_time` is the time constant with which
+    /// measurements of replicas decay, ns.
     pub fn new(settings: &PolicySettings, decay_time: f64) -> EndpointPoller {
         let is_polled = settings.endpoint_list_polled;
         let max_delay = if is_polled {
@@ -37,43 +39,43 @@
         EndpointPoller {
             is_polled,
             max_delay,
-            started: 0,
-            due: None,
+            started_at: 0,
+            due_at: None,
             consecutive_failures: 0,
         }
     }
 
-    /// Returns the time of the next call, or `None` while a call is open.
-    pub fn due(&self) -> Option<Nanos> {
-        self.due
+    /// Returns the time of the next call, or `None` if no call is scheduled.
+    pub fn due_at(&self) -> Option<Nanos> {
+        self.due_at
     }
 
-    /// Returns whether a call is due, and marks it as made. First polls are spread over time, since
-    /// many processes start together.
+    /// Returns whether a call is due now, and unschedules the call if so. First polls are spread
+    /// over time, since many processes start together.
     pub fn take_due(&mut self, now: Nanos, random: &mut fastrand::Rng) -> bool {
-        if self.started == 0 {
-            self.started = now;
+        if self.started_at == 0 {
+            self.started_at = now;
             let spread = 0.0..tuning::FIRST_POLL_SPREAD;
-            self.due = self
+            self.due_at = self
                 .is_polled
                 .then(|| now + self.random_delay(spread, random));
         }
-        let is_due = self.due.is_some_and(|due| due <= now);
+        let is_due = self.due_at.is_some_and(|due_at| due_at <= now);
         if is_due {
-            self.due = None;
+            self.due_at = None;
         }
         is_due
     }
 
     /// Cancels the scheduled call and resets the backoff after an update.
     pub fn on_update(&mut self) {
-        self.due = None;
+        self.due_at = None;
         self.consecutive_failures = 0;
     }
 
     /// Schedules the next call after a failed one, unless a call is scheduled already.
     pub fn on_failure(&mut self, now: Nanos, random: &mut fastrand::Rng) {
-        if self.due.is_some() {
+        if self.due_at.is_some() {
             return;
         }
         let range = if self.is_polled {
@@ -84,7 +86,7 @@
         } else {
             tuning::WATCH_BACKOFF
         };
-        self.due = Some(now + self.random_delay(range, random));
+        self.due_at = Some(now + self.random_delay(range, random));
         self.consecutive_failures += 1;
     }
 
--- a/crates/policy/src/policy/fleet_latency.rs
+++ b/crates/policy/src/policy/fleet_latency.rs
@@ -9,7 +9,9 @@
 /// Mean latency of all replicas and the mean deviation from it, ns.
 #[derive(Debug)]
 pub struct FleetLatency {
+    /// Shortest latency objective, ns.
     objective: f64,
+    /// Latencies of attempts that ended with a result, ns.
     samples: MeanDeviation,
 }
 
@@ -34,29 +36,29 @@
         self.samples.mean()
     }
 
-    /// Returns the expected latency of a replica, ns. The replica's own smoothed latency decays to
-    /// the mean of all replicas. A replica without a measurement has that mean.
+    /// Returns the expected latency of a replica, ns. The smoothed latency of the replica decays to
+    /// the mean of all replicas. A replica without a measurement is expected to have that mean.
     pub fn smoothed_latency(&self, now: Nanos, replica: &ReplicaRecord) -> f64 {
         let initial = tuning::INITIAL_LATENCY_SHARE * self.objective;
         let mean = self.mean().unwrap_or(initial);
-        let Some(own) = replica.latency else {
+        let Some(own_latency) = replica.latency else {
             return mean;
         };
-        mean + (own - mean) * (-self.staleness(now, replica.latency_updated)).exp()
+        mean + (own_latency - mean) * (-self.staleness(now, replica.latency_updated_at)).exp()
     }
 
-    /// Returns the age of a measurement as a multiple of [`FleetLatency::decay_time`].
-    pub fn staleness(&self, now: Nanos, measured: Nanos) -> f64 {
-        now.saturating_sub(measured) as f64 / self.decay_time()
+    /// Returns the time since `measured_at` as a multiple of [`FleetLatency::decay_time`].
+    pub fn staleness(&self, now: Nanos, measured_at: Nanos) -> f64 {
+        now.saturating_sub(measured_at) as f64 / self.decay_time()
     }
 
-    /// Returns the time in which a measurement of a replica loses most of its weight, ns.
+    /// Returns the time constant with which a measurement of a replica loses its weight, ns.
     pub fn decay_time(&self) -> f64 {
         tuning::DECAY_OBJECTIVES * self.objective
     }
 
-    /// Returns how long to wait for an answer before a hedged request is sent, ns. The delay leaves
-    /// enough of `objective` for the hedged request to be answered.
+    /// Returns the time to wait for an answer before a hedged request is sent, ns. The delay leaves
+    /// enough of `objective`, ns, for the hedged request to be answered.
     pub fn hedging_delay(&self, objective: f64) -> f64 {
         let initial = tuning::INITIAL_LATENCY_SHARE * objective;
         let mean = self.mean().unwrap_or(initial);
--- a/crates/policy/src/policy/mod.rs
+++ b/crates/policy/src/policy/mod.rs
@@ -71,8 +71,8 @@
 }
 
 impl Policy {
-    /// Creates a policy that knows no replicas and no queries. Processes should use different
-    /// seeds, so that their random choices differ.
+    /// Creates a policy without replicas and queries. Processes should use different seeds, so
+    /// that their random choices differ.
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         let context = Context::new(settings);
         let settings = &context.settings;
@@ -121,7 +121,8 @@
         self.output.move_to(actions, timer);
     }
 
-    /// Returns the number of records held, over all kinds whose number depends on the load.
+    /// Returns the number of records in memory: open queries with their indices, attempts in
+    /// flight, recent arrivals, client groups and replicas.
     pub fn retained_records(&self) -> usize {
         self.queries.record_count()
             + self.in_flight.len()
@@ -153,13 +154,13 @@
         let Some(class) = settings.classes.get(usize::from(received.class)) else {
             return;
         };
-        let spent = self.client_timeouts.time_spent_by_earlier_attempts(
+        let time_spent = self.client_timeouts.time_spent_by_earlier_attempts(
             received,
             class,
             settings.retries_marked,
         );
         self.queries
-            .insert(QueryState::new(received, class, spent, *now));
+            .insert(QueryState::new(received, class, time_spent, *now));
     }
 
     /// Adds a part to its query. Returns the identifier of the query, or `None` if no query is open
@@ -189,18 +190,19 @@
             }
         }
         self.context.replicas.apply(kind, entries);
-        // A replica that is replaced gets a new identifier, so old records would accumulate.
+        // A replacement for a replica has a new identifier, so the records of replicas that are
+        // gone would accumulate.
         let decay_time = self.context.latency.decay_time() as Nanos;
         let oldest = now.saturating_sub(decay_time);
         self.context.replicas.remove_gone(oldest);
     }
 
-    /// Sets the timer for the next batch. While no query is open, only a call for the endpoint list
-    /// needs it.
+    /// Returns the action that sets the timer for the next batch, if the timer has to be set. While
+    /// no query is open, a timer is needed only for the next call for the endpoint list.
     fn set_timer(&mut self) -> Option<Action> {
         let now = self.context.now;
         let next = if self.queries.is_empty() {
-            self.endpoint_poller.due()?
+            self.endpoint_poller.due_at()?
         } else {
             now + self.timer.period()
         };
--- a/crates/policy/src/policy/output.rs
+++ b/crates/policy/src/policy/output.rs
@@ -10,22 +10,23 @@
 }
 
 impl BatchOutput {
-    /// Appends an action.
+    /// Appends an action. Actions keep the order in which they are appended.
     pub fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Appends a log line.
+    /// Appends a log line, which follows all actions of the batch.
     pub fn log(&mut self, line: impl Into<String>) {
         self.log_lines.push(line.into());
     }
 
-    /// Returns the list of actions, for callers that append several.
+    /// Returns the actions of the batch so far, for callers that append several.
     pub fn actions(&mut self) -> &mut Vec<Action> {
         &mut self.actions
     }
 
-    /// Moves the actions and log lines to the end of `actions`, followed by `timer` if it is set.
+    /// Moves the actions and log lines to the end of `actions`, followed by `timer` if it is
+    /// `Some`.
     pub fn move_to(&mut self, actions: &mut Vec<Action>, timer: Option<Action>) {
         actions.append(&mut self.actions);
         actions.extend(self.log_lines.drain(..).map(Action::Log));
--- a/crates/policy/src/policy/permits.rs
+++ b/crates/policy/src/policy/permits.rs
@@ -16,7 +16,7 @@
 /// Permits of the classes that are limited.
 #[derive(Debug, Default)]
 pub struct ClassPermits {
-    /// Keyed by the index of the class.
+    /// Permits of each limited class, by the index of the class.
     permits: BTreeMap<usize, TokenBucket>,
 }
 
@@ -37,13 +37,13 @@
     }
 
     /// Limits the class of a query that lost a part to saturated replicas. If the class is limited
-    /// already, it loses one permit: that of the query is not returned, or another one is removed
+    /// already, it loses one permit: the query's permit is not returned, or another one is removed
     /// if the query has none. `open` holds the remaining open queries.
     pub fn on_lost_to_saturation(&mut self, now: Nanos, query: &QueryState, open: &OpenQueries) {
         match self.permits.get_mut(&query.class) {
             None => {
-                let open = open.count_of_class(query.class) as f64;
-                let permits = TokenBucket::new(now, tuning::SPARE_PERMITS + open);
+                let open_count = open.count_of_class(query.class) as f64;
+                let permits = TokenBucket::new(now, tuning::SPARE_PERMITS + open_count);
                 self.permits.insert(query.class, permits);
             }
             Some(permits) if !query.has_permit => permits.set(permits.tokens() - 1.0),
@@ -51,15 +51,16 @@
         }
     }
 
-    /// Releases the permit of a query that has ended and adds `change` permits. The limit is lifted
-    /// once the class has many spare permits. `open` holds the remaining open queries.
+    /// Releases the permit of a query that has ended and adds `change` permits, which may be
+    /// negative. The limit is lifted once the class has many spare permits. `open` holds the
+    /// remaining open queries.
     pub fn release(&mut self, query: &QueryState, change: f64, open: &OpenQueries) {
         let Some(permits) = self.permits.get_mut(&query.class) else {
             return;
         };
-        let open = open.count_of_class(query.class) as f64;
+        let open_count = open.count_of_class(query.class) as f64;
         permits.set(permits.tokens() + change + f64::from(u8::from(query.has_permit)));
-        if permits.tokens() >= 2.0 * tuning::SPARE_PERMITS + open {
+        if permits.tokens() >= 2.0 * tuning::SPARE_PERMITS + open_count {
             self.permits.remove(&query.class);
         }
     }
--- a/crates/policy/src/policy/replica_selection.rs
+++ b/crates/policy/src/policy/replica_selection.rs
@@ -5,9 +5,9 @@
 //! latency starts at a tenth of the latency objective, and replicas without measurements count as
 //! average.
 //!
-//! Invariant: avoided replicas are selected only if there are no others, and among equally avoided
-//! ones, those that the part was sent to before come last. No attempt goes to a replica that is not
-//! ready or has no slow-start allowance left.
+//! Invariant: avoided replicas are selected only if there are no others. Among equally avoided
+//! replicas, those that the part was sent to before come last. No attempt goes to a replica that is
+//! not ready or has no slow-start allowance left.
 
 use super::context::Context;
 use super::outlier::is_avoided;
@@ -20,16 +20,17 @@
 /// selected.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
+    /// 2 if other replicas are preferred, plus 1 if the part was sent to the replica before.
     avoidance: u32,
     /// Expected latency with the penalty for another zone, ns.
     cost: f64,
-    /// Whether the attempt would start a call and not share one that is sent now.
-    opens_call: bool,
-    /// Random number.
+    /// Whether the attempt would need a call of its own instead of sharing one that is sent now.
+    is_new_call: bool,
+    /// Random number, so that equal replicas are selected equally often.
     tie_breaker: u32,
 }
 
-/// Selects replicas in the current batch.
+/// Selects replicas for the attempts of one batch.
 pub struct ReplicaSelector<'a> {
     context: &'a Context,
     slow_start: &'a SlowStart,
@@ -60,7 +61,7 @@
             let rank = Rank {
                 avoidance: 2 * u32::from(is_avoided) + u32::from(part.was_sent_to(id)),
                 cost: self.cost(replica),
-                opens_call: !replica.outstanding.has_call_of(context.now),
+                is_new_call: !replica.outstanding.has_call_of(context.now),
                 tie_breaker: random.u32(..),
             };
             if best.is_none_or(|(best_rank, _)| rank < best_rank) {
@@ -70,18 +71,18 @@
         best.map(|(_, id)| id)
     }
 
-    /// Returns the expected latency of one more part, plus a penalty for another zone, ns. The time
-    /// without a response counts as latency, so that an unresponsive replica becomes expensive at
-    /// once.
+    /// Returns the expected latency of one more part, plus a penalty for another zone, ns. The
+    /// latency is at least the time without a response, so that an unresponsive replica becomes
+    /// expensive at once.
     fn cost(&self, replica: &ReplicaRecord) -> f64 {
         let Context { now, settings, .. } = self.context;
-        let is_remote = f64::from(u8::from(replica.zone != settings.zone));
-        let price = settings.cross_zone_price * is_remote;
+        let zone_crossings = f64::from(u8::from(replica.zone != settings.zone));
+        let price = settings.cross_zone_price * zone_crossings;
         let time_without_response = replica.time_without_response(*now) as f64;
         let smoothed = self.context.latency.smoothed_latency(*now, replica);
         let latency = smoothed.max(time_without_response);
         let calls = replica.open_calls(*now, settings.parts_per_call());
-        let queue = latency * (calls + 1.0);
-        queue + tuning::CROSS_ZONE_PENALTY * price * self.context.shortest_objective
+        let expected_latency = latency * (calls + 1.0);
+        expected_latency + tuning::CROSS_ZONE_PENALTY * price * self.context.shortest_objective
     }
 }
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -14,6 +14,7 @@
 /// The limits on retries, with recent counts of queries, parts and retries.
 #[derive(Debug)]
 pub struct RetryLimiter {
+    /// Maximum number of attempts at a part.
     max_attempts: usize,
     /// Retry budget; `None` if retries are not limited by a budget.
     budget: Option<RetryBudget>,
@@ -26,7 +27,7 @@
 }
 
 impl RetryLimiter {
-    /// Creates a limiter that has counted nothing.
+    /// Creates a limiter without recorded queries, parts or retries.
     pub fn new(settings: &PolicySettings) -> RetryLimiter {
         let budget = settings.retry_budget.clone();
         let budget_window = budget.as_ref().map_or(0, |budget| budget.window);
@@ -49,25 +50,28 @@
         self.retries.push(now, ());
     }
 
-    /// Drops the entries that are older than the window.
+    /// Removes the queries, parts and retries that are older than the window. Must be called once
+    /// per batch.
     pub fn expire(&mut self, now: Nanos) {
         let oldest = now.saturating_sub(self.window);
         self.received.expire(oldest);
         self.retries.expire(oldest);
     }
 
-    /// Returns the number of queries and parts received within the window.
+    /// Returns the number of queries and parts received within the window, as of the last call to
+    /// [`RetryLimiter::expire`].
     pub fn recently_received(&self) -> usize {
         self.received.len()
     }
 
-    /// Returns the number of retries and hedged requests sent within the window.
+    /// Returns the number of retries and hedged requests sent within the window, as of the last
+    /// call to [`RetryLimiter::expire`].
     pub fn recently_retried(&self) -> usize {
         self.retries.len()
     }
 
-    /// Returns whether one more attempt now is within the limit of attempts and does no harm if the
-    /// part is executed twice.
+    /// Returns whether one more attempt now is within the limit on attempts, and does no harm even
+    /// if the part has been executed already.
     pub fn may_repeat(&self, part: &PartState, class: &QueryClass, now: Nanos) -> bool {
         part.attempts.len() < self.max_attempts && part.is_safe_to_repeat(class, now)
     }
--- a/crates/policy/src/policy/timer.rs
+++ b/crates/policy/src/policy/timer.rs
@@ -3,10 +3,11 @@
 use super::tuning;
 use crate::api::{Action, Nanos, PolicySettings};
 
-/// The timer of a policy. While a query is open, it fires once per period.
+/// The timer of a policy. It fires once per period while a query is open.
 #[derive(Debug)]
 pub struct BatchTimer {
     period: Nanos,
+    /// Time for which the timer was last set; `None` if it has never been set.
     fires_at: Option<Nanos>,
 }
 
@@ -25,12 +26,14 @@
         self.period
     }
 
-    /// Returns a time a few periods before `at`, so that a batch runs between the two.
+    /// Returns a time a few periods before `at`. At least one batch runs between that time and `at`
+    /// while a query is open.
     pub fn safely_before(&self, at: Nanos) -> Nanos {
         at.saturating_sub(tuning::SPARE_TIMER_PERIODS * self.period)
     }
 
-    /// Sets the timer to fire at `at`. Returns `None` if it is already set to fire by then.
+    /// Returns the action that sets the timer to fire at `at`, or `None` if the timer will already
+    /// fire at `at` or earlier.
     pub fn set(&mut self, now: Nanos, at: Nanos) -> Option<Action> {
         let fires_by_then = |fires_at: Nanos| fires_at > now && fires_at <= at;
         if self.fires_at.is_some_and(fires_by_then) {
--- a/crates/policy/src/state/attempt.rs
+++ b/crates/policy/src/state/attempt.rs
@@ -9,7 +9,7 @@
     /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
     /// Time at which the attempt was sent.
-    pub sent: Nanos,
+    pub sent_at: Nanos,
     /// Whether the attempt has neither ended nor been cancelled.
     pub is_in_flight: bool,
     /// Outcome of the attempt; `None` until it ends. A cancelled attempt ends after the request to
@@ -22,7 +22,7 @@
     pub fn new(replica: ReplicaId, now: Nanos) -> AttemptRecord {
         AttemptRecord {
             replica,
-            sent: now,
+            sent_at: now,
             is_in_flight: true,
             outcome: None,
         }
@@ -44,9 +44,9 @@
         self.outcome == Some(AttemptOutcome::Rejected)
     }
 
-    /// Returns whether the replica may have executed the part, which is assumed until the attempt
+    /// Returns whether the replica may have executed the part. This is assumed until the attempt
     /// ends.
-    pub fn may_be_executed(&self) -> bool {
+    pub fn may_have_been_executed(&self) -> bool {
         use AttemptOutcome::{NotSent, Rejected, Unreachable};
         !matches!(self.outcome, Some(Rejected | Unreachable | NotSent))
     }
@@ -67,17 +67,17 @@
     /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
     /// Time at which the attempt was sent.
-    pub sent: Nanos,
+    pub sent_at: Nanos,
     /// Kind of connection that the attempt was sent on.
     pub connection: ConnectionUse,
 }
 
 impl InFlightAttempt {
-    /// Creates the record of an attempt that was sent at the time `sent`.
-    pub fn new(replica: ReplicaId, sent: Nanos, connection: ConnectionUse) -> InFlightAttempt {
+    /// Creates the record of an attempt that was sent at the time `sent_at`.
+    pub fn new(replica: ReplicaId, sent_at: Nanos, connection: ConnectionUse) -> InFlightAttempt {
         InFlightAttempt {
             replica,
-            sent,
+            sent_at,
             connection,
         }
     }
@@ -88,13 +88,13 @@
             outcome,
             replica: self.replica,
             connection: self.connection,
-            sent: self.sent,
-            ended: now,
+            sent_at: self.sent_at,
+            ended_at: now,
         }
     }
 }
 
-/// The end of an attempt or of a health check.
+/// The end of an attempt or of a health check, which counts as an attempt here.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
     /// Outcome of the attempt.
@@ -104,15 +104,15 @@
     /// Kind of connection that the attempt was sent on.
     pub connection: ConnectionUse,
     /// Time at which the attempt was sent.
-    pub sent: Nanos,
+    pub sent_at: Nanos,
     /// Time at which the attempt ended.
-    pub ended: Nanos,
+    pub ended_at: Nanos,
 }
 
 impl AttemptEnd {
     /// Returns the time from the start of the attempt to its end, ns.
     pub fn latency(&self) -> f64 {
-        (self.ended - self.sent) as f64
+        (self.ended_at - self.sent_at) as f64
     }
 
     /// Returns whether the replica returned a result.
@@ -126,7 +126,7 @@
         matches!(self.outcome, Success | Error | Rejected)
     }
 
-    /// Returns whether the replica failed to respond, or to respond in time.
+    /// Returns whether the replica did not respond, or did not respond in time.
     pub fn is_without_response(&self) -> bool {
         use AttemptOutcome::{ConnectionLost, TimedOut, Unreachable};
         matches!(self.outcome, Unreachable | ConnectionLost | TimedOut)
--- a/crates/policy/src/state/open_queries.rs
+++ b/crates/policy/src/state/open_queries.rs
@@ -4,18 +4,18 @@
 use crate::api::RequestId;
 use std::collections::BTreeMap;
 
-/// The open queries, indexed by identifier, by group and by part.
+/// The open queries, by identifier, by group and by part.
 #[derive(Debug, Default)]
 pub struct OpenQueries {
     queries: BTreeMap<RequestId, QueryState>,
-    /// Query of each group.
+    /// Identifier of the open query of each group.
     query_of_group: BTreeMap<u32, RequestId>,
-    /// Query of each part.
+    /// Identifier of the open query of each part.
     query_of_part: BTreeMap<RequestId, RequestId>,
 }
 
 impl OpenQueries {
-    /// Adds a query that has been received.
+    /// Adds a query that has been received. Later parts of its group belong to this query.
     pub fn insert(&mut self, query: QueryState) {
         self.query_of_group.insert(query.group, query.id);
         self.queries.insert(query.id, query);
@@ -38,18 +38,18 @@
         query.parts.iter_mut().find(|part| part.id == id)
     }
 
-    /// Takes a query out in order to change it. The indices of its group and parts remain until
-    /// [`OpenQueries::forget`] is called; [`OpenQueries::put_back`] returns the query.
+    /// Takes a query out in order to change it. The index entries of its group and parts remain.
+    /// Either [`OpenQueries::put_back`] or [`OpenQueries::forget`] must be called afterwards.
     pub fn take(&mut self, id: RequestId) -> Option<QueryState> {
         self.queries.remove(&id)
     }
 
-    /// Puts back a query that was taken with [`OpenQueries::take`].
+    /// Puts back a query that was taken out with [`OpenQueries::take`].
     pub fn put_back(&mut self, query: QueryState) {
         self.queries.insert(query.id, query);
     }
 
-    /// Removes the indices of a query that was taken and has ended.
+    /// Removes the index entries of a query that was taken out and has ended.
     pub fn forget(&mut self, query: &QueryState) {
         self.query_of_group.remove(&query.group);
         for part in &query.parts {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the identifiers of all queries, in ascending order.
+    /// Returns the identifiers of all open queries, in ascending order.
     pub fn ids(&self) -> Vec<RequestId> {
         self.queries.keys().copied().collect()
     }
@@ -67,18 +67,18 @@
         self.queries.is_empty()
     }
 
-    /// Returns the number of queries of a class, excluding a query that is currently taken.
+    /// Returns the number of queries of a class, except for a query that is taken out.
     pub fn count_of_class(&self, class: usize) -> usize {
         let of_class = |query: &&QueryState| query.class == class;
         self.queries.values().filter(of_class).count()
     }
 
-    /// Returns the number of parts of open queries.
+    /// Returns the number of parts of open queries, in all steps.
     pub fn part_count(&self) -> usize {
         self.query_of_part.len()
     }
 
-    /// Returns the number of queries and index entries held.
+    /// Returns the number of queries and index entries.
     pub fn record_count(&self) -> usize {
         self.queries.len() + self.query_of_group.len() + self.query_of_part.len()
     }
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -8,26 +8,26 @@
 /// Which of several concurrent attempts at one part was answered first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RaceWinner {
-    /// The earliest attempt that was in flight.
+    /// The attempt that was sent before all others in flight.
     First,
-    /// An attempt that was sent after the earliest one in flight.
+    /// An attempt that was sent after another one in flight.
     Later,
 }
 
-/// One part of a query.
+/// One part of an open query.
 #[derive(Debug, Default)]
 pub struct PartState {
     /// Identifier of the part.
     pub id: RequestId,
     /// Shard that the part queries.
     pub shard: u32,
-    /// Share of the weight of the step, at least 0.
+    /// Share of the step's weight, at least 0.
     pub weight: f64,
     /// Step of the query that the part belongs to, from 1.
     pub step: u8,
     /// Whether a result has been returned.
     pub is_answered: bool,
-    /// Whether the part is left out of the answer on purpose.
+    /// Whether admission or the weight cutoff has left the part out of the answer.
     pub is_dropped: bool,
     /// Whether the part has been counted in the overload signal.
     pub is_counted: bool,
@@ -72,14 +72,14 @@
     }
 
     /// Returns the first attempt that may have been executed, if there is one.
-    pub fn first_executed(&self) -> Option<&AttemptRecord> {
+    pub fn first_possibly_executed(&self) -> Option<&AttemptRecord> {
         self.attempts
             .iter()
-            .find(|attempt| attempt.may_be_executed())
+            .find(|attempt| attempt.may_have_been_executed())
     }
 
-    /// Records the outcome of the attempt with this number. If this answers the part while other
-    /// attempts are in flight, returns which attempt won.
+    /// Records the outcome of the attempt with this number. Returns which attempt won if this
+    /// outcome answers the part while other attempts are in flight.
     pub fn end_attempt(&mut self, number: u8, outcome: AttemptOutcome) -> Option<RaceWinner> {
         let number = usize::from(number);
         if let Some(attempt) = self.attempts.get_mut(number) {
@@ -101,12 +101,12 @@
         Some(winner)
     }
 
-    /// Marks all attempts as no longer in flight, and requests their cancellation if `allowed`.
-    pub fn cancel_attempts(&mut self, allowed: bool, actions: &mut Vec<Action>) {
+    /// Marks all attempts as no longer in flight, and requests their cancellation if `may_cancel`.
+    pub fn cancel_attempts(&mut self, may_cancel: bool, actions: &mut Vec<Action>) {
         let part = self.id;
         for (attempt, record) in (0..).zip(&mut self.attempts) {
             let was_in_flight = std::mem::replace(&mut record.is_in_flight, false);
-            if was_in_flight && allowed {
+            if was_in_flight && may_cancel {
                 actions.push(Action::CancelAttempt { part, attempt });
             }
         }
@@ -116,12 +116,12 @@
     /// `None` if no attempt may have been executed or the class has no idempotency keys.
     pub fn idempotency_expiry(&self, class: &QueryClass) -> Option<Nanos> {
         let has_window = class.idempotency == Idempotency::IdempotentWithKey;
-        let first = self.first_executed().filter(|_| has_window)?;
-        Some(first.sent + class.idempotency_window)
+        let first = self.first_possibly_executed().filter(|_| has_window)?;
+        Some(first.sent_at + class.idempotency_window)
     }
 
-    /// Returns whether one more attempt at the time `at` does no harm, even if an earlier one has
-    /// been executed.
+    /// Returns whether one more attempt at the time `at` does no harm, even if an earlier attempt
+    /// has been executed.
     pub fn is_safe_to_repeat(&self, class: &QueryClass, at: Nanos) -> bool {
         match class.idempotency {
             Idempotency::Idempotent => true,
@@ -129,7 +129,7 @@
                 let expiry = self.idempotency_expiry(class);
                 expiry.is_none_or(|expiry| at <= expiry)
             }
-            Idempotency::NonIdempotent => self.first_executed().is_none(),
+            Idempotency::NonIdempotent => self.first_possibly_executed().is_none(),
         }
     }
 
--- a/crates/policy/src/state/query.rs
+++ b/crates/policy/src/state/query.rs
@@ -10,7 +10,7 @@
 /// minimum.
 pub const REACHABLE_TOLERANCE: f64 = 1e-4;
 
-/// A query that has not ended.
+/// An open query.
 #[derive(Debug, Default)]
 pub struct QueryState {
     /// Identifier of the query.
@@ -20,32 +20,34 @@
     /// Index into [`PolicySettings::classes`](crate::api::PolicySettings::classes).
     pub class: usize,
     /// Time at which the query was received.
-    pub arrived: Nanos,
-    /// Time at which the latency objective ends; the deadline if the query arrived late.
+    pub arrived_at: Nanos,
+    /// Time at which the latency objective ends, at most `deadline`; `deadline` if the query
+    /// arrived late.
     pub objective: Nanos,
-    /// Time at which the client timeout ends.
+    /// Time at which the client timeout ends, or earlier once a shutdown has been requested.
     pub deadline: Nanos,
-    /// Whether the query is a retry whose client timeout is shorter than the latency objective.
+    /// Whether the query is marked as a retry, its client timeout is shorter than the class's
+    /// latency objective, and the estimated time spent on earlier attempts is 0.
     pub has_short_timeout: bool,
     /// Whether the latency objective had passed when the query was received.
-    pub arrived_late: bool,
-    /// Whether the query holds a permit of its class.
+    pub is_late_arrival: bool,
+    /// Whether the query has taken a permit of its class.
     pub has_permit: bool,
-    /// Current step, from 1.
+    /// Current step, 1 or 2.
     pub step: u8,
     /// Time at which the current step started.
-    pub step_started: Nanos,
+    pub step_started_at: Nanos,
     /// Whether the answers to all earlier steps were complete; `true` in the first step.
-    pub earlier_steps_complete: bool,
+    pub has_complete_earlier_steps: bool,
     /// Parts of all steps, in the order received.
     pub parts: Vec<PartState>,
 }
 
-/// Numbers of parts of the current step.
+/// Numbers of parts in the current step.
 #[derive(Clone, Copy, Debug)]
 pub struct StepCounts {
     /// Number of parts that are not dropped.
-    pub wanted: usize,
+    pub kept: usize,
     /// Number of parts that are not dropped and are answered.
     pub answered: usize,
 }
@@ -55,13 +57,13 @@
 pub struct StepSums {
     /// Whether the step has any parts.
     pub has_parts: bool,
-    /// Whether all parts are answered.
-    pub all_answered: bool,
+    /// Whether all parts are answered, including dropped ones.
+    pub is_fully_answered: bool,
     /// Weight of the parts that are answered.
     pub answered_weight: f64,
-    /// Whether any part may still be answered.
-    pub any_open: bool,
-    /// Weight of the parts that may still be answered.
+    /// Whether any part without a result may still be answered.
+    pub has_open_parts: bool,
+    /// Weight of the parts without a result that may still be answered.
     pub open_weight: f64,
 }
 
@@ -71,71 +73,72 @@
         let answered_weight = self.answered_weight + ANSWERED_TOLERANCE;
         let has_threshold = answered_weight >= class.completeness_threshold;
         let is_threshold_enough = query.step == 1 && has_threshold;
-        let are_all_complete = self.all_answered && query.earlier_steps_complete;
+        let are_all_complete = self.is_fully_answered && query.has_complete_earlier_steps;
         self.has_parts && (is_threshold_enough || are_all_complete)
     }
 
-    /// Returns whether the results so far suffice for a partial answer.
+    /// Returns whether the results so far reach the minimum weight of an answer.
     pub fn is_sufficient(&self, query: &QueryState, class: &QueryClass) -> bool {
         let minimum = class.minimum_of_step(query.step);
         let has_minimum = self.answered_weight + ANSWERED_TOLERANCE >= minimum;
         self.answered_weight > 0.0 && has_minimum
     }
 
-    /// Returns whether the minimum weight of an answer can no longer be reached. This is `false`
-    /// while the step has no parts.
+    /// Returns whether no sufficient answer can be reached any more, given that the results so far
+    /// are not sufficient: no part is open, or the open parts do not reach the minimum weight. This
+    /// is `false` while the step has no parts.
     pub fn is_unreachable(&self, query: &QueryState, class: &QueryClass) -> bool {
         let minimum = class.minimum_of_step(query.step);
         let reachable = self.answered_weight + self.open_weight + REACHABLE_TOLERANCE;
-        self.has_parts && (!self.any_open || reachable < minimum)
+        self.has_parts && (!self.has_open_parts || reachable < minimum)
     }
 }
 
 impl QueryState {
-    /// Creates the record of a query that is received now. `spent` is the part of the latency
-    /// objective that the client has used for earlier attempts.
+    /// Creates the record of a query that is received now. `time_spent` is the time that the client
+    /// has spent on earlier attempts, which shortens the latency objective.
     pub fn new(
         received: &QueryReceived,
         class: &QueryClass,
-        spent: Nanos,
+        time_spent: Nanos,
         now: Nanos,
     ) -> QueryState {
         let deadline = now + received.client_timeout;
         let full_objective = now + class.objective_for(received.expected_work);
-        let objective = full_objective.saturating_sub(spent);
-        let arrived_late = objective <= now;
+        let objective = full_objective.saturating_sub(time_spent);
+        let is_late_arrival = objective <= now;
         let is_short = received.client_timeout < class.latency_objective;
         QueryState {
             id: received.id,
             group: received.group,
             class: usize::from(received.class),
-            arrived: now,
-            objective: if arrived_late {
+            arrived_at: now,
+            objective: if is_late_arrival {
                 deadline
             } else {
                 objective.min(deadline)
             },
             deadline,
-            has_short_timeout: received.is_retry && spent == 0 && is_short,
-            arrived_late,
+            has_short_timeout: received.is_retry && time_spent == 0 && is_short,
+            is_late_arrival,
             step: 1,
-            step_started: now,
-            earlier_steps_complete: true,
+            step_started_at: now,
+            has_complete_earlier_steps: true,
             ..QueryState::default()
         }
     }
 
     /// Starts the second step, whose parts are received later.
-    pub fn start_second_step(&mut self, now: Nanos, first_step_complete: bool) {
+    pub fn start_second_step(&mut self, now: Nanos, is_first_step_complete: bool) {
         self.step = 2;
-        self.step_started = now;
-        self.earlier_steps_complete = first_step_complete;
+        self.step_started_at = now;
+        self.has_complete_earlier_steps = is_first_step_complete;
     }
 
     /// Cancels the attempts in flight at all parts; see [`PartState::cancel_attempts`].
-    pub fn cancel_attempts(&mut self, allowed: bool, actions: &mut Vec<Action>) {
+    pub fn cancel_attempts(&mut self, may_cancel: bool, actions: &mut Vec<Action>) {
         for part in &mut self.parts {
-            part.cancel_attempts(allowed, actions);
+            part.cancel_attempts(may_cancel, actions);
         }
     }
 
@@ -146,51 +149,52 @@
         parts.all(|part| part.is_safe_to_repeat(class, at))
     }
 
-    /// Returns the number of replicas to which connections were lost during attempts of this query.
+    /// Returns the number of replicas to which connections were lost during attempts at this
+    /// query's parts.
     pub fn replicas_with_lost_connections(&self) -> usize {
-        let lost = self
+        let lost_attempts = self
             .attempts()
             .filter(|attempt| attempt.is_connection_lost());
-        let replicas: BTreeSet<ReplicaId> = lost.map(|attempt| attempt.replica).collect();
+        let replicas: BTreeSet<ReplicaId> = lost_attempts.map(|attempt| attempt.replica).collect();
         replicas.len()
     }
 
-    /// Lowers the deadline to at most `deadline`, and the latency objective to at most the new
-    /// deadline.
+    /// Limits the deadline to `deadline`, and the latency objective to the resulting deadline.
     pub fn shorten_deadline(&mut self, deadline: Nanos) {
         self.deadline = self.deadline.min(deadline);
         self.objective = self.objective.min(self.deadline);
     }
 
-    /// Counts the parts of the current step that are not dropped.
+    /// Returns how many parts of the current step are not dropped, and how many of those are
+    /// answered.
     pub fn step_counts(&self) -> StepCounts {
-        let wanted = self.step_parts().filter(|part| !part.is_dropped);
-        let answered = wanted.clone().filter(|part| part.is_answered);
+        let kept = self.step_parts().filter(|part| !part.is_dropped);
+        let answered = kept.clone().filter(|part| part.is_answered);
         StepCounts {
-            wanted: wanted.count(),
+            kept: kept.count(),
             answered: answered.count(),
         }
     }
 
-    /// Sums up the parts of the current step. `is_open` returns whether a part without a result may
-    /// still be answered.
+    /// Returns sums over the parts of the current step. `is_open` returns whether a part without a
+    /// result may still be answered.
     pub fn step_sums(&self, is_open: impl Fn(&PartState) -> bool) -> StepSums {
         let answered = self.step_parts().filter(|part| part.is_answered);
-        let wanted = self
+        let unanswered = self
             .step_parts()
             .filter(|part| !part.is_answered && !part.is_dropped);
-        let open = wanted.filter(|part| is_open(part));
+        let open = unanswered.filter(|part| is_open(part));
         let open: Vec<f64> = open.map(|part| part.weight).collect();
         StepSums {
             has_parts: self.step_parts().next().is_some(),
-            all_answered: self.step_parts().all(|part| part.is_answered),
+            is_fully_answered: self.step_parts().all(|part| part.is_answered),
             answered_weight: answered.map(|part| part.weight).sum(),
-            any_open: !open.is_empty(),
+            has_open_parts: !open.is_empty(),
             open_weight: open.iter().sum(),
         }
     }
 
-    /// Returns the indices of all parts, lightest first.
+    /// Returns the indices of the parts of all steps in `parts`, lightest first.
     pub fn lightest_first(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.parts.len()).collect();
         let weight = |index: &usize| self.parts[*index].weight;
@@ -203,7 +207,7 @@
         self.parts.iter().filter(|part| part.step == self.step)
     }
 
-    /// Returns the attempts at all parts.
+    /// Returns the attempts at the parts of all steps.
     pub fn attempts(&self) -> impl Iterator<Item = &AttemptRecord> {
         self.parts.iter().flat_map(|part| &part.attempts)
     }
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -9,7 +9,7 @@
 /// Use of an attempt's connection before the attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// The connection was used recently, or its use is unknown.
+    /// The connection was used recently, or the time of its last use is unknown.
     #[default]
     RecentlyUsed,
     /// The connection was idle for long. A device on the network path may have dropped it without
@@ -19,7 +19,7 @@
     Renewed,
 }
 
-/// A replica, with the measurements of this aggregator.
+/// A replica, with its state on the endpoint list and the measurements of this aggregator.
 #[derive(Debug, Default)]
 pub struct ReplicaRecord {
     /// Identifier of the replica.
@@ -29,13 +29,13 @@
     /// Zone of the replica.
     pub zone: u16,
     /// Time of the last start; 0 if the replica started long ago.
-    pub started: Nanos,
+    pub started_at: Nanos,
     /// State on the endpoint list.
     pub state: ReplicaState,
     /// Smoothed latency, ns; `None` before the first measurement.
     pub latency: Option<f64>,
     /// Time at which `latency` last changed.
-    pub latency_updated: Nanos,
+    pub latency_updated_at: Nanos,
     /// Time of the last response of any kind; 0 before the first one.
     pub last_response: Nanos,
     /// Smoothed time between two results while calls of this aggregator were in flight, ns.
@@ -44,15 +44,17 @@
     pub last_result: Nanos,
     /// Kind of connection that the last call was sent on.
     pub connection: ConnectionUse,
-    /// Kinds of connections of the attempts lost since the last response.
+    /// Kinds of connections of the attempts lost since the last response, in the order of the
+    /// losses.
     pub lost_connections: Vec<ConnectionUse>,
     /// Calls of this aggregator that are in flight.
     pub outstanding: OutstandingCalls,
     /// Number of ejections since the last response.
-    pub consecutive_failures: u32,
+    pub consecutive_ejections: u32,
     /// Whether the replica has been ejected and has not responded since.
     pub is_outlier: bool,
-    /// End of the current ejection, until which other replicas are preferred.
+    /// Time until which other replicas are preferred because this one is ejected; 0 after a
+    /// response.
     pub ejected_until: Nanos,
     /// Time until which other replicas are preferred because this one rejected a part.
     pub saturated_until: Nanos,
@@ -61,11 +63,11 @@
 }
 
 impl ReplicaRecord {
-    /// Returns how long the oldest call in flight has been waiting without any response of the
+    /// Returns the time for which the oldest call in flight has waited without any response of the
     /// replica, or 0 if no call is in flight.
     pub fn time_without_response(&self, now: Nanos) -> Nanos {
-        let oldest = self.outstanding.oldest();
-        oldest.map_or(0, |sent| now - sent.max(self.last_response))
+        let oldest = self.outstanding.oldest_sent_at();
+        oldest.map_or(0, |sent_at| now - sent_at.max(self.last_response))
     }
 
     /// Returns the number of calls in flight; see [`OutstandingCalls::count`].
@@ -75,65 +77,67 @@
 
     /// Returns the expected time until one more part is answered, ns. This is the number of parts
     /// in flight, that part included, times the interval between results. While no result arrives,
-    /// the interval decays over `decay_time`, ns.
+    /// the interval decays with the time constant `decay_time`, ns. The wait is at least the time
+    /// without a response.
     pub fn expected_wait(&self, now: Nanos, decay_time: f64) -> f64 {
         let since_result = now.saturating_sub(self.last_result) as f64;
         let remaining = (-(since_result / decay_time)).exp();
         let interval = self.result_interval.value().unwrap_or(0.0);
-        let queued = interval * f64::from(self.outstanding.parts() + 1) * remaining;
-        queued.max(self.time_without_response(now) as f64)
+        let queue_wait = interval * f64::from(self.outstanding.parts() + 1) * remaining;
+        queue_wait.max(self.time_without_response(now) as f64)
     }
 
     /// Returns the time of the last response or latency measurement.
     pub fn last_activity(&self) -> Nanos {
-        self.last_response.max(self.latency_updated)
+        self.last_response.max(self.latency_updated_at)
     }
 
-    /// Records a part that is sent now. Parts sent before `oldest` are no longer recent.
-    pub fn record_part(&mut self, now: Nanos, oldest: Nanos) {
+    /// Records a part that is sent now. Parts sent before `recent_since` are no longer recent.
+    pub fn record_part(&mut self, now: Nanos, recent_since: Nanos) {
         self.outstanding.add_part(now);
         self.recent_parts.push(now, ());
-        self.recent_parts.expire(oldest);
+        self.recent_parts.expire(recent_since);
     }
 
-    /// Records a result of a call that was sent at the time `sent`. `weight` is the weight of the
-    /// new interval in the average.
-    pub fn record_result(&mut self, sent: Nanos, now: Nanos, weight: f64) {
-        let oldest = self.outstanding.oldest().unwrap_or(sent);
+    /// Records a result of a call that was sent at the time `sent_at`. `weight`, from 0 to 1, is
+    /// the weight of the new interval in the average.
+    pub fn record_result(&mut self, sent_at: Nanos, now: Nanos, weight: f64) {
+        let oldest = self.outstanding.oldest_sent_at().unwrap_or(sent_at);
         let interval = (now - self.last_result.max(oldest)) as f64;
         self.result_interval.add(interval, weight);
         self.last_result = now;
     }
 
-    /// Records a latency sample. `smoothed` is the smoothed latency before it.
+    /// Records a latency sample, ns, with a weight from 0 to 1. `smoothed` is the smoothed latency
+    /// before the sample, ns.
     pub fn record_latency(&mut self, now: Nanos, smoothed: f64, sample: f64, weight: f64) {
         self.latency = Some(weighted_mean(smoothed, sample, weight));
-        self.latency_updated = now;
+        self.latency_updated_at = now;
     }
 
-    /// Records a response of any kind, which ends an ejection. Returns the connections of the
-    /// attempts lost since the last response.
+    /// Records a response of any kind, which ends an ejection. Returns the kinds of connections of
+    /// the attempts lost since the previous response.
     pub fn record_response(&mut self, now: Nanos) -> Vec<ConnectionUse> {
         self.last_response = now;
         self.is_outlier = false;
         self.ejected_until = 0;
-        self.consecutive_failures = 0;
+        self.consecutive_ejections = 0;
         std::mem::take(&mut self.lost_connections)
     }
 
-    /// Ejects the replica until the time `until`.
+    /// Ejects the replica until the time `until`, unless it responds earlier.
     pub fn eject(&mut self, until: Nanos) {
-        self.consecutive_failures += 1;
+        self.consecutive_ejections += 1;
         self.is_outlier = true;
         self.ejected_until = until;
     }
 
-    /// Resets the measurements that were made before a restart.
-    fn restart(&mut self, started: Nanos) {
-        self.started = started;
+    /// Records a restart, and resets the latency, the result interval and the outlier state.
+    fn restart(&mut self, started_at: Nanos) {
+        self.started_at = started_at;
         self.latency = None;
         self.result_interval = Ewma::default();
-        self.consecutive_failures = 0;
+        self.consecutive_ejections = 0;
         self.is_outlier = false;
     }
 }
@@ -151,14 +155,14 @@
         *self.parts_by_send_time.entry(now).or_insert(0) += 1;
     }
 
-    /// Removes a part of the call that was sent at the time `sent`.
-    pub fn remove_part(&mut self, sent: Nanos) {
-        let Some(parts) = self.parts_by_send_time.get_mut(&sent) else {
+    /// Removes a part of the call that was sent at the time `sent_at`.
+    pub fn remove_part(&mut self, sent_at: Nanos) {
+        let Some(parts) = self.parts_by_send_time.get_mut(&sent_at) else {
             return;
         };
         *parts -= 1;
         if *parts == 0 {
-            self.parts_by_send_time.remove(&sent);
+            self.parts_by_send_time.remove(&sent_at);
         }
     }
 
@@ -167,16 +171,16 @@
         self.parts_by_send_time.is_empty()
     }
 
-    /// Returns whether a call is sent at the time `now`.
+    /// Returns whether a call is sent at the time `now`, which further parts can share.
     pub fn has_call_of(&self, now: Nanos) -> bool {
         self.parts_by_send_time.contains_key(&now)
     }
 
     /// Returns the time at which the oldest call was sent, or `None` if no call is in flight.
-    pub fn oldest(&self) -> Option<Nanos> {
+    pub fn oldest_sent_at(&self) -> Option<Nanos> {
         self.parts_by_send_time
             .first_key_value()
-            .map(|(sent, _)| *sent)
+            .map(|(sent_at, _)| *sent_at)
     }
 
     /// Returns the number of parts in flight.
@@ -187,8 +191,8 @@
     /// Returns the number of calls in flight if each call has at most `max_parts` parts. A call
     /// that is sent at the time `now` and can take one more part is not counted.
     pub fn count(&self, now: Nanos, max_parts: u32) -> u32 {
-        let calls = self.parts_by_send_time.iter().map(|(sent, parts)| {
-            if *sent == now {
+        let calls = self.parts_by_send_time.iter().map(|(sent_at, parts)| {
+            if *sent_at == now {
                 parts / max_parts
             } else {
                 parts.div_ceil(max_parts)
@@ -198,14 +202,14 @@
     }
 }
 
-/// All replicas that are on the endpoint list, or were and are still tracked.
+/// The replicas on the endpoint list, and those that have left the list but are still tracked.
 #[derive(Debug, Default)]
 pub struct KnownReplicas {
     replicas: BTreeMap<ReplicaId, ReplicaRecord>,
 }
 
 impl KnownReplicas {
-    /// Returns the number of replicas, including those that are gone.
+    /// Returns the number of tracked replicas, including those that are gone.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
@@ -226,20 +230,22 @@
         replicas.filter(|replica| replica.state == ReplicaState::Ready)
     }
 
-    /// Returns the ready replicas that hold a shard according to the placement in the settings.
+    /// Returns the ready replicas that hold a shard according to the placement in the settings, in
+    /// the order of their identifiers.
     pub fn holders(
         &self,
         settings: &PolicySettings,
         shard: u32,
     ) -> impl Iterator<Item = &ReplicaRecord> {
-        let (cells, per_shard) = (settings.placement_cells.max(1), settings.cells_per_shard);
+        let (cells, cells_per_shard) = (settings.placement_cells.max(1), settings.cells_per_shard);
         let distance = move |cell: u16| (u32::from(cell) + cells - shard % cells) % cells;
         self.ready()
-            .filter(move |replica| distance(replica.cell) < per_shard)
+            .filter(move |replica| distance(replica.cell) < cells_per_shard)
     }
 
-    /// Applies an update of the endpoint list. Resets the measurements of replicas that have
-    /// restarted.
+    /// Applies an update of the endpoint list, which is complete unless `kind` is
+    /// [`EndpointUpdateKind::Delta`]. Replicas that are missing from a complete list are gone.
+    /// Replicas that have restarted lose their measurements.
     pub fn apply(&mut self, kind: EndpointUpdateKind, entries: &[ReplicaEntry]) {
         if kind != EndpointUpdateKind::Delta {
             let listed: BTreeSet<ReplicaId> = entries.iter().map(|entry| entry.replica).collect();
@@ -252,14 +258,14 @@
         for entry in entries {
             let new = ReplicaRecord {
                 id: entry.replica,
-                started: entry.started_at,
+                started_at: entry.started_at,
                 ..ReplicaRecord::default()
             };
             let replica = self.replicas.entry(entry.replica).or_insert(new);
             replica.cell = entry.cell;
             replica.zone = entry.zone;
             replica.state = entry.state;
-            if entry.state == ReplicaState::Ready && replica.started != entry.started_at {
+            if entry.state == ReplicaState::Ready && replica.started_at != entry.started_at {
                 replica.restart(entry.started_at);
             }
         }
@@ -271,7 +277,7 @@
         self.replicas.retain(|_, replica| {
             replica.state != ReplicaState::Gone
                 || !replica.outstanding.is_empty()
-                || replica.latency_updated > oldest
+                || replica.latency_updated_at > oldest
         });
     }
 }
--- a/crates/policy/src/stats.rs
+++ b/crates/policy/src/stats.rs
@@ -11,7 +11,7 @@
     old + weight * (sample - old)
 }
 
-/// Returns `base`, doubled for each consecutive failure and limited to `max`.
+/// Returns `base`, doubled for each of `failures` consecutive failures and limited to `max`.
 pub fn exponential_backoff(base: f64, max: f64, failures: u32) -> f64 {
     (base * f64::from(1u32 << failures.min(16))).min(max)
 }
@@ -55,7 +55,8 @@
         self.mean.value()
     }
 
-    /// Returns the mean absolute deviation.
+    /// Returns the moving average of the absolute deviation from the mean; 0 before the first
+    /// sample.
     pub fn deviation(&self) -> f64 {
         self.deviation
     }
@@ -68,7 +69,7 @@
     }
 }
 
-/// Values with their times, in the order of time. Old values expire.
+/// A queue of values with their times, in ascending order of time. Old values expire.
 #[derive(Clone, Debug)]
 pub struct SlidingWindow<T> {
     entries: VecDeque<(Nanos, T)>,
@@ -88,7 +89,7 @@
         self.entries.push_back((at, value));
     }
 
-    /// Removes the values from before `oldest`.
+    /// Removes the values from before the time `oldest`.
     pub fn expire(&mut self, oldest: Nanos) {
         while self.entries.front().is_some_and(|(at, _)| *at < oldest) {
             self.entries.pop_front();
@@ -100,12 +101,12 @@
         self.entries.len()
     }
 
-    /// Returns the number of values at or after `since`.
+    /// Returns the number of values from the time `since` or later.
     pub fn count_since(&self, since: Nanos) -> usize {
         self.entries.iter().filter(|(at, _)| *at >= since).count()
     }
 
-    /// Returns the number of values that meet the condition.
+    /// Returns the number of values for which `condition` returns `true`.
     pub fn count_where(&self, condition: impl Fn(&T) -> bool) -> usize {
         self.entries
             .iter()
@@ -114,11 +115,11 @@
     }
 }
 
-/// A counter whose value decays exponentially.
+/// A counter whose value decays exponentially with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCounter {
     value: f64,
-    updated: Nanos,
+    updated_at: Nanos,
 }
 
 impl DecayingCounter {
@@ -127,31 +128,31 @@
         self.value
     }
 
-    /// Adds one to the value, which decays to 1 / e of itself in `time_constant` nanoseconds.
+    /// Adds one to the value. The value decays to 1 / e of itself in `time_constant` nanoseconds.
     pub fn increment(&mut self, now: Nanos, time_constant: f64) {
-        let remaining = (-((now - self.updated) as f64) / time_constant).exp();
+        let remaining = (-((now - self.updated_at) as f64) / time_constant).exp();
         self.value = self.value * remaining + 1.0;
-        self.updated = now;
+        self.updated_at = now;
     }
 }
 
-/// A token bucket that refills up to one token. Further tokens are added by the caller.
+/// A token bucket that refills up to one token. The caller adds further tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
-    refilled: Nanos,
+    refilled_at: Nanos,
 }
 
 impl TokenBucket {
-    /// Creates a bucket with this number of tokens.
+    /// Creates a bucket that has this number of tokens at the time `now`.
     pub fn new(now: Nanos, tokens: f64) -> TokenBucket {
         TokenBucket {
             tokens,
-            refilled: now,
+            refilled_at: now,
         }
     }
 
-    /// Returns the number of tokens in the bucket.
+    /// Returns the number of tokens in the bucket, as of the last change.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
@@ -161,17 +162,17 @@
         self.tokens = tokens.max(0.0);
     }
 
-    /// Takes one token if there is one, and returns whether it did. A bucket with less than one
-    /// token refills at a rate of one token per `refill_time` nanoseconds.
+    /// Takes one token if the bucket has one, and returns whether a token was taken. A bucket with
+    /// less than one token refills at a rate of one token per `refill_time` nanoseconds.
     pub fn try_take(&mut self, now: Nanos, refill_time: f64) -> bool {
-        let refilled = self.tokens + (now - self.refilled) as f64 / refill_time;
-        self.tokens = self.tokens.max(refilled.min(1.0));
-        self.refilled = now;
-        let available = self.tokens >= 1.0;
-        if available {
+        let refilled_tokens = self.tokens + (now - self.refilled_at) as f64 / refill_time;
+        self.tokens = self.tokens.max(refilled_tokens.min(1.0));
+        self.refilled_at = now;
+        let is_available = self.tokens >= 1.0;
+        if is_available {
             self.tokens -= 1.0;
         }
-        available
+        is_available
     }
 }
 
@@ -188,8 +189,8 @@
         (self.lead > 0).then_some(self.candidate)
     }
 
-    /// Counts a value for the leading value if the two `agree`, and against it otherwise. The lead
-    /// is limited to `max_lead`, so that a change of the majority takes effect soon.
+    /// Counts a value in favor of the leading value if the two `agree`, and against it otherwise.
+    /// The lead is limited to `max_lead`, so that a change of the majority takes effect soon.
     pub fn vote(&mut self, value: u64, max_lead: u32, agree: impl Fn(u64, u64) -> bool) {
         if self.lead == 0 {
             *self = MajorityVote {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that stop the adapter before the end of its input.
+//! The errors with which the adapter ends.
 
 use crate::wire::BatchError;
 use std::error::Error;
@@ -14,6 +14,6 @@
     #[error("{0}")]
     Settings(#[source] Box<dyn Error + Send + Sync>),
     /// A reply cannot be written.
-    #[error("cannot write a reply: {0}")]
+    #[error("cannot write reply: {0}")]
     Write(#[source] io::Error),
 }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -31,9 +31,9 @@
 /// Events of one batch, grouped by instance.
 #[derive(Default)]
 struct PendingEvents {
-    /// Events of each instance, without the instances that the batch stops.
+    /// Events of each instance that is not stopped at the end of the batch.
     by_instance: BTreeMap<InstanceId, Vec<Event>>,
-    /// All instances in the batch, in the order of their first inputs.
+    /// All instances in the batch, in the order of their first inputs. The reply keeps this order.
     order: Vec<InstanceId>,
 }
 
@@ -67,7 +67,7 @@
     /// the end of the batch.
     fn apply_inputs(&mut self, inputs: Vec<AddressedInput>) -> Result<PendingEvents, AdapterError> {
         let mut pending = PendingEvents::default();
-        let mut seen = BTreeSet::new();
+        let mut seen_instances = BTreeSet::new();
         for AddressedInput { instance, input } in inputs {
             match input {
                 InstanceInput::Start { seed, settings } => {
@@ -84,7 +84,7 @@
                     pending.by_instance.entry(instance).or_default().push(event);
                 }
             }
-            if seen.insert(instance) {
+            if seen_instances.insert(instance) {
                 pending.order.push(instance);
             }
         }
@@ -92,8 +92,8 @@
     }
 }
 
-/// Returns the actions of one policy. After a panic, the policy remains in use until the simulator
-/// stops or restarts it.
+/// Passes events to one policy and returns the resulting actions. After a panic, the policy remains
+/// in use until the simulator stops or restarts it.
 fn run_policy(
     policy: &mut Policy,
     now: Nanos,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns the text of a panic. The payload is a `String` if the message was formatted, and a
+/// Returns the message of a panic. The payload is a `String` if the message was formatted, and a
 /// `&str` otherwise.
 fn panic_message(payload: &(dyn Any + Send)) -> String {
     if let Some(text) = payload.downcast_ref::<String>() {
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -6,7 +6,7 @@
 use std::io::{ErrorKind, Read};
 
 /// Length of the header in bytes, and offsets of its fields.
-const HEADER_LENGTH: usize = 20;
+pub(super) const HEADER_LENGTH: usize = 20;
 const NUMBER: usize = 0;
 const BODY_LENGTH: usize = 4;
 const CLOCK: usize = 8;
@@ -58,7 +58,7 @@
         self.records.chunks_exact(RECORD_LENGTH).map(Fields::new)
     }
 
-    /// Returns the bytes of the tail that a record refers to.
+    /// Returns the bytes at this offset and of this length in the tail.
     pub fn tail_bytes(&self, offset: u32, length: usize) -> Result<&[u8], RecordError> {
         let start = offset as usize;
         start
@@ -72,7 +72,7 @@
     }
 }
 
-/// Reads a header. Returns `None` if the input ends before the first byte.
+/// Reads the header of a batch. Returns `None` if the input ends before the first byte.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_LENGTH]>, BatchError> {
     let mut header = [0; HEADER_LENGTH];
     let mut bytes_read = 0;
@@ -88,7 +88,8 @@
     Ok(Some(header))
 }
 
-/// Reads a body. The buffer grows as bytes arrive, so that a wrong length does not allocate memory.
+/// Reads the body of a batch. The buffer grows as bytes arrive, so that a wrong length in a header
+/// does not allocate memory.
 fn read_body(input: &mut impl Read, batch: u32, length: usize) -> Result<Vec<u8>, BatchError> {
     let mut body = Vec::new();
     input
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,25 +1,26 @@
 //! Errors in the input from the simulator.
 
+use super::batch::HEADER_LENGTH;
 use std::io;
 
 /// An error in reading or decoding a batch.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
     /// The input ends within the header of a batch.
-    #[error("batch header truncated after {bytes_read} bytes")]
+    #[error("batch header truncated: read {bytes_read} of {HEADER_LENGTH} bytes")]
     HeaderTruncated {
         /// Number of bytes of the header that were read.
         bytes_read: usize,
     },
     /// The header of a batch cannot be read.
-    #[error("cannot read a batch header: {0}")]
+    #[error("cannot read batch header: {0}")]
     ReadHeader(#[source] io::Error),
     /// The body of a batch cannot be read.
-    #[error("cannot read the body of batch {batch}: {source}")]
+    #[error("cannot read body of batch {batch}: {source}")]
     ReadBody {
         /// Number of the batch.
         batch: u32,
-        /// Error of the read.
+        /// Cause of the failure.
         source: io::Error,
     },
     /// The header states more records than fit into the body.
@@ -49,7 +50,7 @@
         batch: u32,
         /// Index of the record within the batch, from 0.
         record: usize,
-        /// Error in the record.
+        /// What is invalid in the record.
         source: RecordError,
     },
 }
@@ -57,7 +58,7 @@
 /// An error in a record.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The code of the record is unknown.
+    /// The code for the kind of the record is unknown.
     #[error("unknown record code {0}")]
     UnknownKind(u8),
     /// The code for the outcome of an attempt or a health check is unknown.
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -9,7 +9,7 @@
     PartReceived, QueryReceived,
 };
 
-/// Codes of the events.
+/// Codes of the kinds of events.
 mod kind {
     pub const RESPONSE_STARTED: u8 = 2;
     pub const TIMER_FIRED: u8 = 5;
@@ -33,8 +33,8 @@
     pub const ERROR: u16 = 255;
 }
 
-/// Decodes an event of this kind. The endpoint list that the event refers to is looked up in
-/// `lists`, and its variable-length data in the tail of `batch`.
+/// Decodes an event of this kind. The event may refer to an endpoint list in `lists` and to data of
+/// variable length in the tail of `batch`.
 pub fn decode_event(
     kind: u8,
     record: Fields,
@@ -87,7 +87,7 @@
     }))
 }
 
-/// Decodes a query or one of its parts. The shard of a query is negative.
+/// Decodes a query or one of its parts. The field for the shard is negative in a query.
 fn decode_request_received(record: Fields) -> Event {
     const SHARD: usize = 11;
     let shard = record.f32(SHARD);
@@ -115,21 +115,21 @@
 
 fn decode_query(record: Fields) -> QueryReceived {
     const CLIENT_TIMEOUT: usize = 15;
-    const WORK: usize = 23;
+    const EXPECTED_WORK: usize = 23;
     const CLASS: usize = 31;
     const TENANT: usize = 37;
     const FLAGS: usize = 49;
-    const FLAG_HAS_WORK: u8 = 1;
+    const FLAG_HAS_EXPECTED_WORK: u8 = 1;
     const FLAG_IS_RETRY: u8 = 2;
     let flags = record.u8(FLAGS);
-    let work: Nanos = record.u64(WORK);
+    let expected_work: Nanos = record.u64(EXPECTED_WORK);
     QueryReceived {
         id: record.u64(REQUEST_ID),
         group: record.f32(REQUEST_GROUP) as u32,
         class: record.u16(CLASS),
         tenant: record.u32(TENANT),
         client_timeout: record.u64(CLIENT_TIMEOUT),
-        expected_work: (flags & FLAG_HAS_WORK != 0).then_some(work),
+        expected_work: (flags & FLAG_HAS_EXPECTED_WORK != 0).then_some(expected_work),
         is_retry: flags & FLAG_IS_RETRY != 0,
     }
 }
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -13,9 +13,9 @@
 /// An input together with the instance that receives it.
 #[derive(Debug, PartialEq)]
 pub struct AddressedInput {
-    /// Receiving instance.
+    /// Number of the instance that receives the input.
     pub instance: InstanceId,
-    /// Decoded input.
+    /// Input for the instance.
     pub input: InstanceInput,
 }
 
@@ -35,19 +35,20 @@
     Event(Event),
 }
 
-/// Codes of the records that are not events.
+/// Codes of the kinds of records that are not events.
 mod kind {
     pub const START: u8 = 1;
     pub const ENDPOINT_LIST: u8 = 3;
     pub const STOP: u8 = 4;
 }
 
-/// Offset of the code in every record, and of the instance in all records but endpoint lists.
+/// Offset of the code in every record, and of the instance in every record except endpoint lists.
 const KIND: usize = 0;
 const INSTANCE: usize = 1;
 
-/// Decodes the records of a batch in order. Endpoint lists are stored in `lists` and looked up one
-/// record at a time, since a batch may send several lists with the same number.
+/// Decodes the records of a batch in order, and stores the endpoint lists among them in `lists`. An
+/// event refers to the list that was last sent before the event with the list number of the event,
+/// since a batch may contain several lists with the same number.
 pub fn decode_inputs(
     batch: &Batch,
     lists: &mut EndpointLists,
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -5,17 +5,17 @@
 
 /// Length of the header in bytes.
 const HEADER_LENGTH: usize = 12;
-/// Length of a record in bytes, of which unused ones are zero.
+/// Length of a record in bytes. Unused bytes are zero.
 const RECORD_LENGTH: usize = 32;
 /// Length of a replica's address and port in bytes.
 const REPLICA_LENGTH: usize = 6;
 
-/// Receiver of a gossip message that goes to all aggregators.
+/// Value of the field for the receiver in a gossip message to all aggregators.
 const ALL_AGGREGATORS: u32 = u32::MAX;
-/// Value of the field `retry_after` of a rejection without a delay.
+/// Value of the field for `retry_after` in a rejection without one.
 const NO_RETRY_AFTER: u64 = 0;
 
-/// Codes of the records.
+/// Codes of the kinds of records.
 mod kind {
     pub const SEND_ATTEMPT: u8 = 1;
     pub const REJECT: u8 = 2;
@@ -53,7 +53,7 @@
         bytes
     }
 
-    /// Appends an action of an instance.
+    /// Appends the record of an action that an instance has requested.
     pub fn push_action(&mut self, instance: InstanceId, action: &Action) {
         let new_record = |kind: u8| Record::new(kind, instance);
         let record = match action {
@@ -97,7 +97,7 @@
         self.push(record);
     }
 
-    /// Appends a record that an instance has panicked with this message.
+    /// Appends a record of the panic of an instance, with the panic message.
     pub fn push_crash(&mut self, instance: InstanceId, message: &str) {
         let text = self.append_to_tail(message.as_bytes());
         self.push(Record::new(kind::CRASH, instance).tail_range(text));
@@ -127,7 +127,7 @@
 /// One record of a reply, while it is built.
 struct Record {
     bytes: [u8; RECORD_LENGTH],
-    /// Number of bytes that the appended fields take.
+    /// Number of bytes that have been written.
     length: usize,
 }
 
