--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -55,8 +55,8 @@
 #[test]
 fn an_expired_retry_is_rejected_if_late_answers_have_no_value() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 3);
-    for i in 0..5 {
-        harness.query_with_timeout(i, 0, &[1.0], 6000 * MS);
+    for ms in 0..5 {
+        harness.query_with_timeout(ms, 0, &[1.0], 6000 * MS);
     }
     let (_, late) = harness.query_with_timeout(10, 0, &[1.0], 3000 * MS);
     assert_eq!(final_actions(&late), ["rejected"]);
@@ -77,14 +77,13 @@
     );
 }
 
-/// Clients of one tenant have short timeouts and retry at once. Queries with longer timeouts, such
-/// as those of another tenant, must not count as retries because of that. First attempts with short
-/// timeouts must not count as retries either.
+/// Most clients have short timeouts and retry at once. First attempts of other clients, with longer
+/// or even shorter timeouts, must not count as retries because of that.
 #[test]
 fn short_timeouts_of_some_clients_do_not_affect_first_attempts() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
-    for i in 0..10 {
-        harness.query_with_timeout(i * 10, 0, &[1.0], 800 * MS);
+    for index in 0..10 {
+        harness.query_with_timeout(index * 10, 0, &[1.0], 800 * MS);
     }
     let (_, long) = harness.query_with_timeout(200, 0, &[1.0], 6000 * MS);
     assert!(!final_actions(&long).contains(&"rejected"));
@@ -95,13 +94,13 @@
     );
 }
 
-/// The timeout of these clients is shorter than the mean latency, and they retry at once. Work on
-/// their queries would only delay other queries.
+/// Clients whose timeout is shorter than the mean latency retry at once. Work on their queries
+/// would only delay other queries.
 #[test]
 fn a_client_with_less_time_than_the_mean_latency_is_rejected() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 3);
-    for i in 0..20 {
-        harness.serve_query(i * 500, 450);
+    for index in 0..20 {
+        harness.serve_query(index * 500, 450);
     }
     let (_, short) = harness.query_with_timeout(10_000, 0, &[1.0], 300 * MS);
     assert_eq!(final_actions(&short), ["rejected"]);
@@ -135,9 +134,9 @@
     assert!(!final_actions(&long).contains(&"rejected"));
 }
 
-/// Sends twenty queries per second with three parts each. Each attempt ends after 10 ms: at the
-/// first part of a query with `first_part_outcome`, at other parts with success. Returns the number
-/// of queries admitted in each second.
+/// Sends twenty queries per second with three parts each. Each attempt ends after 10 ms: an attempt
+/// at the first part of a query with `first_part_outcome`, and other attempts with success. Returns
+/// the number of queries admitted in each second.
 fn admitted_by_second(
     harness: &mut PolicyHarness,
     seconds: std::ops::Range<u64>,
@@ -145,15 +144,18 @@
 ) -> Vec<usize> {
     let mut admitted = Vec::new();
     for second in seconds {
-        let mut count = 0;
+        let mut admitted_in_second = 0;
         for index in 0..20 {
             let ms = second * 1000 + index * 50;
             let (id, mut actions) = harness.query(ms, 0, &[0.4, 0.3, 0.3]);
-            count += usize::from(!sent_attempts(&actions).is_empty());
-            let mut attempts = std::collections::BTreeMap::new();
+            admitted_in_second += usize::from(!sent_attempts(&actions).is_empty());
+            let mut attempt_numbers = std::collections::BTreeMap::new();
             for step in 1..5 {
                 let end = |(part, replica): (u64, ReplicaId)| {
-                    let attempt = attempts.entry(part).and_modify(|n| *n += 1).or_insert(0);
+                    let attempt = attempt_numbers
+                        .entry(part)
+                        .and_modify(|number| *number += 1)
+                        .or_insert(0);
                     attempt_ended(
                         part,
                         *attempt,
@@ -170,7 +172,7 @@
             }
             harness.handle_at(ms + 49, &[Event::ClientDisconnected { id }]);
         }
-        admitted.push(count);
+        admitted.push(admitted_in_second);
     }
     admitted
 }
@@ -179,11 +181,11 @@
 /// a limit on admission, queries would prevent each other from being answered during an overload.
 #[test]
 fn queries_lost_to_saturated_replicas_limit_admission_until_some_succeed() {
-    let limited = PolicySettings {
+    let two_attempts = PolicySettings {
         max_attempts: Some(2),
         ..settings(vec![class(400, 1.0)])
     };
-    let mut harness = PolicyHarness::new(limited.clone(), 3);
+    let mut harness = PolicyHarness::new(two_attempts.clone(), 3);
     assert_eq!(
         admitted_by_second(&mut harness, 0..3, AttemptOutcome::Success),
         [20; 3]
@@ -196,7 +198,7 @@
     assert!(
         overloaded
             .windows(4)
-            .all(|four| four.iter().sum::<usize>() > 0),
+            .all(|four_seconds| four_seconds.iter().sum::<usize>() > 0),
         "expected some queries to be admitted in any 4 s: {overloaded:?}"
     );
     let after = admitted_by_second(&mut harness, 15..25, AttemptOutcome::Success);
@@ -205,7 +207,7 @@
         "expected no limit 10 s after the overload: {after:?}"
     );
     // A query lost to an unreachable replica does not indicate load on the others.
-    let mut harness = PolicyHarness::new(limited, 3);
+    let mut harness = PolicyHarness::new(two_attempts, 3);
     let unreachable = admitted_by_second(&mut harness, 0..5, AttemptOutcome::Unreachable);
     assert!(
         unreachable.iter().sum::<usize>() > 50,
@@ -213,8 +215,8 @@
     );
 }
 
-/// A part waits at a saturated replica until its attempt times out, even if it is cancelled. While
-/// permits limit the class, attempts time out at the objective.
+/// A part waits at a saturated replica until its attempt times out, even if the attempt is
+/// cancelled. While permits limit the class, attempts time out at the objective.
 #[test]
 fn no_part_waits_beyond_the_objective_while_permits_limit_its_class() {
     let with_late_value = QueryClass {
@@ -241,7 +243,7 @@
     assert_eq!(
         first_timeout(&actions),
         Some(START + 6000 * MS),
-        "expected a time-out at the end of the client timeout"
+        "expected a timeout at the end of the client timeout"
     );
     harness.handle_at(
         10,
@@ -257,7 +259,7 @@
     assert_eq!(
         first_timeout(&actions),
         Some(START + (ms + 400) * MS),
-        "expected a time-out at the latency objective"
+        "expected a timeout at the latency objective"
     );
 }
 
@@ -265,9 +267,14 @@
 #[test]
 fn a_query_with_time_for_a_mean_answer_is_not_rejected() {
     let mut harness = PolicyHarness::new(settings_with_marked_retries(), 4);
-    for i in 0..60 {
-        harness.serve_query(i * 200, if i % 2 == 0 { 50 } else { 150 });
+    for index in 0..60 {
+        let latency_ms = if index % 2 == 0 { 50 } else { 150 };
+        harness.serve_query(index * 200, latency_ms);
     }
     let (_, actions) = harness.query_with_timeout(13_000, 0, &[1.0], 180 * MS);
-    assert_eq!(sent_attempts(&actions).len(), 1, "{actions:?}");
+    assert_eq!(
+        sent_attempts(&actions).len(),
+        1,
+        "expected one attempt: {actions:?}"
+    );
 }
--- a/crates/policy/tests/completion.rs
+++ b/crates/policy/tests/completion.rs
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn same_events_give_the_same_actions() {
+fn the_same_events_cause_the_same_actions() {
     let run_scenario = || {
         let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5)]), 5);
         let mut actions = Vec::new();
@@ -38,7 +38,7 @@
         assert_eq!(
             final_actions(&last).len(),
             1,
-            "expected one end for a query with a client timeout of 1 ns"
+            "expected a query with a client timeout of 1 ns to end once"
         );
     }
 }
@@ -74,13 +74,13 @@
     let (id, actions) = harness.query(0, 0, &[0.5, 0.5]);
     let replica = sent_attempts(&actions)[0].1;
     harness.end_attempt(100, id + 1, 0, replica, AttemptOutcome::Success);
-    let again = harness.end_attempt(110, id + 1, 0, replica, AttemptOutcome::Success);
-    assert!(final_actions(&again).is_empty());
+    let repeated = harness.end_attempt(110, id + 1, 0, replica, AttemptOutcome::Success);
+    assert!(final_actions(&repeated).is_empty());
     assert_eq!(final_actions(&harness.run_timers(120, 6000)), ["rejected"]);
 }
 
 #[test]
-fn partial_answer_is_sent_just_before_the_latency_objective() {
+fn a_partial_answer_is_sent_just_before_the_latency_objective() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.6)]), 3);
     let (id, actions) = harness.query(0, 0, &[0.7, 0.3]);
     harness.end_attempt(
@@ -111,41 +111,41 @@
 }
 
 #[test]
-fn complete_answer_is_sent_at_once_and_other_attempts_are_cancelled() {
+fn a_complete_answer_is_sent_at_once_and_other_attempts_are_cancelled() {
     let mut query_class = class(2000, 1.0);
     query_class.completeness_threshold = 0.5;
     query_class.minimum_coverage = 0.5;
     let mut harness = PolicyHarness::new(settings(vec![query_class]), 3);
     let (id, actions) = harness.query(0, 0, &[0.5, 0.5]);
-    let done = harness.end_attempt(
+    let answered = harness.end_attempt(
         100,
         id + 1,
         0,
         sent_attempts(&actions)[0].1,
         AttemptOutcome::Success,
     );
-    assert_eq!(final_actions(&done), ["complete"]);
-    assert!(done.contains(&Action::CancelAttempt {
+    assert_eq!(final_actions(&answered), ["complete"]);
+    assert!(answered.contains(&Action::CancelAttempt {
         part: id + 2,
         attempt: 0
     }));
 }
 
 #[test]
-fn second_step_is_complete_only_if_the_first_was() {
-    for (answered, expected) in [(2, "complete"), (1, "partial")] {
+fn the_second_step_is_complete_only_if_the_first_was() {
+    for (answered_parts, expected) in [(2, "complete"), (1, "partial")] {
         let mut query_class = class(2000, 0.4);
         query_class.second_step_parts = 1;
         let mut harness = PolicyHarness::new(settings(vec![query_class]), 3);
         let (id, actions) = harness.query(0, 0, &[0.5, 0.5]);
         let replica = sent_attempts(&actions)[0].1;
-        for part in 1..=answered {
+        for part in 1..=answered_parts {
             harness.end_attempt(100, id + part, 0, replica, AttemptOutcome::Success);
         }
         let end = harness.run_timers(110, 1000);
         assert!(
-            answered == 2 || final_actions(&end) == ["partial"],
-            "expected the first step to end halfway to the objective"
+            answered_parts == 2 || final_actions(&end) == ["partial"],
+            "expected a partial answer to the first step halfway to the objective"
         );
         let second = harness.handle_at(
             1010,
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn events_about_unknown_identifiers_do_no_harm() {
+fn events_with_unknown_identifiers_have_no_effect() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5)]), 2);
     harness.end_attempt(0, 9, 3, ReplicaId(77), AttemptOutcome::Success);
     harness.handle_at(
@@ -200,7 +200,7 @@
 /// A query of death crashes each replica that executes one of its parts. With retries, it would
 /// crash the whole fleet.
 #[test]
-fn a_query_of_death_is_sent_once() {
+fn a_query_of_death_is_not_retried() {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             max_parts_per_call: None,
@@ -210,8 +210,8 @@
     );
     let (_, actions) = harness.query(0, 0, &[0.25; 4]);
     let sent = sent_attempts(&actions);
-    let broken = all_attempts_ended(&sent, AttemptOutcome::ConnectionLost);
-    let last = harness.handle_at(10, &broken);
+    let connections_lost = all_attempts_ended(&sent, AttemptOutcome::ConnectionLost);
+    let last = harness.handle_at(10, &connections_lost);
     assert!(sent_attempts(&last).is_empty(), "expected no retry");
     assert_eq!(
         final_actions(&last),
@@ -254,11 +254,11 @@
 /// another part is still in flight.
 #[test]
 fn a_query_that_cannot_reach_its_minimum_is_rejected_at_once() {
-    let once = PolicySettings {
+    let one_attempt = PolicySettings {
         max_attempts: Some(1),
         ..settings(vec![class(2000, 1.0)])
     };
-    let mut harness = PolicyHarness::new(once, 4);
+    let mut harness = PolicyHarness::new(one_attempt, 4);
     let (id, actions) = harness.query(0, 0, &[0.5, 0.5]);
     let after = harness.end_attempt(
         20,
@@ -271,17 +271,17 @@
 }
 
 /// No retry can be sent if the retry budget is used up until the objective, or if no replica holds
-/// the shard. Such a query must be rejected at once and not stay open until its objective.
+/// the shard. The query must then be rejected at once instead of staying open until its objective.
 #[test]
 fn a_query_whose_retry_cannot_be_sent_is_rejected_at_once() {
-    let spent = RetryBudget {
+    let no_retries = RetryBudget {
         minimum: 0.0,
         ratio: 0.0,
         window: 10_000 * MS,
     };
     let mut harness = PolicyHarness::new(
         PolicySettings {
-            retry_budget: Some(spent),
+            retry_budget: Some(no_retries),
             ..settings(vec![class(2000, 1.0)])
         },
         4,
--- a/crates/policy/tests/connection_renewal.rs
+++ b/crates/policy/tests/connection_renewal.rs
@@ -7,9 +7,9 @@
 
 /// Simulates a device on the network path that drops idle connections without notice, although the
 /// replicas are healthy. In each round, a query's attempt on a long-idle connection is lost; if
-/// `renewed_are_lost`, attempts on renewed connections are lost as well. Returns, for each round,
+/// `is_renewed_lost`, attempts on renewed connections are lost as well. Returns, for each round,
 /// whether connections were renewed.
-fn renewals_by_round(rounds: u64, renewed_are_lost: bool) -> Vec<bool> {
+fn renewals_by_round(rounds: u64, is_renewed_lost: bool) -> Vec<bool> {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             idle_timeout: 15_000 * MS,
@@ -27,7 +27,7 @@
             .any(|action| matches!(action, Action::CloseIdleConnections { .. }));
         renewed.push(closes_idle_connections);
         let mut attempt = 0;
-        if renewed_are_lost || !closes_idle_connections {
+        if is_renewed_lost || !closes_idle_connections {
             let (_, replica) = sent_attempts(&actions)[0];
             actions =
                 harness.end_attempt(ms + 5, id + 1, 0, replica, AttemptOutcome::ConnectionLost);
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn idle_connections_are_renewed_while_they_are_lost() {
+fn long_idle_connections_are_renewed_while_attempts_on_them_are_lost() {
     let renewed = renewals_by_round(40, false);
     assert!(
         !renewed[..2].contains(&true),
-        "expected no renewal after one or two losses"
+        "expected no renewal in the first two rounds: {renewed:?}"
     );
     assert!(
         renewed.iter().filter(|renewed| **renewed).count() > 20,
@@ -60,7 +60,10 @@
 #[test]
 fn renewal_that_does_not_help_ends() {
     let renewed = renewals_by_round(80, true);
-    assert!(renewed.contains(&true), "expected renewal to start");
+    assert!(
+        renewed.contains(&true),
+        "expected renewals in some rounds: {renewed:?}"
+    );
     assert!(
         renewed.iter().filter(|renewed| **renewed).count() < 60,
         "expected renewals in fewer than 60 of 80 rounds: {renewed:?}"
--- a/crates/policy/tests/cutoff.rs
+++ b/crates/policy/tests/cutoff.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn cutoff_rises_under_overload_and_drops_the_lightest_part() {
+fn the_cutoff_rises_under_overload_and_drops_the_lightest_part() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5), class(90_000, 0.5)]), 3);
     let (_, before) = harness.query(0, 1, &[0.6, 0.39, 0.01]);
     assert_eq!(
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn cutoff_keeps_minimum_coverage_and_classes_without_partial_answers() {
+fn the_cutoff_spares_minimum_coverage_and_classes_without_partial_answers() {
     let mut harness = PolicyHarness::new(
         settings(vec![
             class(2000, 0.5),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn cutoff_falls_after_seconds_without_overload() {
+fn the_cutoff_falls_after_seconds_without_overload() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5)]), 3);
     cause_overload(&mut harness, 0, 0);
     let (_, last_query) = harness.query(1950, 0, &[1.0]);
@@ -74,21 +74,24 @@
 }
 
 #[test]
-fn one_late_part_is_no_overload() {
+fn one_late_part_does_not_raise_the_cutoff() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5)]), 3);
     harness.query(0, 0, &[0.6, 0.3, 0.1]);
     let actions = harness.run_timers(10, 1900);
     assert!(!has_log_line(&actions, "cutoff raised above zero"));
 }
 
-/// Causes `late` of thirty parts to be late, which adjusts the cutoff once. Returns how many of a
-/// hundred light parts are sent after that.
-fn sent_after_one_adjustment(late: usize) -> usize {
+/// Causes `late_parts` of thirty parts to be late, which adjusts the cutoff at most once. Returns
+/// how many of a hundred light parts are sent after that.
+fn sent_after_one_adjustment(late_parts: usize) -> usize {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 0.5), class(90_000, 0.6)]), 3);
     let (_, actions) = harness.query(0, 0, &[1.0 / 30.0; 30]);
     harness.handle_at(
         1500,
-        &all_attempts_ended(&sent_attempts(&actions)[late..], AttemptOutcome::Success),
+        &all_attempts_ended(
+            &sent_attempts(&actions)[late_parts..],
+            AttemptOutcome::Success,
+        ),
     );
     harness.run_timers(1510, 1650);
     let (id, actions) = harness.query(1660, 1, &[0.01; 100]);
@@ -102,7 +105,11 @@
 /// dropped.
 #[test]
 fn a_step_of_the_cutoff_drops_a_quarter_of_the_droppable_parts() {
-    assert_eq!(sent_after_one_adjustment(3), 100, "expected no overload");
+    assert_eq!(
+        sent_after_one_adjustment(3),
+        100,
+        "expected all parts to be sent without overload"
+    );
     let sent = sent_after_one_adjustment(5);
     assert!(
         (80..100).contains(&sent),
@@ -117,14 +124,14 @@
     let sent = sent_after_one_adjustment(20);
     assert!(
         (60..=62).contains(&sent),
-        "expected 60 to 62 of 100 parts sent at a minimum coverage of 60, found {sent}"
+        "expected 60 to 62 of 100 parts sent at a minimum coverage of 0.6, found {sent}"
     );
 }
 
-/// An aggregator that has just started has no connections yet, and handshakes may be slow. Failed
-/// connections are no overload then, so no light part is dropped.
+/// An aggregator that has just started has no connections yet, and handshakes may be slow.
+/// Unreachable replicas do not indicate overload then, so no light part is dropped.
 #[test]
-fn failed_connections_before_any_response_are_no_overload() {
+fn unreachable_replicas_before_any_response_do_not_raise_the_cutoff() {
     for has_responded in [false, true] {
         let mut harness =
             PolicyHarness::new(settings(vec![class(2000, 0.5), class(90_000, 0.5)]), 3);
@@ -133,11 +140,11 @@
             harness.serve_query(ms, 100);
             ms += 200;
         }
-        let mut seen = Vec::new();
+        let mut all_actions = Vec::new();
         for index in 0..12 {
             let (_, actions) = harness.query(ms + index * 10, 0, &[1.0]);
             let (part, replica) = sent_attempts(&actions)[0];
-            seen.extend(harness.end_attempt(
+            all_actions.extend(harness.end_attempt(
                 ms + index * 10 + 5,
                 part,
                 0,
@@ -146,7 +153,7 @@
             ));
         }
         assert_eq!(
-            has_log_line(&seen, "cutoff raised above zero"),
+            has_log_line(&all_actions, "cutoff raised above zero"),
             has_responded
         );
     }
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -44,18 +44,18 @@
         next_query: 1,
     };
     let polls = |actions: &[Action]| actions.contains(&Action::WatchEndpoints { enabled: true });
-    let first_ms = (0..)
+    let first_poll_ms = (0..)
         .map(|tick| tick * 10)
         .find(|ms| polls(&harness.handle_at(*ms, &[])))
         .unwrap();
     assert!(
-        first_ms <= 6_000,
-        "expected the first poll within 6 s, found {first_ms} ms"
+        first_poll_ms <= 6_000,
+        "expected the first poll within 6 s, found {first_poll_ms} ms"
     );
-    assert!(!polls(&harness.handle_at(first_ms + 10, &[])));
-    let mut last_ms = first_ms;
-    for failure in 0..4 {
-        let failed_ms = last_ms + 20;
+    assert!(!polls(&harness.handle_at(first_poll_ms + 10, &[])));
+    let mut last_poll_ms = first_poll_ms;
+    for earlier_failures in 0..4 {
+        let failed_ms = last_poll_ms + 20;
         let failed = Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Unavailable,
             entries: vec![],
@@ -68,23 +68,23 @@
             sets_timer && !polls(&actions),
             "expected a timer and no poll while no query is open"
         );
-        let next_ms = (failed_ms / 10 + 1..)
+        let next_poll_ms = (failed_ms / 10 + 1..)
             .map(|tick| tick * 10)
             .find(|ms| polls(&harness.fire_timer(*ms)))
             .unwrap();
         assert!(
-            next_ms - failed_ms >= (2_000 << failure).min(6_000),
+            next_poll_ms - failed_ms >= (2_000 << earlier_failures).min(6_000),
             "expected a backoff that grows with each failure"
         );
         assert!(
-            next_ms - failed_ms <= 20_000,
+            next_poll_ms - failed_ms <= 20_000,
             "expected the next poll within the poll interval"
         );
-        last_ms = next_ms;
+        last_poll_ms = next_poll_ms;
     }
     harness.update_endpoints(EndpointUpdateKind::Delta, vec![ready_replica(1)]);
     assert!(
-        (0..300).all(|tick| !polls(&harness.fire_timer(last_ms + 100 + tick * 100))),
+        (0..300).all(|tick| !polls(&harness.fire_timer(last_poll_ms + 100 + tick * 100))),
         "expected no poll while the watch is open"
     );
 }
--- a/crates/policy/tests/hedging.rs
+++ b/crates/policy/tests/hedging.rs
@@ -56,10 +56,11 @@
     );
 }
 
-/// A single query has a hundred parts, of which thirty are lost. Hedged requests are sent for them
-/// even when the query and its parts are more than two seconds old and no longer count as recent.
+/// A single query has a hundred parts, of which thirty are lost. Hedged requests are sent for the
+/// lost parts even when the query and its parts are more than two seconds old and no longer count
+/// as recent.
 #[test]
-fn a_single_long_query_is_hedged_late() {
+fn a_single_long_query_is_hedged_after_it_no_longer_counts_as_recent() {
     let mut harness = PolicyHarness::new(
         PolicySettings {
             max_parts_per_call: None,
@@ -72,10 +73,10 @@
         harness.end_attempt(300, part, 0, replica, AttemptOutcome::Success);
     }
     let hedges = sent_attempts(&harness.run_timers(310, 3900));
-    let late = hedges.iter().filter(|(part, _)| *part > id).count();
+    let hedged_parts = hedges.iter().filter(|(part, _)| *part > id).count();
     assert!(
-        late > 15,
-        "expected more than 15 hedged requests for 30 lost parts, found {late}"
+        hedged_parts > 15,
+        "expected more than 15 hedged requests for 30 lost parts, found {hedged_parts}"
     );
 }
 
@@ -83,7 +84,7 @@
 /// add load without any benefit.
 #[test]
 fn hedged_requests_that_lose_reduce_hedging() {
-    let hedges = |first_wins: bool| {
+    let hedges = |is_first_winner: bool| {
         let mut harness = PolicyHarness::new(
             PolicySettings {
                 max_parts_per_call: None,
@@ -98,15 +99,15 @@
         for round in 1..=12 {
             let ms = round * 3000;
             let sent = sent_attempts(&harness.query(ms, 0, &[0.1; 10]).1);
-            let hedged = sent_attempts(&harness.run_timers(ms + 10, ms + 900));
-            hedges_of_last_round = hedged.len();
+            let hedged_requests = sent_attempts(&harness.run_timers(ms + 10, ms + 900));
+            hedges_of_last_round = hedged_requests.len();
             let mut events = Vec::new();
             for (part, replica) in &sent {
-                let Some((_, other)) = hedged.iter().find(|(id, _)| id == part) else {
+                let Some((_, other)) = hedged_requests.iter().find(|(id, _)| id == part) else {
                     events.push(attempt_ended(*part, 0, *replica, AttemptOutcome::Success));
                     continue;
                 };
-                let (winner, loser) = if first_wins { (0, 1) } else { (1, 0) };
+                let (winner, loser) = if is_first_winner { (0, 1) } else { (1, 0) };
                 let replicas = [*replica, *other];
                 events.push(attempt_ended(
                     *part,
--- a/crates/policy/tests/outlier.rs
+++ b/crates/policy/tests/outlier.rs
@@ -8,7 +8,7 @@
 use support::{all_attempts_ended, class, sent_attempts, settings, PolicyHarness, MS, START};
 
 #[test]
-fn the_only_replica_of_a_shard_is_used_although_it_is_an_outlier() {
+fn the_only_replica_of_a_shard_is_used_even_if_it_is_an_outlier() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 1);
     harness.query(0, 0, &[1.0]);
     harness.run_timers(10, 900);
@@ -27,21 +27,21 @@
     }
 }
 
-/// Breaks the connection to replica 1, and returns the time until replica 1 is selected again, in
-/// milliseconds. All attempts at replica 2 fail.
+/// Ends an attempt at replica 1 with a lost connection, and returns the time until replica 1 is
+/// selected again, in milliseconds. All attempts at replica 2 fail.
 fn ejection_time_ms(harness: &mut PolicyHarness) -> u64 {
-    let mut broken_at_ms = None;
+    let mut lost_at_ms = None;
     for _ in 0..400 {
         let ms = (harness.now - START) / MS + 50;
         let (id, actions) = harness.query(ms, 0, &[1.0]);
         let (_, replica) = sent_attempts(&actions)[0];
-        match (replica == ReplicaId(1), broken_at_ms) {
-            (true, Some(broken_at_ms)) => {
+        match (replica == ReplicaId(1), lost_at_ms) {
+            (true, Some(lost_at_ms)) => {
                 harness.end_attempt(ms + 10, id + 1, 0, replica, AttemptOutcome::Success);
-                return ms - broken_at_ms;
+                return ms - lost_at_ms;
             }
             (true, None) => {
-                broken_at_ms = Some(ms);
+                lost_at_ms = Some(ms);
                 harness.end_attempt(ms + 1, id + 1, 0, replica, AttemptOutcome::ConnectionLost);
             }
             (false, _) => {
@@ -107,8 +107,8 @@
     }
 }
 
-/// Many replicas do not respond to this aggregator. The others are probed by health checks, so that
-/// no part of a query has to wait for another failed replica.
+/// Many replicas do not respond to this aggregator. Health checks of the others detect further
+/// failed replicas before a part of a query has to wait for them.
 #[test]
 fn many_unresponsive_replicas_cause_one_round_of_health_checks() {
     let health_checks = |actions: &[Action]| -> Vec<ReplicaId> {
--- a/crates/policy/tests/recorded_decisions/main.rs
+++ b/crates/policy/tests/recorded_decisions/main.rs
@@ -9,6 +9,7 @@
 use scenario::Scenario;
 use std::collections::HashSet;
 
+/// Number of scenarios; their seeds start at 1.
 const SCENARIOS: u64 = 64;
 const RECORDED: &str = include_str!("recorded_decisions.txt");
 
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn decisions_are_those_that_were_recorded() {
+fn decisions_match_the_recording() {
     let lines: Vec<String> = (1..=SCENARIOS)
         .map(|seed| format_line(seed, &Scenario::new(seed).run()))
         .collect();
@@ -32,7 +33,7 @@
         .collect();
     assert!(
         differing.is_empty(),
-        "{} scenarios differ from the recording; the current lines are:\n{}",
+        "expected all scenarios to match the recording, but {} differ; the current lines are:\n{}",
         differing.len(),
         lines.join("\n")
     );
@@ -43,9 +44,9 @@
     );
 }
 
-/// The recording only covers the parts of the policy that the scenarios reach.
+/// The recording covers only the decisions that the scenarios cause.
 #[test]
-fn scenarios_reach_every_action_but_gossip() {
+fn scenarios_cause_at_least_nine_kinds_of_action() {
     let mut reached = HashSet::new();
     for seed in 1..=SCENARIOS {
         let actions = Scenario::new(seed).collect_actions();
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -13,22 +13,24 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
+/// Time at which each scenario starts.
 const START: Nanos = 1_000_000 * SECOND;
+/// Number of batches in a scenario.
 const BATCHES: usize = 600;
 const BATCHES_PER_DIGEST: usize = 100;
 
 /// Behavior of all replicas, and the load, in one phase of a scenario.
 #[derive(Clone, Copy)]
 struct ReplicaBehavior {
-    // Probability of each failure of an attempt, in percent.
+    // Probability of each outcome of an attempt, in percent.
     rejected: u32,
     error: u32,
     connection_lost: u32,
     unreachable: u32,
     no_response: u32,
-    /// Typical latency of an answer.
+    /// Mean latency of an answer; latencies range from 50% to 150% of it.
     latency: Nanos,
-    /// Maximum number of queries that arrive in one batch.
+    /// Maximum number of queries received in one batch.
     queries_per_batch: u32,
 }
 
@@ -74,7 +76,7 @@
 
 fn random_class(random: &mut Rng) -> QueryClass {
     let latency_objective = random.u64(200..2_500) * MS;
-    let partial = random.bool();
+    let takes_partial_answers = random.bool();
     let completeness_threshold = if random.u32(..4) == 0 { 0.9 } else { 1.0 };
     QueryClass {
         latency_objective,
@@ -90,7 +92,11 @@
         priority_weight: random.bool().then(|| random.f64() * 4.0),
         late_value: if random.bool() { 0.3 } else { 0.0 },
         completeness_threshold,
-        minimum_coverage: if partial { 0.6 } else { completeness_threshold },
+        minimum_coverage: if takes_partial_answers {
+            0.6
+        } else {
+            completeness_threshold
+        },
         partial_value: 0.95,
         second_step_parts: if random.u32(..5) == 0 { 4 } else { 0 },
     }
@@ -135,7 +141,7 @@
     group: u32,
     class: usize,
     parts: Vec<RequestId>,
-    second_step_started: bool,
+    has_second_step_started: bool,
 }
 
 /// One policy in an environment that responds to its actions.
@@ -146,7 +152,7 @@
     now: Nanos,
     behavior: ReplicaBehavior,
     entries: Vec<ReplicaEntry>,
-    /// Future events, by time and then in the order in which they were scheduled.
+    /// Future events, by their times and the order in which they were scheduled.
     scheduled: BTreeMap<(Nanos, u64), Event>,
     /// Key in `scheduled` of the end of each attempt, by part and number of the attempt.
     attempt_ends: BTreeMap<(RequestId, u8), (Nanos, u64)>,
@@ -188,7 +194,7 @@
         }
     }
 
-    /// Runs all batches and returns the digests.
+    /// Runs all batches and returns the digest after every `BATCHES_PER_DIGEST` batches.
     pub fn run(&mut self) -> Vec<u64> {
         let first = Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Cached,
@@ -215,7 +221,8 @@
         digests
     }
 
-    /// Runs all batches and returns the actions.
+    /// Runs all batches, 10 ms apart and without the initial endpoint list, and returns the
+    /// actions.
     pub fn collect_actions(&mut self) -> Vec<Action> {
         let mut collected = Vec::new();
         for _ in 0..BATCHES {
@@ -259,8 +266,8 @@
                 entries: Vec::new(),
             };
         }
-        let changed = self.random.usize(..self.entries.len());
-        let entry = &mut self.entries[changed];
+        let index = self.random.usize(..self.entries.len());
+        let entry = &mut self.entries[index];
         match self.random.u32(..4) {
             0 => entry.state = ReplicaState::Draining,
             1 => entry.state = ReplicaState::Gone,
@@ -275,13 +282,13 @@
                 entries: vec![entry.clone()],
             };
         }
-        let on_list = self
+        let listed = self
             .entries
             .iter()
             .filter(|entry| entry.state != ReplicaState::Gone);
         Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Snapshot,
-            entries: on_list.cloned().collect(),
+            entries: listed.cloned().collect(),
         }
     }
 
@@ -319,15 +326,15 @@
                 group,
                 class,
                 parts: Vec::new(),
-                second_step_started: false,
+                has_second_step_started: false,
             },
         );
-        let count = self.random.usize(1..9);
-        self.add_parts(id, count, events);
+        let part_count = self.random.usize(1..9);
+        self.add_parts(id, part_count, events);
     }
 
-    fn add_parts(&mut self, query: RequestId, count: usize, events: &mut Vec<Event>) {
-        let weights: Vec<f64> = (0..count)
+    fn add_parts(&mut self, query: RequestId, part_count: usize, events: &mut Vec<Event>) {
+        let weights: Vec<f64> = (0..part_count)
             .map(|_| self.random.f64().powi(3) + 0.01)
             .collect();
         let sum: f64 = weights.iter().sum();
@@ -441,11 +448,15 @@
             latency,
             ..
         } = self.behavior;
-        let took = latency / 2 + self.random.u64(..latency);
+        let answer_latency = latency / 2 + self.random.u64(..latency);
         let ends = [
             (rejected, AttemptOutcome::Rejected, 2 * MS),
-            (error, AttemptOutcome::Error, took / 4),
-            (connection_lost, AttemptOutcome::ConnectionLost, took),
+            (error, AttemptOutcome::Error, answer_latency / 4),
+            (
+                connection_lost,
+                AttemptOutcome::ConnectionLost,
+                answer_latency,
+            ),
             (unreachable, AttemptOutcome::Unreachable, 3 * MS),
             (
                 no_response,
@@ -458,10 +469,10 @@
             cumulative_percent += percent;
             roll < cumulative_percent
         });
-        let (outcome, after) = end
-            .map_or((AttemptOutcome::Success, took), |(_, outcome, after)| {
-                (*outcome, *after)
-            });
+        let (outcome, after) = end.map_or(
+            (AttemptOutcome::Success, answer_latency),
+            |(_, outcome, after)| (*outcome, *after),
+        );
         let at = self.now + after;
         let (outcome, at) = if at > times_out_at {
             (AttemptOutcome::TimedOut, times_out_at)
@@ -497,20 +508,21 @@
         let Some(open) = self.queries.get_mut(&query) else {
             return;
         };
-        if self.settings.classes[open.class].second_step_parts == 0 || open.second_step_started {
+        if self.settings.classes[open.class].second_step_parts == 0 || open.has_second_step_started
+        {
             self.queries.remove(&query);
             return;
         }
-        open.second_step_started = true;
+        open.has_second_step_started = true;
         let mut events = Vec::new();
-        let count = self.random.usize(1..5);
-        self.add_parts(query, count, &mut events);
+        let part_count = self.random.usize(1..5);
+        self.add_parts(query, part_count, &mut events);
         for event in events {
             self.schedule(self.now + MS, event);
         }
     }
 
-    /// Adds an action to the digest. For a log line, its presence counts but not its text.
+    /// Adds an action to the digest. Log lines count without their texts.
     fn record(&mut self, action: &Action) {
         let none = u64::MAX;
         let words: [u64; 5] = match action {
--- a/crates/policy/tests/replica_selection.rs
+++ b/crates/policy/tests/replica_selection.rs
@@ -22,15 +22,15 @@
     one_part_per_call.max_parts_per_call = None;
     let mut harness = PolicyHarness::new(one_part_per_call, 3);
     let (_, actions) = harness.query(0, 0, &[1.0 / 3.0; 3]);
-    let used: std::collections::BTreeSet<_> = sent_attempts(&actions)
+    let replicas: std::collections::BTreeSet<_> = sent_attempts(&actions)
         .into_iter()
         .map(|(_, replica)| replica)
         .collect();
-    assert_eq!(used.len(), 3);
+    assert_eq!(replicas.len(), 3);
 }
 
 #[test]
-fn least_latency_times_open_calls_plus_one_is_selected() {
+fn the_replica_with_the_least_latency_times_open_calls_plus_one_is_selected() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
     let slow = harness.serve_query(0, 400);
     let fast = ReplicaId(3 - slow.0);
@@ -50,13 +50,13 @@
 /// replica in the same zone costs less than that, and a long queue costs more.
 #[test]
 fn a_replica_in_the_same_zone_is_preferred_while_its_queue_is_short() {
-    let priced = PolicySettings {
+    let cross_zone_priced = PolicySettings {
         zone: 1,
         cross_zone_price: 0.04,
         max_parts_per_call: None,
         ..settings(vec![class(2000, 1.0)])
     };
-    let mut harness = PolicyHarness::new(priced, 0);
+    let mut harness = PolicyHarness::new(cross_zone_priced, 0);
     harness.update_endpoints(
         EndpointUpdateKind::Snapshot,
         vec![
@@ -76,7 +76,7 @@
     assert_eq!(
         in_same_zone,
         [true, true, false],
-        "expected one queued part to cost less than another zone, and two to cost more"
+        "expected one queued part to cost less than the other zone, and two to cost more"
     );
 }
 
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -87,7 +87,7 @@
     }
     assert!(
         total_sent <= 5,
-        "expected at most 5 parts from 50 aggregators that have just started, found {total_sent}"
+        "expected at most 5 parts sent by 50 aggregators that have just started, found {total_sent}"
     );
 }
 
@@ -96,13 +96,13 @@
 /// rate; a burst follows after the new replica has started.
 fn excess_over_the_allowance(aggregators: u32, seed: u64) -> f64 {
     const WARM_REPLICAS: u64 = 4;
-    let (warming, rate_per_replica) = (slow_start_settings(), 20.0);
+    let (slow_start, rate_per_replica) = (slow_start_settings(), 20.0);
     let rate_per_aggregator = rate_per_replica * WARM_REPLICAS as f64 / f64::from(aggregators);
     let mut send_times: Vec<u64> = Vec::new();
     for number in 0..aggregators {
         let settings = PolicySettings {
             aggregators,
-            ..warming.clone()
+            ..slow_start.clone()
         };
         let policy = Policy::new(settings, seed * 1000 + u64::from(number));
         let mut harness = PolicyHarness {
@@ -145,14 +145,14 @@
     }
     send_times.sort_unstable();
     let excess = send_times.iter().map(|end| {
-        let sent = send_times
+        let sent_parts = send_times
             .iter()
-            .filter(|time| **time <= *end && *end - **time < warming.overload_window)
+            .filter(|time| **time <= *end && *end - **time < slow_start.overload_window)
             .count() as f64;
         let age_ms = (*end - START) as f64 / MS as f64 - 160_000.0;
         let capacity = 0.2 + 0.8 * age_ms / 10_000.0;
         let allowance = 4.0 * capacity * rate_per_replica;
-        sent - (allowance + 2.0 * allowance.sqrt() + 2.0)
+        sent_parts - (allowance + 2.0 * allowance.sqrt() + 2.0)
     });
     excess.fold(f64::NEG_INFINITY, f64::max)
 }
@@ -160,7 +160,7 @@
 /// Each aggregator rounds its allowance at random in each of its own windows, and an overload
 /// window of the replica may span two of them.
 #[test]
-fn an_entire_fleet_stays_within_the_allowance_in_any_window() {
+fn a_whole_fleet_stays_within_the_allowance_in_any_window() {
     for aggregators in [2, 6, 25, 100, 300] {
         for seed in 0..2 {
             let excess = excess_over_the_allowance(aggregators, seed);
@@ -173,8 +173,8 @@
     }
 }
 
-/// Parts sent used to be kept for the window of the retry budget, and the allowance was derived
-/// from their number. That made the allowance five times too large for the replica.
+/// An allowance derived from the number of parts sent within the window of the retry budget would
+/// be five times too large for the replica.
 #[test]
 fn a_long_budget_window_does_not_raise_the_allowance() {
     let retry_budget = Some(RetryBudget {
@@ -212,9 +212,9 @@
     );
 }
 
-/// An aggregator that has run for less than the warm-up time must not divide its results by the
-/// whole time over which results are counted. Otherwise, after a restart, it would leave new
-/// replicas idle and overload the others.
+/// An aggregator that has run for less than the warm-up time must divide its results by its uptime
+/// and not by the whole time over which results are counted. Otherwise, after a restart, it would
+/// leave new replicas idle and overload the others.
 #[test]
 fn an_aggregator_that_has_just_started_uses_the_full_allowance() {
     let mut harness = PolicyHarness::new(slow_start_settings(), 1);
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A harness that drives a policy, and functions that extract results from its actions.
+//! Harness that passes events to a policy, and functions that extract results from its actions.
 
 #![allow(dead_code, reason = "each test file uses only some of these functions")]
 
@@ -13,6 +13,7 @@
 /// Time at which each test starts, in nanoseconds. Tests state times in milliseconds after it.
 pub const START: u64 = 100_000 * MS;
 
+/// Class of idempotent queries whose deadline is three times the latency objective.
 pub fn class(latency_objective_ms: u64, minimum_coverage: f64) -> QueryClass {
     QueryClass {
         latency_objective: latency_objective_ms * MS,
@@ -24,6 +25,7 @@
     }
 }
 
+/// Settings of a deployment with one placement cell, in which every replica holds every shard.
 pub fn settings(classes: Vec<QueryClass>) -> PolicySettings {
     PolicySettings {
         classes,
@@ -48,6 +50,7 @@
     }
 }
 
+/// Entry of a ready replica that started long ago.
 pub fn ready_replica(replica: u64) -> ReplicaEntry {
     ReplicaEntry {
         replica: ReplicaId(replica),
@@ -68,6 +71,7 @@
 }
 
 impl PolicyHarness {
+    /// Creates a policy with the ready replicas 1 to `replicas`.
     pub fn new(settings: PolicySettings, replicas: u64) -> PolicyHarness {
         let mut harness = PolicyHarness {
             policy: Policy::new(settings, 7),
@@ -81,6 +85,7 @@
         harness
     }
 
+    /// Passes a batch of events to the policy, `ms` milliseconds after the start of the test.
     pub fn handle_at(&mut self, ms: u64, events: &[Event]) -> Vec<Action> {
         self.now = START + ms * MS;
         let mut actions = Vec::new();
@@ -88,6 +93,7 @@
         actions
     }
 
+    /// Updates the endpoint list at the time of the last batch.
     pub fn update_endpoints(&mut self, kind: EndpointUpdateKind, entries: Vec<ReplicaEntry>) {
         let ms = (self.now - START) / MS;
         self.handle_at(ms, &[Event::EndpointsUpdated { kind, entries }]);
--- a/crates/simulator-adapter/tests/support/adapter.rs
+++ b/crates/simulator-adapter/tests/support/adapter.rs
@@ -3,13 +3,15 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Length of the header of a reply in bytes.
 const REPLY_HEADER_LENGTH: usize = 12;
+/// Length of a record of a reply in bytes.
 const REPLY_RECORD_LENGTH: usize = 32;
 
 /// The bytes of one record of a reply.
 pub type ReplyRecord = Vec<u8>;
 
-/// Runs the adapter with this input and waits until it ends.
+/// Runs the adapter with this input and waits until the adapter ends.
 pub fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
--- a/crates/simulator-adapter/tests/support/batch.rs
+++ b/crates/simulator-adapter/tests/support/batch.rs
@@ -129,7 +129,7 @@
         ])
     }
 
-    /// Fires the timer of an instance with the token 0.
+    /// Notifies an instance that its timer with the token 0 has fired.
     pub fn timer_fired(self, instance: u16) -> Batch {
         self.record(&[&[5], &instance.to_le_bytes()])
     }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -48,7 +48,7 @@
     let attempt = reply
         .iter()
         .find(|record| record[0] == SEND_ATTEMPT)
-        .expect("the reply has an attempt");
+        .expect("expected an attempt in the reply");
     assert_eq!(attempt[1..3], [3, 0]);
     assert_eq!(attempt[3..11], 78u64.to_le_bytes());
     assert_eq!(attempt[11..17], address);
@@ -97,7 +97,7 @@
 #[test]
 fn malformed_batches_are_reported_with_their_cause() {
     let error_of = |batch: Batch| error_line(&batch.to_bytes());
-    assert!(error_line(&[1, 2, 3]).contains("header truncated"));
+    assert!(error_line(&[1, 2, 3]).contains("header truncated: read 3 of 20 bytes"));
     let complete = Batch::new(6).timer_fired(0).to_bytes();
     assert!(error_line(&complete[..40]).contains("batch 6 truncated"));
     let mut too_many_records = complete.clone();
@@ -155,7 +155,7 @@
         .collect()
 }
 
-/// Adds a query to the batch, with one part on shard 0 for each identifier in `parts`.
+/// Appends a query to the batch, with one part on shard 0 for each identifier in `parts`.
 fn query_with_parts(batch: Batch, parts: std::ops::Range<u64>) -> Batch {
     let batch = batch.query(0, 7);
     parts.fold(batch, |batch, part| batch.part(0, part, 0.0))
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn each_kind_of_endpoint_update_has_its_effect_on_earlier_endpoints() {
+fn only_complete_endpoint_updates_replace_earlier_endpoints() {
     let (first, second) = (FIRST.address, SECOND.address);
     assert_eq!(replicas_after(DELTA), BTreeSet::from([first, second]));
     assert_eq!(replicas_after(SNAPSHOT), BTreeSet::from([second]));
