--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -16,7 +16,7 @@
 /// The weight cutoff, and the overload signal that controls it.
 #[derive(Debug)]
 pub struct WeightCutoff {
-    /// Minimum time between two increases, ns.
+    /// Minimum time from a change of the cutoff to its next increase, ns.
     min_increase_interval: f64,
     /// Weight below which a part may be dropped, from 0 to [`tuning::CUTOFF_CEILING`].
     value: f64,
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -83,13 +83,13 @@
             return true;
         };
         let since = at.saturating_sub(budget.window);
-        let used = self.retries.count_since(since) as f64;
-        let received = self.received.count_since(since + 1) as f64;
+        let recent_retries = self.retries.count_since(since) as f64;
+        let recently_received = self.received.count_since(since + 1) as f64;
         let share = if class.takes_partial_answers() {
             tuning::PARTIAL_BUDGET_SHARE
         } else {
             1.0
         };
-        used + 1.0 <= share * (budget.minimum + budget.ratio * received)
+        recent_retries + 1.0 <= share * (budget.minimum + budget.ratio * recently_received)
     }
 }
--- a/crates/policy/src/policy/tuning.rs
+++ b/crates/policy/src/policy/tuning.rs
@@ -26,8 +26,8 @@
 pub const OVERLOAD_WINDOW: Nanos = SECOND;
 /// Time without overload after which the cutoff is decreased.
 pub const CUTOFF_QUIET_TIME: Nanos = 3 * SECOND;
-/// Share of a step's objective after which its unanswered parts count as late. It deviates from the
-/// design, which specifies three quarters.
+/// Share of a step's objective after which its unanswered parts count as late. The value deviates
+/// from the design, which specifies three quarters.
 pub const LATE_SHARE: f64 = 0.8;
 
 // Measurements of replicas.
@@ -111,8 +111,8 @@
 /// queries for at most 4 s.
 pub const MAX_ADMISSION_GAP: f64 = 3.5 * SECOND as f64;
 
-// Endpoint list. "Poll interval" stands for the time constant of the latency decay if that is
-// longer.
+// Endpoint list. If the time constant of the latency decay is longer than the poll interval, the
+// shares refer to that time constant.
 /// Backoff after the first failed poll, as a share of the poll interval. It doubles with each
 /// consecutive failure.
 pub const BASE_POLL_BACKOFF: f64 = 0.2;
--- a/crates/policy/src/state/part.rs
+++ b/crates/policy/src/state/part.rs
@@ -116,8 +116,8 @@
     /// `None` if no attempt may have been executed or the class has no idempotency keys.
     pub fn idempotency_expiry(&self, class: &QueryClass) -> Option<Nanos> {
         let has_window = class.idempotency == Idempotency::IdempotentWithKey;
-        let first = self.first_possibly_executed().filter(|_| has_window)?;
-        Some(first.sent_at + class.idempotency_window)
+        let first_attempt = self.first_possibly_executed().filter(|_| has_window)?;
+        Some(first_attempt.sent_at + class.idempotency_window)
     }
 
     /// Returns whether one more attempt at the time `at` does no harm, even if an earlier attempt
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -256,12 +256,12 @@
             }
         }
         for entry in entries {
-            let new = ReplicaRecord {
+            let new_replica = ReplicaRecord {
                 id: entry.replica,
                 started_at: entry.started_at,
                 ..ReplicaRecord::default()
             };
-            let replica = self.replicas.entry(entry.replica).or_insert(new);
+            let replica = self.replicas.entry(entry.replica).or_insert(new_replica);
             replica.cell = entry.cell;
             replica.zone = entry.zone;
             replica.state = entry.state;
