--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -70,8 +70,8 @@
     loop {
         let delivery = export::deliver(target, &document);
         store.record_delivery(&document.id, &delivery, settlement::unix_time_ms())?;
-        document.in_folder |= delivery.in_folder;
-        document.posted |= delivery.posted;
+        document.is_in_folder |= delivery.is_in_folder;
+        document.is_posted |= delivery.is_posted;
         document.attempts += 1;
         let Some(source) = delivery.error else {
             return Ok(());
@@ -92,8 +92,8 @@
     for document in store.documents()? {
         report.push(vec![
             json!(document.id),
-            json!(document.in_folder),
-            json!(document.posted),
+            json!(document.is_in_folder),
+            json!(document.is_posted),
             json!(document.attempts),
             json!(document.error),
         ]);
--- a/crates/aggregator/src/process/mod.rs
+++ b/crates/aggregator/src/process/mod.rs
@@ -90,7 +90,7 @@
     };
     let mut engine = Engine::new(clock.now(), options);
     if let Some(usage_log) = &usage_log {
-        engine.record_usage(usage_log.mark_interval.as_nanos() as u64);
+        engine.record_usage(usage_log.watermark_interval.as_nanos() as u64);
     }
     let listener = bind_client_listener(config.listen).await?;
     let extensions = Extensions {
--- a/crates/usage-ledger/src/document.rs
+++ b/crates/usage-ledger/src/document.rs
@@ -92,9 +92,9 @@
     /// Document as JSON text.
     pub body: String,
     /// Whether the document has been written to the export folder.
-    pub in_folder: bool,
+    pub is_in_folder: bool,
     /// Whether the receiver has acknowledged the document.
-    pub posted: bool,
+    pub is_posted: bool,
     /// Number of attempts to send the document.
     pub attempts: u32,
     /// Error of the last attempt; `None` if it succeeded or there was no attempt.
--- a/crates/usage-ledger/src/export.rs
+++ b/crates/usage-ledger/src/export.rs
@@ -34,9 +34,9 @@
 #[derive(Debug, Default)]
 pub struct Delivery {
     /// Whether this attempt has written the document to the folder.
-    pub in_folder: bool,
+    pub is_in_folder: bool,
     /// Whether the receiver has acknowledged the document in this attempt.
-    pub posted: bool,
+    pub is_posted: bool,
     /// First error of this attempt; `None` if the document has reached all destinations.
     pub error: Option<DeliveryError>,
 }
@@ -57,11 +57,11 @@
 /// Sends a document to each destination that it has not reached yet.
 pub fn deliver(target: &ExportTarget, document: &OutgoingDocument) -> Delivery {
     let mut delivery = Delivery::default();
-    if let Some(folder) = target.folder.as_ref().filter(|_| !document.in_folder) {
-        delivery.in_folder = delivery.record_result(write_to_folder(folder, document));
+    if let Some(folder) = target.folder.as_ref().filter(|_| !document.is_in_folder) {
+        delivery.is_in_folder = delivery.record_result(write_to_folder(folder, document));
     }
-    if let Some(url) = target.url.as_ref().filter(|_| !document.posted) {
-        delivery.posted = delivery.record_result(post(url, target.timeout, document));
+    if let Some(url) = target.url.as_ref().filter(|_| !document.is_posted) {
+        delivery.is_posted = delivery.record_result(post(url, target.timeout, document));
     }
     delivery
 }
--- a/crates/usage-ledger/src/join/record.rs
+++ b/crates/usage-ledger/src/join/record.rs
@@ -107,7 +107,7 @@
     /// milliseconds.
     pub client_timeout_ms: i64,
     /// Whether the reply may not have been sent, because the aggregator crashed soon afterwards.
-    pub reply_uncertain: bool,
+    pub is_reply_uncertain: bool,
 }
 
 impl UsageRecord {
@@ -123,6 +123,6 @@
 
     /// Returns whether a retry without an idempotency key may belong to this request.
     pub(super) fn may_be_retried(&self) -> bool {
-        !self.outcome.is_answered() || self.reply_uncertain
+        !self.outcome.is_answered() || self.is_reply_uncertain
     }
 }
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -9,14 +9,14 @@
 /// Minimum size at which a segment is closed.
 const MIN_SEGMENT_BYTES: u64 = 4096;
 /// Minimum interval between two marks.
-const MIN_MARK_INTERVAL: Duration = Duration::from_millis(10);
+const MIN_WATERMARK_INTERVAL: Duration = Duration::from_millis(10);
 
 // Fallbacks for a schema without a default. The schema of this crate has the same defaults.
 const DEFAULT_SEGMENT_BYTES: u64 = 8 << 20;
 const DEFAULT_MAX_LOG_BYTES: u64 = 1 << 30;
 const DEFAULT_QUEUE_ENTRIES: u64 = 8192;
 const DEFAULT_MAX_REPLY_DELAY: Duration = Duration::from_millis(5);
-const DEFAULT_MARK_INTERVAL: Duration = Duration::from_millis(500);
+const DEFAULT_WATERMARK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Settings of the usage log of one aggregator.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,7 +32,7 @@
     /// Maximum time that a reply waits for its record to be written.
     pub max_reply_delay: Duration,
     /// Interval of marks, which state up to which time the log is complete.
-    pub mark_interval: Duration,
+    pub watermark_interval: Duration,
     /// Address of the collection service; `None` if the log is not offered for collection.
     pub listen_address: Option<SocketAddr>,
 }
@@ -68,8 +68,8 @@
                 "must be at least twice 'segment', or no segment could ever be closed",
             ));
         }
-        let mark_interval = values.time("mark").unwrap_or(DEFAULT_MARK_INTERVAL);
-        if mark_interval < MIN_MARK_INTERVAL {
+        let watermark_interval = values.time("mark").unwrap_or(DEFAULT_WATERMARK_INTERVAL);
+        if watermark_interval < MIN_WATERMARK_INTERVAL {
             return Err(values.problem("mark", "must be at least 10ms"));
         }
         Ok(Some(UsageLogSettings {
@@ -78,7 +78,7 @@
             max_log_bytes,
             queue_entries: values.count("queue").unwrap_or(DEFAULT_QUEUE_ENTRIES) as usize,
             max_reply_delay: values.time("stall").unwrap_or(DEFAULT_MAX_REPLY_DELAY),
-            mark_interval,
+            watermark_interval,
             listen_address,
         }))
     }
--- a/crates/usage-ledger/src/store/outbox.rs
+++ b/crates/usage-ledger/src/store/outbox.rs
@@ -55,8 +55,8 @@
         delivery: &Delivery,
         now_ms: i64,
     ) -> Result<()> {
-        let folder_ms = delivery.in_folder.then_some(now_ms);
-        let posted_ms = delivery.posted.then_some(now_ms);
+        let folder_ms = delivery.is_in_folder.then_some(now_ms);
+        let posted_ms = delivery.is_posted.then_some(now_ms);
         let error = delivery.error.as_ref().map(ToString::to_string);
         self.db.execute(
             "UPDATE outbox SET folder = coalesce(folder, ?), posted = coalesce(posted, ?), error = ?,
@@ -86,8 +86,8 @@
     Ok(OutgoingDocument {
         id: row.get(0)?,
         body: row.get(1)?,
-        in_folder: row.get(2)?,
-        posted: row.get(3)?,
+        is_in_folder: row.get(2)?,
+        is_posted: row.get(3)?,
         attempts: row.get(4)?,
         error: row.get(5)?,
     })
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -20,7 +20,7 @@
     /// Time before which all records of the latest run are in the store, in Unix milliseconds.
     pub complete_until_ms: i64,
     /// Whether the latest run has ended with a closing mark.
-    pub ended: bool,
+    pub has_ended: bool,
     /// Number of collected records, over all runs.
     pub records: i64,
     /// Number of missing records, over all runs: sequence numbers for which no record was
@@ -51,7 +51,7 @@
     pub period: Period,
     /// Whether late records may have changed the counts, so that the period is settled again when
     /// the next one closes.
-    pub late_records_pending: bool,
+    pub has_pending_late_records: bool,
 }
 
 impl Store {
@@ -107,7 +107,7 @@
                     sequence: row.get(2)?,
                 },
                 complete_until_ms: row.get(3)?,
-                ended: row.get(4)?,
+                has_ended: row.get(4)?,
                 records: row.get(5)?,
                 lost_records: row.get(6)?,
                 unclosed_runs: row.get(7)?,
@@ -188,7 +188,7 @@
             };
             Ok(ClosedPeriod {
                 period,
-                late_records_pending: row.get(2)?,
+                has_pending_late_records: row.get(2)?,
             })
         })?;
         Ok(periods.collect::<rusqlite::Result<_>>()?)
--- a/crates/usage-ledger/src/store/records.rs
+++ b/crates/usage-ledger/src/store/records.rs
@@ -61,7 +61,7 @@
             incarnation: record.incarnation,
         };
         let tail = uncertain.get(&run);
-        record.reply_uncertain = tail.is_some_and(|tail| record.sequence > tail.after_sequence);
+        record.is_reply_uncertain = tail.is_some_and(|tail| record.sequence > tail.after_sequence);
         on_record(record);
     }
     Ok(())
@@ -86,7 +86,7 @@
         key: key as u64,
         has_idempotency_key: flags & FLAG_IDEMPOTENCY_KEY != 0,
         client_timeout_ms: row.get(13)?,
-        reply_uncertain: false,
+        is_reply_uncertain: false,
     })
 }
 
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -174,7 +174,7 @@
     fn check_periods(&mut self, bounds: JoinBounds) -> Result<()> {
         let names = self.store.names_by_id()?;
         for closed in self.store.periods()? {
-            if !closed.late_records_pending {
+            if !closed.has_pending_late_records {
                 self.check_period(closed.period, bounds, &names)?;
                 self.report.checked += 1;
             }
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -98,7 +98,7 @@
         max_log_bytes: 1 << 30,
         queue_entries: 64,
         max_reply_delay: Duration::from_millis(5),
-        mark_interval: Duration::from_millis(100),
+        watermark_interval: Duration::from_millis(100),
         listen_address: None,
     };
     let run_tables = RunTables {
@@ -457,7 +457,7 @@
         max_log_bytes: 64 << 20,
         queue_entries: 100,
         max_reply_delay: Duration::from_millis(2),
-        mark_interval: Duration::from_millis(250),
+        watermark_interval: Duration::from_millis(250),
         listen_address: Some("127.0.0.1:7500".parse().unwrap()),
     };
     assert_eq!(usage, expected);
@@ -528,7 +528,7 @@
     assert_eq!(
         (
             usage.max_reply_delay,
-            usage.mark_interval,
+            usage.watermark_interval,
             usage.listen_address
         ),
         (Duration::from_millis(5), Duration::from_millis(500), None)
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -38,7 +38,7 @@
         key: 2,
         has_idempotency_key: false,
         client_timeout_ms: CLIENT_TIMEOUT_MS,
-        reply_uncertain: false,
+        is_reply_uncertain: false,
     }
 }
 
@@ -85,7 +85,7 @@
         let is_candidate = |request: &&mut Vec<UsageRecord>| {
             let (first, last) = (request[0], request[request.len() - 1]);
             let may_be_joined =
-                retry.has_idempotency_key || last.reply_uncertain || !is_answered(&last);
+                retry.has_idempotency_key || last.is_reply_uncertain || !is_answered(&last);
             group(&first) == group(retry)
                 && first.arrived_at_ms + window_ms + SKEW_MS >= retry.arrived_at_ms
                 && last.arrived_at_ms <= retry.arrived_at_ms + SKEW_MS
@@ -143,7 +143,7 @@
             has_idempotency_key: keyed,
             is_retry,
             outcome,
-            reply_uncertain: selector == 1,
+            is_reply_uncertain: selector == 1,
             ..first_record(at, 0)
         }
     };
@@ -293,7 +293,7 @@
     #[test]
     fn join_an_answered_request_whose_reply_is_uncertain() {
         let uncertain = UsageRecord {
-            reply_uncertain: true,
+            is_reply_uncertain: true,
             ..complete(first_record(0, 1))
         };
         assert_eq!(join(vec![uncertain, complete(retry(30, 2))]).len(), 1);
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -20,7 +20,7 @@
         max_log_bytes: 1 << 30,
         queue_entries: 64,
         max_reply_delay: Duration::from_millis(5),
-        mark_interval: Duration::from_millis(100),
+        watermark_interval: Duration::from_millis(100),
         listen_address: None,
     }
 }
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -43,7 +43,7 @@
         max_log_bytes: 1 << 30,
         queue_entries: 1024,
         max_reply_delay: Duration::from_millis(5),
-        mark_interval: Duration::from_millis(100),
+        watermark_interval: Duration::from_millis(100),
         listen_address: Some((Ipv4Addr::LOCALHOST, 0).into()),
     };
     let run_tables = RunTables {
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -72,12 +72,12 @@
 /// Asserts that an attempt has written the document to the folder, posted nothing and succeeded.
 fn assert_only_in_folder(delivery: &Delivery) {
     let Delivery {
-        in_folder,
-        posted,
+        is_in_folder,
+        is_posted,
         error,
     } = delivery;
     assert!(
-        *in_folder && !posted && error.is_none(),
+        *is_in_folder && !is_posted && error.is_none(),
         "expected a delivery to the folder only: {delivery:?}"
     );
 }
