--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Minimum length of a billing period.
+/// Minimum of the setting `every`.
 const MIN_PERIOD_MS: i64 = 1000;
 
 // Fallbacks for a schema without a default. The schema of this crate has a default for each key.
@@ -24,11 +24,11 @@
 pub struct Member {
     /// Address at which the aggregator offers its log for collection.
     pub address: SocketAddr,
-    /// Time at which the aggregator joined, in Unix milliseconds; [`i64::MIN`] if it always took
-    /// part.
+    /// Time at which the aggregator became a member, in Unix milliseconds; [`i64::MIN`] if it has
+    /// always been one.
     pub from_ms: i64,
-    /// Time at which the aggregator left, in Unix milliseconds; [`i64::MAX`] if it still takes
-    /// part.
+    /// Time at which the aggregator ceased to be a member, in Unix milliseconds; [`i64::MAX`] if it
+    /// is still one.
     pub until_ms: i64,
 }
 
@@ -66,7 +66,7 @@
 /// Settings of the settlement.
 #[derive(Clone, Debug)]
 pub struct LedgerSettings {
-    /// Path of the SQLite file; `None` if the settings contain none.
+    /// Path of the SQLite file; `None` if the setting `store` is not set.
     pub store_path: Option<PathBuf>,
     /// Delay before the first retry after the collection from a member has failed.
     pub retry_delay: Duration,
@@ -83,7 +83,7 @@
     pub grace_ms: i64,
     /// Members by aggregator name.
     pub members: BTreeMap<String, Member>,
-    /// Prices by class name. Classes without a price are free of charge.
+    /// Prices by class name. Requests of classes without a price are free of charge.
     pub prices: BTreeMap<String, Price>,
     /// Allowances by tenant name, in answered requests per period. Statements list the
     /// number of requests beyond the allowance separately.
@@ -143,7 +143,7 @@
         let zone = periods.text("zone").unwrap_or("UTC");
         let zone = TimeZone::get(zone).map_err(|_| {
             let reason = format!(
-                "there is no time zone '{zone}'; expected an IANA name, for example Asia/Colombo"
+                "unknown time zone '{zone}'; expected an IANA name, for example Asia/Colombo"
             );
             periods.problem("zone", reason)
         })?;
@@ -167,10 +167,10 @@
     fn member(&self, name: &str) -> Result<Member, Problems> {
         let values = self.settings.named_section(self.schema, MEMBER.name, name);
         let Some(address) = values.address("address") else {
-            return Err(values.problem("address", "is missing"));
+            return Err(values.problem("address", "required value is missing"));
         };
-        let timestamp = |key: &str, unset: i64| match values.text(key) {
-            None => Ok(unset),
+        let timestamp = |key: &str, default_ms: i64| match values.text(key) {
+            None => Ok(default_ms),
             Some(text) => match text.parse::<Timestamp>() {
                 Ok(timestamp) => Ok(timestamp.as_millisecond()),
                 Err(_) => {
@@ -200,7 +200,7 @@
     fn price(&self, name: &str) -> Result<Price, Problems> {
         let values = self.settings.named_section(self.schema, PRICE.name, name);
         let Some(complete) = values.count("whole") else {
-            return Err(values.problem("whole", "is missing"));
+            return Err(values.problem("whole", "required value is missing"));
         };
         let partial = values.count("partial").unwrap_or(complete);
         Ok(Price { complete, partial })
--- a/crates/usage-ledger/src/settings/schema.rs
+++ b/crates/usage-ledger/src/settings/schema.rs
@@ -13,7 +13,7 @@
             "directory",
             Kind::Text,
             None,
-            "Folder of the mixer's usage log; without it, no log is written.",
+            "Folder of the mixer's usage log; if unset, no log is written.",
         ),
         Key::new(
             "segment",
@@ -37,13 +37,13 @@
             "stall",
             Kind::Time,
             Some("5ms"),
-            "Maximum time that an answer waits for its record to be written; then it is sent without.",
+            "Maximum time that an answer waits for its record to be written, before it is sent anyway.",
         ),
         Key::new(
             "mark",
             Kind::Time,
             Some("500ms"),
-            "Interval at which the log states up to which time it is complete.",
+            "Interval between two watermarks, which state the time before which the log is complete.",
         ),
         Key::new(
             "listen",
@@ -171,7 +171,7 @@
         "allowance",
         Kind::Count(0, MAX_PRICE_OR_ALLOWANCE),
         None,
-        "Answered requests per period; statements list the number beyond it separately.",
+        "Answered requests per period; statements list the requests beyond this number separately.",
     )],
 );
 
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Minimum size at which a segment is closed.
+/// Minimum of the setting `segment`.
 const MIN_SEGMENT_BYTES: u64 = 4096;
-/// Minimum interval between two marks.
+/// Minimum of the setting `mark`.
 const MIN_WATERMARK_INTERVAL: Duration = Duration::from_millis(10);
 
 // Fallbacks for a schema without a default. The schema of this crate has the same defaults.
@@ -21,17 +21,17 @@
 /// Settings of the usage log of one aggregator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageLogSettings {
-    /// Directory of the log.
+    /// Directory that contains the segments of the log.
     pub directory: PathBuf,
-    /// Size at which a segment is closed and a new one is started.
+    /// Size at which a segment is closed and a new one is started, in bytes.
     pub segment_bytes: u64,
-    /// Maximum size of the log. Records beyond it are dropped and counted.
+    /// Maximum size of the log, in bytes. Records beyond it are dropped and counted.
     pub max_log_bytes: u64,
     /// Capacity of the writer's queue, in entries.
     pub queue_entries: usize,
     /// Maximum time that a reply waits for its record to be written.
     pub max_reply_delay: Duration,
-    /// Interval of marks, which state up to which time the log is complete.
+    /// Interval between two watermarks in the log.
     pub watermark_interval: Duration,
     /// Address of the collection service; `None` if the log is not offered for collection.
     pub listen_address: Option<SocketAddr>,
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -18,8 +18,8 @@
 use usage_ledger::wire::{self, Batch, Class, Entry, Header, Mark, Record};
 use usage_ledger::writer::{self, FileSystem, RunClass, RunTables};
 
-/// A segment of version 1: the magic number, and the frames of the header, a record and a mark. A
-/// frame consists of a CRC-32, a length (both little-endian) and a protobuf message.
+/// A segment of version 1: the magic number, and the frames of a header, a record and a watermark.
+/// A frame consists of a CRC-32, a length (both little-endian) and a protobuf message.
 const SEGMENT: &str = "\
     4354484c55534501\
     a1de9a32 14000000\
@@ -29,7 +29,7 @@
     af735540 09000000\
     1207 0801 10d00f 1801";
 
-fn segment_bytes() -> Vec<u8> {
+fn encoded_segment() -> Vec<u8> {
     hex::decode(SEGMENT.replace(' ', "")).unwrap()
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-fn segment_mark() -> What {
+fn segment_watermark() -> What {
     What::Mark(Mark {
         sequence: 1,
         complete_ms: 2000,
@@ -64,7 +64,7 @@
     let path = folder
         .path()
         .join("00000000000000000007-00000000000000000001.log");
-    fs::write(path, segment_bytes()).unwrap();
+    fs::write(path, encoded_segment()).unwrap();
     let mut follower = LogFollower::new(folder.path(), LogPosition::default());
     let batch = follower.next_batch(10).unwrap().unwrap();
     let header = Header {
@@ -84,7 +84,10 @@
         .into_iter()
         .map(|entry| entry.what.unwrap())
         .collect();
-    assert_eq!(entries, [What::Record(segment_record()), segment_mark()]);
+    assert_eq!(
+        entries,
+        [What::Record(segment_record()), segment_watermark()]
+    );
     assert!(batch.damage.is_empty());
     assert_eq!(follower.next_batch(10).unwrap(), None);
 }
@@ -111,7 +114,7 @@
     };
     let mut writer = writer::start_on(FileSystem, &settings, run_tables, 7_000_000).unwrap();
     assert!(writer.try_enqueue(What::Record(segment_record())));
-    assert!(writer.try_enqueue(segment_mark()));
+    assert!(writer.try_enqueue(segment_watermark()));
     writer.close();
     let segments = log::segments(folder.path()).unwrap();
     assert_eq!(segments.len(), 1);
@@ -120,7 +123,7 @@
         "00000000000000000007-00000000000000000001.log"
     );
     let written = fs::read(&segments[0].path).unwrap();
-    assert_eq!(hex::encode(written), hex::encode(segment_bytes()));
+    assert_eq!(hex::encode(written), hex::encode(encoded_segment()));
 }
 
 /// The schema of version 1, as it was released.
@@ -176,7 +179,7 @@
 };
 
 /// Closes [`PERIOD`] and returns the JSON of its statement.
-fn close(store: &mut Store) -> String {
+fn close_period(store: &mut Store) -> String {
     let prices = BTreeMap::from([(
         "c".to_string(),
         Price {
@@ -333,7 +336,7 @@
             RecordedOutcome::Complete
         ]
     );
-    assert_eq!(close(&mut store), one_line(STATEMENT));
+    assert_eq!(close_period(&mut store), one_line(STATEMENT));
     let verified = VerificationReport {
         checked: 3,
         faults: vec![],
@@ -371,7 +374,7 @@
     let calendar = Calendar(PeriodLength::Milliseconds(1000));
     let ingested = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
     assert_eq!((ingested.new, ingested.late), (3, 0));
-    assert_eq!(close(&mut store), one_line(STATEMENT));
+    assert_eq!(close_period(&mut store), one_line(STATEMENT));
     let correction = CorrectionLine {
         id: "k 1".into(),
         tenant: "t".into(),
@@ -498,9 +501,9 @@
 
 #[test]
 fn settings_without_a_file_have_their_defaults() {
-    let none = Settings::defaults();
-    assert_eq!(UsageLogSettings::read(&none, &SETTINGS).unwrap(), None);
-    let ledger = LedgerSettings::read(&none, &SETTINGS).unwrap();
+    let defaults = Settings::defaults();
+    assert_eq!(UsageLogSettings::read(&defaults, &SETTINGS).unwrap(), None);
+    let ledger = LedgerSettings::read(&defaults, &SETTINGS).unwrap();
     assert_eq!(ledger.store_path, None);
     assert_eq!(
         (ledger.retry_delay, ledger.idle_timeout),
@@ -556,7 +559,7 @@
         ),
         (
             "[periods]\nzone = Moon\n",
-            "old.ini:2: [periods] zone: there is no time zone 'Moon'; expected an IANA name, for example Asia/Colombo",
+            "old.ini:2: [periods] zone: unknown time zone 'Moon'; expected an IANA name, for example Asia/Colombo",
         ),
         (
             "[periods]\nevery = 10ms\n",
@@ -564,7 +567,7 @@
         ),
         (
             "[member n0]\n",
-            "old.ini:1: [member n0] address: is missing",
+            "old.ini:1: [member n0] address: required value is missing",
         ),
         (
             "[member n0]\naddress = 127.0.0.1:1\nfrom = today\n",
@@ -574,7 +577,7 @@
             "[member n0]\naddress = 127.0.0.1:1\nfrom = 2026-12-01T00:00:00Z\nuntil = 2026-12-01T00:00:00Z\n",
             "old.ini:4: [member n0] until: must be later than 'from'",
         ),
-        ("[price c]\n", "old.ini:1: [price c] whole: is missing"),
+        ("[price c]\n", "old.ini:1: [price c] whole: required value is missing"),
         (
             "[export]\nurl = https://h/\n",
             "old.ini:2: [export] url: must begin with http://",
@@ -584,6 +587,10 @@
         let settings = read(text);
         let usage = UsageLogSettings::read(&settings, &SETTINGS).map(drop);
         let problems = usage.and_then(|()| LedgerSettings::read(&settings, &SETTINGS).map(drop));
-        assert_eq!(problems.unwrap_err().to_string(), expected);
+        assert_eq!(
+            problems.unwrap_err().to_string(),
+            expected,
+            "wrong problem for the settings {text:?}"
+        );
     }
 }
