--- a/crates/usage-ledger/src/closing_decision.rs
+++ b/crates/usage-ledger/src/closing_decision.rs
@@ -5,10 +5,10 @@
 use crate::join::JoinBounds;
 use crate::period::Period;
 
-/// Progress of the collection from one aggregator.
+/// Progress of the collection from one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
-    /// Name of the aggregator.
+    /// Name of the member in the settings (`[member NAME]`).
     pub member: String,
     /// Time before which all records have been collected, in Unix milliseconds; `None` if nothing
     /// was ever collected.
@@ -35,10 +35,9 @@
     Incomplete(Vec<String>),
 }
 
-/// Decides whether `period` may close at `now_ms`. `members` is the progress of all aggregators
-/// that took part in the period.
-///
-/// `now_ms` is in Unix milliseconds; `grace_ms` is a duration.
+/// Decides whether `period` may close at `now_ms` (Unix milliseconds). `members` is the progress of
+/// all members that were configured during the period. `grace_ms` is the grace period, in
+/// milliseconds.
 pub fn decide_closing(
     period: Period,
     bounds: JoinBounds,
@@ -53,7 +52,7 @@
         .map(|member| member.member.clone())
         .collect();
     if now_ms < until_ms {
-        // If the clock of a member is ahead, its marks are too: the period must not close while
+        // If the clock of a member is ahead, so are its watermarks: the period must not close while
         // other members may still record requests in it.
         ClosingDecision::Wait(missing)
     } else if missing.is_empty() {
--- a/crates/usage-ledger/src/collect.rs
+++ b/crates/usage-ledger/src/collect.rs
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Implementation of the gRPC service for the log in one directory.
+/// The gRPC service for the log in one directory.
 struct CollectionService {
     directory: PathBuf,
 }
@@ -143,14 +143,14 @@
     let mut idle_polls = 0;
     loop {
         let read = tokio::task::spawn_blocking(move || {
-            let next = follower.next_batch(MAX_BATCH_ENTRIES);
-            (follower, next)
+            let next_batch = follower.next_batch(MAX_BATCH_ENTRIES);
+            (follower, next_batch)
         });
-        let Ok((returned, next)) = read.await else {
+        let Ok((returned_follower, next_batch)) = read.await else {
             return;
         };
-        follower = returned;
-        let message = match next {
+        follower = returned_follower;
+        let message = match next_batch {
             Ok(Some(batch)) => Ok(batch),
             Ok(None) if idle_polls < HEARTBEAT_POLLS => {
                 idle_polls += 1;
@@ -167,8 +167,8 @@
             }
         };
         idle_polls = 0;
-        let failed = message.is_err();
-        if sender.send(message).await.is_err() || failed {
+        let has_failed = message.is_err();
+        if sender.send(message).await.is_err() || has_failed {
             return;
         }
     }
--- a/crates/usage-ledger/src/document.rs
+++ b/crates/usage-ledger/src/document.rs
@@ -45,9 +45,9 @@
 pub enum DocumentKind {
     /// Part of a statement that concerns one tenant.
     Statement,
-    /// Correction of a closed period in favour of the tenant.
+    /// Correction of a closed period with a negative amount, in favour of the tenant.
     Credit,
-    /// Any other correction of a closed period.
+    /// Correction of a closed period with an amount of zero or more.
     Debit,
 }
 
@@ -97,7 +97,7 @@
     pub is_posted: bool,
     /// Number of attempts to send the document.
     pub attempts: u32,
-    /// Error of the last attempt; `None` if it succeeded or there was no attempt.
+    /// Error of the last attempt; `None` if it succeeded or there was none.
     pub error: Option<String>,
 }
 
@@ -168,11 +168,12 @@
 
 /// Returns the id of a document, which is also the stem of its file name.
 fn document_id(kind: DocumentKind, name: &str) -> String {
-    format!("{}-{}", kind.as_str(), file_name_part(name))
+    format!("{}-{}", kind.as_str(), escape_for_file_name(name))
 }
 
-/// Escapes all characters of `text` except for ASCII letters, digits, `-`, `_` and `.`.
-fn file_name_part(text: &str) -> String {
+/// Replaces each character of `text`, except for ASCII letters, digits, `-`, `_` and `.`, with `%`
+/// and its code point in hexadecimal.
+fn escape_for_file_name(text: &str) -> String {
     let escape = |character: char| {
         if character.is_ascii_alphanumeric() || "-_.".contains(character) {
             character.to_string()
--- a/crates/usage-ledger/src/export.rs
+++ b/crates/usage-ledger/src/export.rs
@@ -37,12 +37,13 @@
     pub is_in_folder: bool,
     /// Whether the receiver has acknowledged the document in this attempt.
     pub is_posted: bool,
-    /// First error of this attempt; `None` if the document has reached all destinations.
+    /// First error of this attempt; `None` if no destination failed.
     pub error: Option<DeliveryError>,
 }
 
 impl Delivery {
-    /// Stores the error of `result` if it is the first one. Returns whether `result` is a success.
+    /// Stores the error of `result` if it is the first one of this attempt. Returns whether
+    /// `result` is `Ok`.
     fn record_result(&mut self, result: Result<(), DeliveryError>) -> bool {
         match result {
             Ok(()) => true,
@@ -66,7 +67,8 @@
     delivery
 }
 
-/// Returns the delay before the next attempt after `attempts` failed ones, by exponential backoff.
+/// Returns the delay before the next attempt, after `attempts` failed attempts. The delay is
+/// `retry_delay` after the first one, and doubles with each further one up to a limit.
 pub fn retry_backoff(retry_delay: Duration, attempts: u32) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
     retry_delay * 2u32.pow(doublings)
@@ -79,12 +81,12 @@
 /// The folder can't be written.
 fn write_to_folder(folder: &Path, document: &OutgoingDocument) -> Result<(), DeliveryError> {
     fs::create_dir_all(folder)?;
-    let temporary = folder.join(format!(".{}.half", document.id));
-    let complete = folder.join(format!("{}.json", document.id));
-    let mut file = File::create(&temporary)?;
+    let temporary_path = folder.join(format!(".{}.half", document.id));
+    let final_path = folder.join(format!("{}.json", document.id));
+    let mut file = File::create(&temporary_path)?;
     file.write_all(document.body.as_bytes())?;
     file.sync_all()?;
-    fs::rename(&temporary, &complete)?;
+    fs::rename(&temporary_path, &final_path)?;
     File::open(folder)?.sync_all()?;
     Ok(())
 }
--- a/crates/usage-ledger/src/join/joiner.rs
+++ b/crates/usage-ledger/src/join/joiner.rs
@@ -1,4 +1,4 @@
-//! The joiner: takes records in the order of their arrival and emits logical requests.
+//! The joiner: receives records in the order of their arrival and emits logical requests.
 
 use super::bounds::JoinBounds;
 use super::logical_request::{JoinCertainty, LogicalRequest};
@@ -12,12 +12,14 @@
 pub struct Joiner {
     bounds: JoinBounds,
     /// Logical requests that a later record may still join.
-    open: HashMap<GroupKey, Vec<LogicalRequest>>,
+    open_requests: HashMap<GroupKey, Vec<LogicalRequest>>,
+    /// Groups of the open requests, by the deadline of each request.
     deadlines: BTreeMap<Deadline, GroupKey>,
-    /// Records that may join an earlier record, in the order of their arrival. They wait until no
-    /// record that precedes them can follow any more.
-    waiting: VecDeque<UsageRecord>,
-    /// Retries that are ambiguous because of records that are not pushed to this joiner.
+    /// Records that may join an earlier record, in the order of their arrival. Each waits until all
+    /// records that arrived up to the clock skew after it have been pushed, since it may be a retry
+    /// of one of them.
+    waiting_records: VecDeque<UsageRecord>,
+    /// Retries that are ambiguous because of records that this joiner does not receive.
     known_ambiguous: BTreeSet<RecordId>,
 }
 
@@ -26,14 +28,15 @@
     pub fn new(bounds: JoinBounds) -> Joiner {
         Joiner {
             bounds,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             deadlines: BTreeMap::new(),
-            waiting: VecDeque::new(),
+            waiting_records: VecDeque::new(),
             known_ambiguous: BTreeSet::new(),
         }
     }
 
-    /// Creates a joiner without records. The retries in `ambiguous` count as ambiguous in any case.
+    /// Creates a joiner without records that treats the retries in `ambiguous` as ambiguous in any
+    /// case.
     pub fn with_ambiguous(bounds: JoinBounds, ambiguous: BTreeSet<RecordId>) -> Joiner {
         Joiner {
             known_ambiguous: ambiguous,
@@ -41,17 +44,18 @@
         }
     }
 
-    /// Takes the next record. Calls `emit` with each logical request that can't change any more.
+    /// Adds the next record. Calls `emit` with each logical request that can't change any more.
     pub fn push(&mut self, record: UsageRecord, emit: &mut impl FnMut(LogicalRequest)) {
         self.advance(record.arrived_at_ms, emit);
         if record.is_retry || record.has_idempotency_key {
-            self.waiting.push_back(record);
+            self.waiting_records.push_back(record);
         } else {
             self.open_request(record, JoinCertainty::Certain);
         }
     }
 
-    /// Calls `emit` with all remaining logical requests. Called after the last record.
+    /// Calls `emit` with all remaining logical requests. Must be called after the last record was
+    /// pushed.
     pub fn finish(&mut self, emit: &mut impl FnMut(LogicalRequest)) {
         self.advance(i64::MAX, emit);
     }
@@ -76,23 +80,24 @@
             first: first.id(),
         };
         self.deadlines.insert(deadline, group);
-        let requests = self.open.entry(group).or_default();
+        let requests = self.open_requests.entry(group).or_default();
         requests.push(LogicalRequest::new(first, certainty));
     }
 
-    /// Joins the waiting records that no later record can precede any more, given that all records
-    /// that arrived before `now_ms` have been pushed.
+    /// Joins the waiting records that arrived more than the clock skew before `now_ms`, then closes
+    /// the logical requests that no further record can join. All records that arrived before
+    /// `now_ms` must have been pushed.
     fn advance(&mut self, now_ms: i64, emit: &mut impl FnMut(LogicalRequest)) {
-        while let Some(retry) = self.waiting.front().copied() {
+        while let Some(retry) = self.waiting_records.front().copied() {
             if retry.arrived_at_ms.saturating_add(self.bounds.skew_ms) >= now_ms {
                 break;
             }
-            self.waiting.pop_front();
+            self.waiting_records.pop_front();
             self.close_before(retry.arrived_at_ms, emit);
             self.join_retry(retry);
         }
         let oldest_waiting_ms = self
-            .waiting
+            .waiting_records
             .front()
             .map_or(now_ms, |retry| retry.arrived_at_ms);
         self.close_before(oldest_waiting_ms, emit);
@@ -106,7 +111,7 @@
                 break;
             }
             let (deadline, group) = entry.remove_entry();
-            let Some(requests) = self.open.get_mut(&group) else {
+            let Some(requests) = self.open_requests.get_mut(&group) else {
                 continue;
             };
             let is_due = |request: &LogicalRequest| request.first().id() == deadline.first;
@@ -114,7 +119,7 @@
                 emit(requests.remove(index));
             }
             if requests.is_empty() {
-                self.open.remove(&group);
+                self.open_requests.remove(&group);
             }
         }
     }
@@ -127,11 +132,11 @@
         }
     }
 
-    /// Joins a record with an idempotency key. The key identifies the logical request, so records
-    /// with the same key are joined whatever their outcomes.
+    /// Joins a record with an idempotency key. The key identifies the logical request, so the
+    /// outcomes of the earlier records do not matter.
     fn join_by_idempotency_key(&mut self, retry: UsageRecord) {
         let window = self.candidate_window(&retry);
-        let requests = self.open.entry(GroupKey::of(&retry)).or_default();
+        let requests = self.open_requests.entry(GroupKey::of(&retry)).or_default();
         match requests.iter_mut().find(|request| window.contains(request)) {
             Some(request) => request.join(retry, JoinCertainty::Certain),
             None => self.open_request(retry, JoinCertainty::Certain),
@@ -141,7 +146,7 @@
     fn join_by_query(&mut self, retry: UsageRecord) {
         let window = self.candidate_window(&retry);
         let is_known_ambiguous = self.known_ambiguous.contains(&retry.id());
-        let requests = self.open.entry(GroupKey::of(&retry)).or_default();
+        let requests = self.open_requests.entry(GroupKey::of(&retry)).or_default();
         let candidates: Vec<usize> = (0..requests.len())
             .filter(|index| window.contains(&requests[*index]))
             .filter(|index| requests[*index].last().may_be_retried())
@@ -163,9 +168,9 @@
     /// Returns the limits on the arrival times of the logical requests that `retry` may join.
     fn candidate_window(&self, retry: &UsageRecord) -> CandidateWindow {
         let skew_ms = self.bounds.skew_ms;
-        let longest_wait_ms = self.window_ms(retry) + skew_ms;
+        let max_age_ms = self.window_ms(retry) + skew_ms;
         CandidateWindow {
-            earliest_first_ms: retry.arrived_at_ms.saturating_sub(longest_wait_ms),
+            earliest_first_ms: retry.arrived_at_ms.saturating_sub(max_age_ms),
             latest_last_ms: retry.arrived_at_ms.saturating_add(skew_ms),
         }
     }
@@ -191,7 +196,7 @@
     }
 }
 
-/// Time after which no record can join a logical request. Deadlines sort by time.
+/// Deadline for joining records to a logical request. Deadlines sort by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     /// Last time at which a record can join the request, in Unix milliseconds.
@@ -219,9 +224,10 @@
 /// Order of preference of the logical requests that a retry may join. The retry joins the request
 /// with the lowest rank.
 ///
-/// Requests without an answer rank before requests whose answer may not have been sent. Among
-/// requests that are equal in this, those that arrived before the retry rank before those that,
-/// because of clock skew, seem to have arrived after it.
+/// Requests without an answer rank before requests whose answer may not have been sent. Within each
+/// of these groups, requests that arrived before the retry rank before those that, because of clock
+/// skew, seem to have arrived after it. Otherwise, the request with the oldest last record ranks
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
     is_answered: bool,
--- a/crates/usage-ledger/src/join/logical_request.rs
+++ b/crates/usage-ledger/src/join/logical_request.rs
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Returns the record of the first request, or the earliest record if that of the first request
-    /// is missing.
+    /// Returns the record of the client's first request or, if that record is missing, of the retry
+    /// that started the logical request.
     pub fn first(&self) -> &UsageRecord {
         &self.records[0]
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// Whether there was only one way to join a record.
+/// Whether a record could be joined in only one way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JoinCertainty {
     Certain,
--- a/crates/usage-ledger/src/join/record.rs
+++ b/crates/usage-ledger/src/join/record.rs
@@ -1,4 +1,4 @@
-//! Usage records as they are joined.
+//! Usage records and their outcomes.
 
 /// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether the client received an answer, complete or partial.
+    /// Returns whether the client received an answer, complete or partial.
     pub fn is_answered(self) -> bool {
         matches!(
             self,
@@ -51,11 +51,11 @@
             (RecordedOutcome::Complete, _) | (_, RecordedOutcome::Complete) => {
                 RecordedOutcome::Complete
             }
-            (RecordedOutcome::Partial(left), RecordedOutcome::Partial(right)) => {
-                RecordedOutcome::Partial(left.max(right))
+            (RecordedOutcome::Partial(share), RecordedOutcome::Partial(later_share)) => {
+                RecordedOutcome::Partial(share.max(later_share))
             }
             (RecordedOutcome::Partial(_), _) => self,
-            // Neither request was answered: the last response counts.
+            // Neither record is answered: the outcome of the later one counts.
             (_, later) => later,
         }
     }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Returns whether a retry without an idempotency key may belong to this request.
+    /// Returns whether a retry without an idempotency key may follow this record.
     pub(super) fn may_be_retried(&self) -> bool {
         !self.outcome.is_answered() || self.is_reply_uncertain
     }
--- a/crates/usage-ledger/src/lib.rs
+++ b/crates/usage-ledger/src/lib.rs
@@ -4,9 +4,9 @@
 //! Terms:
 //! - A *member* is an aggregator whose usage log the settlement collects.
 //! - A *run* is one lifetime of an aggregator process, identified by its incarnation.
-//! - A *mark* is a watermark in the usage log: the records of all requests that arrived before its
-//!   time precede it.
-//! - A *use*, in published names, is a logical request: a client's first request with its retries.
+//! - A *watermark* is an entry of the usage log. The records of all requests that arrived before
+//!   its time precede it. Its published name is `Mark`.
+//! - A *logical request* is a client's first request with its retries. Its published name is *use*.
 //!
 //! The rules are pure: they do no I/O and read no clock.
 //! - [`join`]: which records belong to one logical request.
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -1,4 +1,4 @@
-//! The follower: reads a log, which may still be written, from any position on.
+//! The follower: reads a log, which may still be written to, from any position.
 
 use super::format::{
     parse_header, read_items, SegmentContent, SegmentHeader, SegmentItem, MAGIC, MAX_HEADER_BYTES,
@@ -10,18 +10,18 @@
 use std::io::{self, Read as _, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
 
-/// Number of bytes in one read. More are read only to find the next frame after damaged bytes.
+/// Initial number of bytes per read, which is doubled until the bytes contain a valid frame.
 const CHUNK_BYTES: u64 = 256 * 1024;
-/// Upper bound on the length of the magic number and the frame head, which precede the header.
+/// Upper bound on the length of the magic number and the frame head before the header, in bytes.
 const HEADER_MARGIN_BYTES: u64 = 64;
 
-/// Reads a log from a position on, batch by batch.
+/// Reads the entries of a log after a position, batch by batch.
 #[derive(Debug)]
 pub struct LogFollower {
     directory: PathBuf,
-    /// Entries up to this position are not delivered.
+    /// Start position. Entries at or before it are not delivered.
     after: LogPosition,
-    /// Segment that is currently read; `None` before the first one.
+    /// Segment that is being read; `None` before the first one.
     open: Option<OpenSegment>,
 }
 
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Returns the next batch, of at most `max_entries` entries of one run; `None` if there are no
-    /// new entries.
+    /// Returns the next batch, with at most `max_entries` entries of one run; `None` if there are
+    /// no new entries.
     ///
     /// # Errors
     /// The log can't be read.
@@ -59,10 +59,10 @@
 
     /// Reads the next chunk of a segment, or continues with the next segment.
     fn step(&mut self, mut open: OpenSegment, max_entries: usize) -> io::Result<Step> {
-        // Must be looked up before the read: a segment no longer grows once a later one exists.
-        let later = self.segment_after(&open.segment)?;
+        // Must be looked up before the read: a segment no longer grows once the next one exists.
+        let next_segment = self.segment_after(&open.segment)?;
         let chunk = self.read_chunk(&open, max_entries)?;
-        let advanced = chunk.end > open.offset;
+        let has_advanced = chunk.end > open.offset;
         open.offset = chunk.end;
         if !chunk.entries.is_empty() || !chunk.damage.is_empty() {
             let header = open.header.clone();
@@ -73,13 +73,13 @@
                 damage: chunk.damage,
             }));
         }
-        if advanced {
+        if has_advanced {
             // All entries of the chunk are at or before the start position.
             self.open = Some(open);
             return Ok(Step::Advanced);
         }
-        match later {
-            Some(later) => self.finish_segment(open, chunk.unread, later),
+        match next_segment {
+            Some(next) => self.finish_segment(open, chunk.unread_bytes, next),
             None => {
                 self.open = Some(open);
                 Ok(Step::CaughtUp)
@@ -87,22 +87,22 @@
         }
     }
 
-    /// Continues with the segment `later`. The last `unread` bytes of `finished` are reported as
-    /// damage, since `finished` no longer grows.
+    /// Continues with the segment `next`. The last `unread_bytes` bytes of `finished` are reported
+    /// as damage, since `finished` no longer grows.
     fn finish_segment(
         &mut self,
         finished: OpenSegment,
-        unread: u64,
-        later: Segment,
+        unread_bytes: u64,
+        next: Segment,
     ) -> io::Result<Step> {
-        self.open = Some(self.open_segment(later)?);
-        if unread == 0 {
+        self.open = Some(self.open_segment(next)?);
+        if unread_bytes == 0 {
             return Ok(Step::Advanced);
         }
         let damage = Damage {
             segment: finished.segment.name(),
             from: finished.offset,
-            to: finished.offset + unread,
+            to: finished.offset + unread_bytes,
         };
         Ok(Step::Batch(Batch {
             header: finished.header,
@@ -111,8 +111,8 @@
         }))
     }
 
-    /// Returns the segment that contains the start position: the last one that does not begin after
-    /// it, or the first segment if all begin after it.
+    /// Returns the segment that contains the first entry after the start position: the last segment
+    /// that does not begin after that entry, or the first segment if all begin after it.
     fn first_segment(&self) -> io::Result<Option<Segment>> {
         let segments = segments(&self.directory)?;
         let from = (self.after.incarnation, self.after.sequence + 1);
@@ -129,7 +129,7 @@
 
     fn open_segment(&self, segment: Segment) -> io::Result<OpenSegment> {
         let (header, offset) = match read_header(&segment)? {
-            Some(found) => (Some(found.header), found.entries_start),
+            Some(parsed) => (Some(parsed.header), parsed.entries_start),
             None => (self.header_of_run(segment.incarnation)?, MAGIC.len()),
         };
         Ok(OpenSegment {
@@ -147,7 +147,7 @@
             .iter()
             .filter(|segment| segment.incarnation == incarnation)
             .find_map(|segment| read_header(segment).ok().flatten());
-        Ok(header.map(|found| found.header))
+        Ok(header.map(|parsed| parsed.header))
     }
 
     fn read_chunk(&self, open: &OpenSegment, max_entries: usize) -> io::Result<Chunk> {
@@ -156,11 +156,11 @@
             entries: Vec::new(),
             damage: Vec::new(),
             end: open.offset + read.content.end as u64,
-            unread: read.length - read.content.end as u64,
+            unread_bytes: read.length - read.content.end as u64,
         };
         for item in read.content.items {
             match item {
-                SegmentItem::Entry(entry) if self.is_delivered(&open.segment, &entry) => {}
+                SegmentItem::Entry(entry) if self.is_before_start(&open.segment, &entry) => {}
                 SegmentItem::Entry(entry) => chunk.entries.push(entry),
                 SegmentItem::Damage { from, to } => chunk.damage.push(Damage {
                     segment: open.segment.name(),
@@ -173,10 +173,10 @@
     }
 
     /// Returns whether an entry is at or before the start position.
-    fn is_delivered(&self, segment: &Segment, entry: &Entry) -> bool {
+    fn is_before_start(&self, segment: &Segment, entry: &Entry) -> bool {
         let sequence = match &entry.what {
             Some(What::Record(record)) => record.sequence,
-            // A mark follows the record whose sequence number it contains.
+            // A watermark follows the record whose sequence number it contains.
             Some(What::Mark(mark)) => mark.sequence + 1,
             None => 0,
         };
@@ -189,36 +189,37 @@
     }
 }
 
-/// The segment that is currently read.
+/// The segment that is being read.
 #[derive(Debug)]
 struct OpenSegment {
     segment: Segment,
-    /// Header of the segment, or of another segment of the run if it is damaged.
+    /// Header of the segment or, if that is damaged, of another segment of the run; `None` if all
+    /// headers of the run are damaged.
     header: Option<Header>,
     /// Offset of the next byte to read.
     offset: u64,
 }
 
 impl OpenSegment {
-    /// Reads items from the offset on. Reads further until it has found an item or reached the end
-    /// of the file.
+    /// Reads at most `max_items` items from the offset. Reads more bytes until there is an item or
+    /// the file ends.
     fn read_items(&self, max_items: usize) -> io::Result<ReadItems> {
         let mut file = File::open(&self.segment.path)?;
         file.seek(SeekFrom::Start(self.offset))?;
         let mut bytes = Vec::new();
-        let mut wanted = CHUNK_BYTES;
+        let mut wanted_bytes = CHUNK_BYTES;
         loop {
-            let missing = wanted - bytes.len() as u64;
-            let received = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
+            let missing_bytes = wanted_bytes - bytes.len() as u64;
+            let read_bytes = file.by_ref().take(missing_bytes).read_to_end(&mut bytes)? as u64;
             let content = read_items(&bytes, 0, max_items);
-            if !content.items.is_empty() || received < missing {
+            if !content.items.is_empty() || read_bytes < missing_bytes {
                 return Ok(ReadItems {
                     content,
                     length: bytes.len() as u64,
                 });
             }
-            // No frame in the bytes read so far: reads more to find the next one.
-            wanted *= 2;
+            // The bytes read so far contain no valid frame: reads more to find the next one.
+            wanted_bytes *= 2;
         }
     }
 }
@@ -236,21 +237,21 @@
     damage: Vec<Damage>,
     /// Offset up to which the segment has been read.
     end: u64,
-    /// Number of bytes after `end` that were read but contain no complete frame.
-    unread: u64,
+    /// Number of bytes after `end` that were read but contain no valid frame.
+    unread_bytes: u64,
 }
 
 /// Result of one step through the log.
 enum Step {
-    /// There are entries or damage to deliver.
+    /// Entries or damage to deliver.
     Batch(Batch),
-    /// There is nothing to deliver, but there may be more to read.
+    /// Nothing to deliver, but there may be more to read.
     Advanced,
-    /// The whole log has been read.
+    /// Nothing to deliver, and the whole log has been read.
     CaughtUp,
 }
 
-/// Reads the header of a segment. Returns `None` if the header is damaged.
+/// Reads the header of a segment. Returns `None` if the header is incomplete or damaged.
 fn read_header(segment: &Segment) -> io::Result<Option<SegmentHeader>> {
     let mut bytes = Vec::new();
     File::open(&segment.path)?
--- a/crates/usage-ledger/src/log/format.rs
+++ b/crates/usage-ledger/src/log/format.rs
@@ -12,9 +12,9 @@
 pub const MAGIC: &[u8; 8] = b"CTHLUSE\x01";
 /// Version of the format in the header of a segment.
 pub const VERSION: u32 = 1;
-/// Length of the checksum field and of the length field of a frame.
+/// Length of the checksum field and of the length field of a frame, in bytes each.
 const WORD_BYTES: usize = 4;
-/// Length of a frame without its body.
+/// Length of a frame without its body, in bytes.
 pub(super) const FRAME_HEAD_BYTES: usize = 2 * WORD_BYTES;
 /// Maximum length of the body of an entry's frame.
 const MAX_ENTRY_BYTES: usize = 1024;
@@ -23,15 +23,15 @@
 
 /// Appends a frame with the message `body` to `out`.
 pub fn append_frame(out: &mut Vec<u8>, body: &impl Message) {
-    let start = out.len();
-    let length_at = start + WORD_BYTES;
+    let frame_start = out.len();
+    let length_start = frame_start + WORD_BYTES;
     out.extend_from_slice(&[0; FRAME_HEAD_BYTES]);
     // Encoding fails only if the buffer is too small, but a vector grows as needed.
     let _ = body.encode(out);
-    let length = (out.len() - start - FRAME_HEAD_BYTES) as u32;
-    out[length_at..length_at + WORD_BYTES].copy_from_slice(&length.to_le_bytes());
-    let checksum = crc32fast::hash(&out[length_at..]);
-    out[start..length_at].copy_from_slice(&checksum.to_le_bytes());
+    let length = (out.len() - frame_start - FRAME_HEAD_BYTES) as u32;
+    out[length_start..length_start + WORD_BYTES].copy_from_slice(&length.to_le_bytes());
+    let checksum = crc32fast::hash(&out[length_start..]);
+    out[frame_start..length_start].copy_from_slice(&checksum.to_le_bytes());
 }
 
 /// An entry of a segment, or a range of damaged bytes.
@@ -70,43 +70,44 @@
 /// Parses the header of a segment. Returns `None` if the header is missing or damaged.
 pub fn parse_header(bytes: &[u8]) -> Option<SegmentHeader> {
     let rest = bytes.strip_prefix(MAGIC)?;
-    let frame = frame(rest, 0, MAX_HEADER_BYTES)?;
+    let frame = parse_frame(rest, 0, MAX_HEADER_BYTES)?;
     Some(SegmentHeader {
         header: Header::decode(frame.body).ok()?,
         entries_start: MAGIC.len() + frame.end,
     })
 }
 
-/// Reads at most `max_items` items from `offset` on. Skips unreadable bytes up to the next valid
-/// frame and reports them as damage.
+/// Reads at most `max_items` items, starting at `offset`. Skips unreadable bytes up to the next
+/// valid frame and reports them as damage.
 pub fn read_items(bytes: &[u8], offset: usize, max_items: usize) -> SegmentContent {
-    let mut read = SegmentContent {
+    let mut content = SegmentContent {
         items: Vec::new(),
         end: offset,
     };
-    while read.end < bytes.len() && read.items.len() < max_items {
-        if let Some((entry, end)) = entry(bytes, read.end) {
-            read.items.push(SegmentItem::Entry(entry));
-            read.end = end;
+    while content.end < bytes.len() && content.items.len() < max_items {
+        if let Some((entry, end)) = parse_entry(bytes, content.end) {
+            content.items.push(SegmentItem::Entry(entry));
+            content.end = end;
             continue;
         }
         // If a length is damaged, the next frame may begin at any offset.
-        let mut candidates = read.end + 1..bytes.len();
-        let Some(next) = candidates.find(|offset| entry(bytes, *offset).is_some()) else {
+        let mut candidates = content.end + 1..bytes.len();
+        let Some(next) = candidates.find(|offset| parse_entry(bytes, *offset).is_some()) else {
             break;
         };
-        read.items.push(SegmentItem::Damage {
-            from: read.end as u64,
+        content.items.push(SegmentItem::Damage {
+            from: content.end as u64,
             to: next as u64,
         });
-        read.end = next;
+        content.end = next;
     }
-    read
+    content
 }
 
-/// Parses the entry at `offset`. Returns the entry and the offset of the next frame.
-fn entry(bytes: &[u8], offset: usize) -> Option<(Entry, usize)> {
-    let frame = frame(bytes, offset, MAX_ENTRY_BYTES)?;
+/// Parses the entry at `offset`. Returns the entry and the offset of the next frame, or `None` if
+/// there is no valid frame with an entry.
+fn parse_entry(bytes: &[u8], offset: usize) -> Option<(Entry, usize)> {
+    let frame = parse_frame(bytes, offset, MAX_ENTRY_BYTES)?;
     let entry = Entry::decode(frame.body).ok()?;
     entry.what.is_some().then_some((entry, frame.end))
 }
@@ -118,18 +119,18 @@
     end: usize,
 }
 
-/// Parses the frame at `offset`. Returns `None` if the frame is invalid or extends beyond the end
-/// of `bytes`.
-fn frame(bytes: &[u8], offset: usize, max_body: usize) -> Option<Frame<'_>> {
+/// Parses the frame at `offset`. Returns `None` if the frame is invalid, extends beyond the end of
+/// `bytes`, or has a body longer than `max_body_bytes`.
+fn parse_frame(bytes: &[u8], offset: usize, max_body_bytes: usize) -> Option<Frame<'_>> {
     let head = bytes.get(offset..offset + FRAME_HEAD_BYTES)?;
     let (checksum, length) = head.split_at(WORD_BYTES);
     let checksum = u32::from_le_bytes(checksum.try_into().ok()?);
     let length = u32::from_le_bytes(length.try_into().ok()?) as usize;
-    if length == 0 || length > max_body {
+    if length == 0 || length > max_body_bytes {
         return None;
     }
     let end = offset + FRAME_HEAD_BYTES + length;
-    let covered = bytes.get(offset + WORD_BYTES..end)?;
-    let body = &covered[WORD_BYTES..];
-    (crc32fast::hash(covered) == checksum).then_some(Frame { body, end })
+    let checked_bytes = bytes.get(offset + WORD_BYTES..end)?;
+    let body = &checked_bytes[WORD_BYTES..];
+    (crc32fast::hash(checked_bytes) == checksum).then_some(Frame { body, end })
 }
--- a/crates/usage-ledger/src/log/segment.rs
+++ b/crates/usage-ledger/src/log/segment.rs
@@ -18,7 +18,8 @@
 }
 
 impl Segment {
-    /// Returns the segment with these numbers in `directory`, whether or not the file exists.
+    /// Returns the segment in `directory` that starts at `first_sequence` of the run `incarnation`.
+    /// The file need not exist.
     pub fn new(directory: &Path, incarnation: u64, first_sequence: u64) -> Segment {
         let path = directory.join(format!("{incarnation:020}-{first_sequence:020}.log"));
         Segment {
@@ -45,8 +46,8 @@
         name.to_string_lossy().into_owned()
     }
 
-    /// Returns whether no record of this segment comes after the position `settled`; `next` is the
-    /// following segment.
+    /// Returns whether no record of this segment comes after the position `settled`. `next` is the
+    /// next segment of the log.
     fn is_settled(&self, next: &Segment, settled: LogPosition) -> bool {
         if next.incarnation != self.incarnation {
             return settled.incarnation > self.incarnation;
@@ -90,12 +91,12 @@
         return Ok(bytes.len() as u64);
     };
     let end = read_items(&bytes, header.entries_start, usize::MAX).end;
-    let torn = (bytes.len() - end) as u64;
-    if torn > 0 {
+    let torn_bytes = (bytes.len() - end) as u64;
+    if torn_bytes > 0 {
         let file = fs::OpenOptions::new().write(true).open(&segment.path)?;
         file.set_len(end as u64)?;
     }
-    Ok(torn)
+    Ok(torn_bytes)
 }
 
 /// Deletes the segments that have no records after the position `settled`, except for the last
@@ -105,12 +106,12 @@
 /// The directory can't be read, or a segment can't be deleted.
 pub fn remove_settled(directory: &Path, settled: LogPosition) -> io::Result<usize> {
     let segments = segments(directory)?;
-    let mut removed = 0;
+    let mut removed_segments = 0;
     for (segment, next) in segments.iter().zip(segments.iter().skip(1)) {
         if segment.is_settled(next, settled) {
             fs::remove_file(&segment.path)?;
-            removed += 1;
+            removed_segments += 1;
         }
     }
-    Ok(removed)
+    Ok(removed_segments)
 }
--- a/crates/usage-ledger/src/period.rs
+++ b/crates/usage-ledger/src/period.rs
@@ -8,9 +8,9 @@
 /// A billing period: the half-open range `start_ms..end_ms`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Period {
-    /// First millisecond of the period, in Unix milliseconds.
+    /// Start of the period (inclusive), in Unix milliseconds.
     pub start_ms: i64,
-    /// First millisecond after the period, in Unix milliseconds.
+    /// End of the period (exclusive), in Unix milliseconds.
     pub end_ms: i64,
 }
 
@@ -21,15 +21,17 @@
     }
 }
 
-/// Formats a time in Unix milliseconds as UTC text. The texts sort in the order of the times.
-pub fn format_timestamp(ms: i64) -> String {
-    Timestamp::from_millisecond(ms).map_or_else(|_| ms.to_string(), |at| format!("{at:.3}"))
+/// Formats a time in Unix milliseconds as UTC text, or as the bare number if the time is outside
+/// the range of the calendar library. The texts of times since 1970 sort in the order of the times.
+pub fn format_timestamp(unix_ms: i64) -> String {
+    Timestamp::from_millisecond(unix_ms)
+        .map_or_else(|_| unix_ms.to_string(), |at| format!("{at:.3}"))
 }
 
 /// Length of the periods of a calendar.
 #[derive(Clone, Debug)]
 pub enum PeriodLength {
-    /// Fixed number of milliseconds, counted from the start of 1970.
+    /// Fixed number of milliseconds. Periods are aligned to the start of 1970 (UTC).
     Milliseconds(i64),
     /// Civil day in a time zone; 23 or 25 hours long when the clocks change.
     CivilDay(TimeZone),
@@ -43,18 +45,20 @@
 
 impl Calendar {
     /// Returns the period that contains a time in Unix milliseconds.
-    pub fn period_at(&self, ms: i64) -> Period {
+    pub fn period_at(&self, unix_ms: i64) -> Period {
         match &self.0 {
             PeriodLength::Milliseconds(length) => {
-                let start = ms.div_euclid(*length) * length;
+                let start = unix_ms.div_euclid(*length) * length;
                 Period {
                     start_ms: start,
                     end_ms: start + length,
                 }
             }
-            PeriodLength::CivilDay(zone) => civil_period(ms, zone, civil_day).unwrap_or(UNBOUNDED),
+            PeriodLength::CivilDay(zone) => {
+                civil_period(unix_ms, zone, civil_day).unwrap_or(UNBOUNDED)
+            }
             PeriodLength::CivilMonth(zone) => {
-                civil_period(ms, zone, civil_month).unwrap_or(UNBOUNDED)
+                civil_period(unix_ms, zone, civil_month).unwrap_or(UNBOUNDED)
             }
         }
     }
@@ -65,7 +69,7 @@
     }
 }
 
-/// Period for times that are outside the range of the calendar library.
+/// Period for times outside the range of the calendar library.
 const UNBOUNDED: Period = Period {
     start_ms: i64::MIN,
     end_ms: i64::MAX,
@@ -78,11 +82,11 @@
 }
 
 fn civil_period(
-    ms: i64,
+    unix_ms: i64,
     zone: &TimeZone,
     span: fn(Zoned) -> Result<CivilSpan, jiff::Error>,
 ) -> Option<Period> {
-    let at = Timestamp::from_millisecond(ms).ok()?;
+    let at = Timestamp::from_millisecond(unix_ms).ok()?;
     let span = span(at.to_zoned(zone.clone())).ok()?;
     Some(Period {
         start_ms: span.start.timestamp().as_millisecond(),
--- a/crates/usage-ledger/src/period_settler.rs
+++ b/crates/usage-ledger/src/period_settler.rs
@@ -35,7 +35,7 @@
 /// The records that arrived in the range of [`JoinBounds::arrivals`] are pushed in the order of
 /// [`UsageRecord::id`]. Records that the previous period has carried over are ignored.
 pub struct PeriodSettler {
-    /// Records that belong to requests of the previous period.
+    /// Records that belong to logical requests of the previous period.
     carried_in: BTreeSet<RecordId>,
     joiner: Joiner,
     count: PeriodCount,
@@ -44,20 +44,21 @@
 /// Counts the logical requests of one period.
 struct PeriodCount {
     period: Period,
-    /// Time from which on records are also read for the next period, in Unix milliseconds.
+    /// Earliest arrival time of the records that are also read for the next period, in Unix
+    /// milliseconds.
     carry_from_ms: i64,
-    /// Last arrival time of a retry that may belong to a request of this period, in Unix
+    /// Latest arrival time of a retry that may belong to a request of this period, in Unix
     /// milliseconds.
     retry_until_ms: i64,
     settled: SettledPeriod,
 }
 
 impl PeriodSettler {
-    /// Starts the settlement of `period`; `before` is the carry-over of the previous period.
-    pub fn new(period: Period, bounds: JoinBounds, before: CarryOver) -> PeriodSettler {
+    /// Starts the settlement of `period`; `previous` is the carry-over of the previous period.
+    pub fn new(period: Period, bounds: JoinBounds, previous: CarryOver) -> PeriodSettler {
         PeriodSettler {
-            carried_in: before.carried,
-            joiner: Joiner::with_ambiguous(bounds, before.ambiguous_retries),
+            carried_in: previous.carried,
+            joiner: Joiner::with_ambiguous(bounds, previous.ambiguous_retries),
             count: PeriodCount {
                 period,
                 carry_from_ms: period.end_ms.saturating_sub(bounds.skew_ms),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes the next record, unless the previous period has carried it over.
+    /// Adds the next record, unless the previous period has carried it over.
     pub fn push(&mut self, record: UsageRecord) {
         if self.carried_in.contains(&record.id()) {
             return;
@@ -79,7 +80,7 @@
         self.joiner.push(record, &mut |request| count.add(&request));
     }
 
-    /// Returns the result. Called after the last record.
+    /// Returns the result. Must be called after the last record was pushed.
     pub fn finish(mut self) -> SettledPeriod {
         let count = &mut self.count;
         self.joiner.finish(&mut |request| count.add(&request));
--- a/crates/usage-ledger/src/rate.rs
+++ b/crates/usage-ledger/src/rate.rs
@@ -1,9 +1,9 @@
 //! Prices of usage, in whole micro-units.
 //!
-//! A line counts the usage of one tenant and class in one period. Each complete answer costs the
-//! price of a complete answer. Partial answers cost the price of a partial answer times the sum of
-//! their shares. This product is rounded once per line, with half a micro-unit rounded up.
-//! Rejected, failed and cancelled requests are counted and free of charge.
+//! A line counts the logical requests of one tenant and class in one period. Each complete answer
+//! costs the price of a complete answer. Partial answers cost the price of a partial answer times
+//! the sum of their shares. This product is rounded once per line, with half a micro-unit rounded
+//! up. Rejected, failed and cancelled requests are counted and free of charge.
 //!
 //! This module is pure: it does no I/O and reads no clock.
 
@@ -34,14 +34,14 @@
     /// Number of logical requests that the client cancelled.
     #[serde(rename = "left")]
     pub cancelled: i64,
-    /// Number of records, which includes first requests and retries.
+    /// Number of usage records, of first requests and of retries.
     #[serde(rename = "tries")]
     pub records: i64,
     /// Number of shards queried, summed over all records.
     pub parts: i64,
-    /// Number of attempts on replicas in all zones.
+    /// Number of attempts on replicas in all zones, summed over all records.
     pub attempts: i64,
-    /// Number of attempts on replicas outside the aggregator's zone.
+    /// Number of attempts on replicas outside the aggregator's zone, summed over all records.
     #[serde(rename = "crossed")]
     pub cross_zone_attempts: i64,
     /// Number of logical requests with a retry that could have been joined to another request.
@@ -155,7 +155,7 @@
 /// Number of millionths in a share of 1.
 const MILLIONTHS_PER_UNIT: i128 = 1_000_000;
 
-/// Returns the amount of a line, in micro-units.
+/// Returns the amount of a line, in micro-units; [`i64::MAX`] if the amount is greater.
 pub fn line_amount(counts: &UsageCounts, price: Price) -> i64 {
     let complete = i128::from(counts.complete) * i128::from(price.complete);
     let shares = i128::from(counts.share_millionths) * i128::from(price.partial);
@@ -165,7 +165,7 @@
     i64::try_from(complete.saturating_add(partial)).unwrap_or(i64::MAX)
 }
 
-/// Returns the number of answered requests beyond the allowance of a tenant; 0 without an
+/// Returns the number of answered requests beyond the allowance of a tenant; 0 if the tenant has no
 /// allowance.
 pub fn requests_over_allowance(answered: i64, allowance: Option<u64>) -> i64 {
     let Some(allowance) = allowance else {
--- a/crates/usage-ledger/src/reconcile/client_usage_row.rs
+++ b/crates/usage-ledger/src/reconcile/client_usage_row.rs
@@ -14,7 +14,7 @@
     /// Published name of the outcome. Any name other than `whole` and `partial` means that the
     /// request was not answered.
     pub outcome: String,
-    /// Number of requests that the client sent, including retries.
+    /// Number of requests that the client sent: the first request and its retries.
     pub tries: u32,
     /// Key of the request in the ledger, as 16 hexadecimal digits.
     pub key: String,
--- a/crates/usage-ledger/src/reconcile/comparison.rs
+++ b/crates/usage-ledger/src/reconcile/comparison.rs
@@ -1,4 +1,4 @@
-//! Comparison of the ledger with the records of clients, request by request.
+//! Comparison of the ledger with the records of clients, one logical request at a time.
 
 use super::client_usage_row::ClientUsageRow;
 use super::report::{
@@ -36,7 +36,7 @@
     Ok(comparison.match_client_rows(&client_rows))
 }
 
-/// Properties of a logical request that are known both to the ledger and to the client.
+/// Properties by which a logical request of the ledger is matched with a client's request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     tenant: String,
@@ -49,7 +49,8 @@
 struct Comparison<'a> {
     calendar: &'a Calendar,
     report: ReconciliationReport,
-    /// Requests of the ledger that have not been matched with a client's request, oldest first.
+    /// Logical requests of the ledger that have not been matched with a client's request. Sorted by
+    /// arrival, oldest first, before the matching starts.
     unmatched: BTreeMap<RequestKey, VecDeque<LogicalRequest>>,
 }
 
@@ -137,12 +138,12 @@
     }
 
     fn total(&mut self, at_ms: i64, key: &RequestKey) -> &mut RequestTotals {
-        let total = TotalKey {
+        let total_key = TotalKey {
             period: self.calendar.period_at(at_ms).name(),
             tenant: key.tenant.clone(),
             class: key.class.clone(),
         };
-        self.report.totals.entry(total).or_default()
+        self.report.totals.entry(total_key).or_default()
     }
 
     fn add_difference(
--- a/crates/usage-ledger/src/reconcile/report.rs
+++ b/crates/usage-ledger/src/reconcile/report.rs
@@ -10,7 +10,7 @@
     OnlyInLedger,
     /// A client has recorded the request, but the ledger does not have it.
     OnlyAtClient,
-    /// Both sides have the request, with different outcomes.
+    /// Both sides have the request, with different kinds of answer: complete, partial or none.
     OutcomeDiffers,
 }
 
@@ -69,7 +69,8 @@
 }
 
 impl RequestTotals {
-    /// Returns whether both sides have the same numbers of requests and of answered requests.
+    /// Returns whether the ledger and the clients have the same numbers of requests and of answered
+    /// requests.
     pub fn is_equal(&self) -> bool {
         self.ledger_requests == self.client_requests && self.ledger_answered == self.client_answered
     }
@@ -80,13 +81,16 @@
 pub struct ReconciliationReport {
     /// Totals by period, tenant and class.
     pub totals: BTreeMap<TotalKey, RequestTotals>,
-    /// All differences on single requests.
+    /// All differences on single logical requests.
     pub differences: Vec<RequestDifference>,
 }
 
 impl ReconciliationReport {
-    /// Returns the number of totals on which the two sides differ.
+    /// Returns the number of totals in which the ledger and the clients differ.
     pub fn unequal_totals(&self) -> usize {
-        self.totals.values().filter(|pair| !pair.is_equal()).count()
+        self.totals
+            .values()
+            .filter(|totals| !totals.is_equal())
+            .count()
     }
 }
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -21,8 +21,8 @@
 pub(super) struct PeriodCloser {
     store: Store,
     pub(super) settings: LedgerSettings,
-    /// Waiting period that was logged last, so that it is not logged again.
-    waiting: Option<WaitingPeriod>,
+    /// Waiting period that was logged last, so that it is not logged again without a change.
+    last_logged: Option<WaitingPeriod>,
 }
 
 impl PeriodCloser {
@@ -30,14 +30,17 @@
         PeriodCloser {
             store,
             settings,
-            waiting: None,
+            last_logged: None,
         }
     }
 
     /// Applies new settings, except for the calendar and the store, which can't change at run time.
-    pub(super) fn reload(&mut self, next: LedgerSettings) {
+    pub(super) fn reload(&mut self, settings: LedgerSettings) {
         let calendar = self.settings.calendar.clone();
-        self.settings = LedgerSettings { calendar, ..next };
+        self.settings = LedgerSettings {
+            calendar,
+            ..settings
+        };
     }
 
     /// Stores a batch. Returns the position up to which the log of the member is stored.
@@ -120,7 +123,7 @@
     }
 
     fn log_waiting(&mut self, waiting: WaitingPeriod) {
-        if self.waiting.as_ref() == Some(&waiting) {
+        if self.last_logged.as_ref() == Some(&waiting) {
             return;
         }
         tracing::info!(
@@ -128,7 +131,7 @@
             missing = waiting.missing.join(" "),
             "period cannot close yet: waiting for the records of members"
         );
-        self.waiting = Some(waiting);
+        self.last_logged = Some(waiting);
     }
 }
 
--- a/crates/usage-ledger/src/settlement/collector.rs
+++ b/crates/usage-ledger/src/settlement/collector.rs
@@ -26,8 +26,9 @@
 pub(super) struct CollectedBatch {
     pub(super) member: String,
     pub(super) batch: Batch,
-    /// Receives the position up to which the log of the member is stored, once the batch is stored.
-    pub(super) stored: oneshot::Sender<LogPosition>,
+    /// Sends back the position up to which the log of the member is stored, once this includes the
+    /// batch.
+    pub(super) position_sender: oneshot::Sender<LogPosition>,
 }
 
 /// Delays and timeouts of collection.
@@ -56,7 +57,7 @@
     #[error("gRPC call failed: {0}")]
     Rpc(#[from] Status),
     #[error("cannot read the stored position: {0}")]
-    LogPosition(#[from] StoreError),
+    StoredPosition(#[from] StoreError),
     #[error("task that reads the stored position failed: {0}")]
     Task(#[from] tokio::task::JoinError),
     #[error("no message within the idle timeout")]
@@ -83,17 +84,17 @@
 impl Collector {
     /// Collects until the task is aborted. Reconnects after failures, with exponential backoff.
     pub(super) async fn run(self) {
-        let mut failures: u32 = 0;
+        let mut consecutive_failures: u32 = 0;
         loop {
-            let started = Instant::now();
+            let started_at = Instant::now();
             let Err(error) = self.follow().await;
             let times = *lock(&self.times);
-            failures = if started.elapsed() > times.idle_timeout {
+            consecutive_failures = if started_at.elapsed() > times.idle_timeout {
                 0
             } else {
-                failures + 1
+                consecutive_failures + 1
             };
-            if failures <= 1 {
+            if consecutive_failures <= 1 {
                 tracing::info!(
                     member = self.member,
                     address = %self.address,
@@ -101,7 +102,9 @@
                     "collection from a member failed; retrying"
                 );
             }
-            let doublings = failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+            let doublings = consecutive_failures
+                .saturating_sub(1)
+                .min(MAX_BACKOFF_DOUBLINGS);
             tokio::time::sleep(times.retry_delay * 2u32.pow(doublings)).await;
         }
     }
@@ -118,15 +121,15 @@
             sequence: position.sequence,
         };
         let mut stream = client.follow(request).await?.into_inner();
-        let mut acknowledged = Instant::now();
+        let mut acknowledged_at = Instant::now();
         loop {
             let Some(batch) = self.next_batch(&mut stream, idle_timeout).await? else {
                 continue;
             };
             let position = self.store(batch).await?;
-            if acknowledged.elapsed() >= ACKNOWLEDGE_INTERVAL {
+            if acknowledged_at.elapsed() >= ACKNOWLEDGE_INTERVAL {
                 acknowledge(&mut client, position).await?;
-                acknowledged = Instant::now();
+                acknowledged_at = Instant::now();
             }
         }
     }
@@ -136,8 +139,8 @@
     async fn stored_position(&self) -> Result<LogPosition, CollectError> {
         let path = self.store_path.clone();
         let member = self.member.clone();
-        let position = move || Store::open(&path)?.position(&member);
-        Ok(tokio::task::spawn_blocking(position).await??)
+        let read_position = move || Store::open(&path)?.position(&member);
+        Ok(tokio::task::spawn_blocking(read_position).await??)
     }
 
     /// Receives the next batch; returns `None` for a heartbeat.
@@ -166,11 +169,11 @@
 
     /// Passes a batch to the main loop and waits until it is stored. Returns the new position.
     async fn store(&self, batch: Batch) -> Result<LogPosition, CollectError> {
-        let (stored, position) = oneshot::channel();
+        let (position_sender, position) = oneshot::channel();
         let collected = CollectedBatch {
             member: self.member.clone(),
             batch,
-            stored,
+            position_sender,
         };
         let sent = self.batches.send(collected).await;
         sent.map_err(|_| CollectError::ShuttingDown)?;
@@ -178,7 +181,7 @@
     }
 }
 
-/// Tells a member up to which position its log is stored and may be removed.
+/// Reports to a member the position up to which its log is stored, so that it can remove segments.
 async fn acknowledge(
     client: &mut UsageLogClient<Channel>,
     position: LogPosition,
--- a/crates/usage-ledger/src/settlement/collectors.rs
+++ b/crates/usage-ledger/src/settlement/collectors.rs
@@ -21,7 +21,7 @@
     store_path: PathBuf,
     times: Arc<Mutex<CollectionTimes>>,
     batches: mpsc::Sender<CollectedBatch>,
-    followed: BTreeMap<String, FollowedMember>,
+    followed_members: BTreeMap<String, FollowedMember>,
 }
 
 impl Collectors {
@@ -34,7 +34,7 @@
             store_path,
             times: Arc::new(Mutex::new(times)),
             batches,
-            followed: BTreeMap::new(),
+            followed_members: BTreeMap::new(),
         }
     }
 
@@ -44,7 +44,7 @@
 
     /// Starts and aborts tasks, so that exactly the logs of `members` are collected.
     pub(super) fn follow(&mut self, members: &BTreeMap<String, Member>) {
-        self.followed.retain(|name, followed| {
+        self.followed_members.retain(|name, followed| {
             let member = members.get(name);
             let is_unchanged = member.is_some_and(|member| member.address == followed.address);
             if !is_unchanged {
@@ -53,7 +53,7 @@
             is_unchanged
         });
         for (name, member) in members {
-            if self.followed.contains_key(name) {
+            if self.followed_members.contains_key(name) {
                 continue;
             }
             let collector = Collector {
@@ -67,12 +67,12 @@
                 address: member.address,
                 task: tokio::spawn(collector.run()).abort_handle(),
             };
-            self.followed.insert(name.clone(), followed);
+            self.followed_members.insert(name.clone(), followed);
         }
     }
 
     pub(super) fn stop(&self) {
-        for followed in self.followed.values() {
+        for followed in self.followed_members.values() {
             followed.task.abort();
         }
     }
--- a/crates/usage-ledger/src/settlement/exporter.rs
+++ b/crates/usage-ledger/src/settlement/exporter.rs
@@ -1,4 +1,4 @@
-//! The thread that sends the documents in the outbox and retries until they are acknowledged.
+//! The thread that delivers the documents in the outbox, with retries after failures.
 
 use super::clock::unix_time_ms;
 use super::lock::lock;
@@ -72,8 +72,8 @@
             if state.is_stopping() {
                 return Ok(());
             }
-            let retry = retry_at.get(&document.id);
-            if retry.is_none_or(|at| *at <= Instant::now()) {
+            let next_attempt = retry_at.get(&document.id);
+            if next_attempt.is_none_or(|at| *at <= Instant::now()) {
                 send(&store, &target, &document, &mut retry_at)?;
             }
         }
@@ -99,9 +99,9 @@
         document = document.id,
         attempts,
         error = error.to_string(),
-        "document was not acknowledged; retrying"
+        "document was not delivered; retrying"
     );
-    let pause = export::retry_backoff(target.retry_delay, attempts);
-    retry_at.insert(document.id.clone(), Instant::now() + pause);
+    let backoff = export::retry_backoff(target.retry_delay, attempts);
+    retry_at.insert(document.id.clone(), Instant::now() + backoff);
     Ok(())
 }
--- a/crates/usage-ledger/src/settlement/service.rs
+++ b/crates/usage-ledger/src/settlement/service.rs
@@ -18,42 +18,42 @@
 
 /// Command to the running settlement.
 pub enum SettlementSignal {
-    /// Apply new settings.
+    /// Apply new settings, except for the store and the calendar, which stay in force.
     Reload(Box<LedgerSettings>),
-    /// Shut down gracefully.
+    /// Stop the collection and the export, and return from [`serve`].
     Shutdown,
 }
 
-/// Runs the settlement until it receives [`SettlementSignal::Shutdown`] or all senders of `signals`
-/// are dropped.
+/// Runs the settlement with the store at `store_path` until it receives
+/// [`SettlementSignal::Shutdown`] or all senders of `signals` are dropped.
 ///
 /// # Errors
 /// The store can't be opened, read or written.
 pub async fn serve(
-    path: PathBuf,
+    store_path: PathBuf,
     settings: LedgerSettings,
     mut signals: mpsc::Receiver<SettlementSignal>,
 ) -> Result<(), StoreError> {
-    let store = Store::open(&path)?;
-    let exporter = Exporter::start(path.clone(), settings.export.clone());
+    let store = Store::open(&store_path)?;
+    let exporter = Exporter::start(store_path.clone(), settings.export.clone());
     let (sender, mut batches) = mpsc::channel(MAX_QUEUED_BATCHES);
-    let mut collectors = Collectors::new(path, CollectionTimes::of(&settings), sender);
+    let mut collectors = Collectors::new(store_path, CollectionTimes::of(&settings), sender);
     let mut closer = PeriodCloser::new(store, settings);
     loop {
         collectors.follow(&closer.settings.members);
         tokio::select! {
             biased;
             signal = signals.recv() => match signal {
-                Some(SettlementSignal::Reload(next)) => {
-                    exporter.reload(next.export.clone());
-                    collectors.reload(CollectionTimes::of(&next));
-                    closer.reload(*next);
+                Some(SettlementSignal::Reload(settings)) => {
+                    exporter.reload(settings.export.clone());
+                    collectors.reload(CollectionTimes::of(&settings));
+                    closer.reload(*settings);
                 }
                 Some(SettlementSignal::Shutdown) | None => break,
             },
-            Some(CollectedBatch { member, batch, stored }) = batches.recv() => {
+            Some(CollectedBatch { member, batch, position_sender }) = batches.recv() => {
                 let position = tokio::task::block_in_place(|| closer.ingest(&member, &batch))?;
-                let _ = stored.send(position);
+                let _ = position_sender.send(position);
             }
             () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
--- a/crates/usage-ledger/src/statement.rs
+++ b/crates/usage-ledger/src/statement.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Rounding rule as it is named in statements.
+/// Text of [`Statement::rounding`].
 pub(crate) const ROUNDING: &str = "once a line, half a micro-unit up";
 
 /// A line of a statement: the usage of one tenant and class in one period.
@@ -71,9 +71,9 @@
 /// Completeness of the records of a member at the time when a period closed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberState {
-    /// Name of the aggregator.
+    /// Name of the member in the settings (`[member NAME]`).
     pub member: String,
-    /// Time up to which the records were complete, as UTC text; `None` if nothing was ever
+    /// Time before which all records had been collected, as UTC text; `None` if nothing was ever
     /// collected.
     #[serde(rename = "complete")]
     pub complete_until: Option<String>,
@@ -83,7 +83,7 @@
     /// Number of missing records: sequence numbers for which no record was collected.
     #[serde(rename = "lost")]
     pub lost_records: i64,
-    /// Number of runs that ended without a closing mark, for example in a crash.
+    /// Number of runs that ended without a closing watermark, for example in a crash.
     #[serde(rename = "died")]
     pub unclosed_runs: i64,
     /// Number of unreadable byte ranges in the log.
@@ -102,7 +102,7 @@
     /// Time at which the period was closed, as UTC text.
     #[serde(rename = "closed")]
     pub closed_at: String,
-    /// Aggregators that were configured as members during the period.
+    /// States of all members that were configured during the period.
     pub members: Vec<MemberState>,
     /// Adjustments of earlier periods, followed by the lines of the period itself.
     pub lines: Vec<StatementLine>,
@@ -112,7 +112,7 @@
     pub tenants: Vec<TenantTotal>,
     /// Sum of all lines and corrections, in micro-units.
     pub total: i64,
-    /// Rule by which amounts were rounded.
+    /// Rule by which the amounts of lines were rounded.
     pub rounding: String,
     /// SHA-256 of the previous statement in hexadecimal; empty for the first statement.
     #[serde(rename = "previous")]
@@ -123,7 +123,7 @@
 #[derive(Default)]
 struct TenantSum {
     answered: i64,
-    /// Micro-units.
+    /// In micro-units.
     amount: i64,
 }
 
--- a/crates/usage-ledger/src/store/carry_over.rs
+++ b/crates/usage-ledger/src/store/carry_over.rs
@@ -51,12 +51,12 @@
     Ok(changed)
 }
 
-/// Returns the carry-over of the last period that starts before `before_ms`; empty if there is
-/// none.
+/// Returns the carry-over of the last period that starts before `before_ms`; empty if there is no
+/// such period.
 fn load_before(db: &Connection, before_ms: i64) -> Result<CarryOver> {
-    let last = "SELECT max(start) FROM period WHERE start < ?";
-    let last: Option<i64> = db.query_row(last, [before_ms], |row| row.get(0))?;
-    load(db, last.unwrap_or(i64::MIN))
+    let select = "SELECT max(start) FROM period WHERE start < ?";
+    let last_start_ms: Option<i64> = db.query_row(select, [before_ms], |row| row.get(0))?;
+    load(db, last_start_ms.unwrap_or(i64::MIN))
 }
 
 fn load(db: &Connection, period_start_ms: i64) -> Result<CarryOver> {
--- a/crates/usage-ledger/src/store/closing.rs
+++ b/crates/usage-ledger/src/store/closing.rs
@@ -19,7 +19,7 @@
 use rusqlite::{params, Connection, OptionalExtension};
 use std::collections::{BTreeMap, HashMap};
 
-/// Settings in force and state of collection when a period is closed.
+/// Settings in force and state of the collection when a period is closed.
 #[derive(Clone, Debug)]
 pub struct ClosingTerms<'a> {
     /// Time limits for joining retries.
@@ -30,7 +30,7 @@
     pub allowances: &'a BTreeMap<String, u64>,
     /// Names of the members that were configured during the period.
     pub members: Vec<String>,
-    /// Names of the members whose records are missing.
+    /// Names of the members from which not all records of the period have been collected.
     pub missing: &'a [String],
     /// Time of closing, in Unix milliseconds.
     pub now_ms: i64,
@@ -65,11 +65,11 @@
     names: &'a HashMap<u32, String>,
 }
 
-/// Result of settling the period to close, or an earlier period that late records have changed.
+/// Result of settling the period to close or a dirty earlier period.
 struct SettlementResult {
     lines: LineCounts,
     /// Whether the carry-over of the period differs from the stored one.
-    carry_over_changed: bool,
+    has_carry_over_changed: bool,
 }
 
 impl Closing<'_> {
@@ -80,7 +80,7 @@
         for line in &lines {
             line.insert(self.db, self.period)?;
         }
-        let statement = self.statement(&lines, statuses)?;
+        let statement = self.build_statement(&lines, statuses)?;
         self.insert_statement(&statement)?;
         for document in Document::of_statement(&statement) {
             outbox::insert(self.db, &document, self.terms.now_ms)?;
@@ -105,14 +105,15 @@
         Ok(())
     }
 
-    /// Returns the adjustments of earlier periods that late records have changed.
+    /// Settles all dirty earlier periods again and returns their adjustments.
     fn adjustment_lines(&self) -> Result<Vec<LineRow>> {
         let mut lines = Vec::new();
         while let Some(earlier) = dirty::first_before(self.db, self.period.start_ms)? {
             let result = self.settle(earlier.period)?;
-            if result.carry_over_changed {
-                // The next period may have counted records that this one counts now, or vice versa.
-                // The period to close needs no mark, since it is settled last in any case.
+            if result.has_carry_over_changed {
+                // The period after `earlier` may have counted records that `earlier` counts now, or
+                // vice versa. The period to close need not be marked as dirty, since it is settled
+                // last in any case.
                 dirty::mark_following(self.db, earlier.period, self.period.start_ms)?;
             }
             lines.extend(self.adjust(&earlier, &result.lines)?);
@@ -124,14 +125,15 @@
         let billed = lines::load_billed_usage(self.db, earlier.period)?;
         let adjust = |(key, counts)| {
             let price = self.price(&earlier.prices, key);
-            let amount = current.get(&key);
-            let amount = amount.map_or(0, |counts| line_amount(counts, price.unwrap_or_default()));
+            let counts_now = current.get(&key);
+            let amount_now =
+                counts_now.map_or(0, |counts| line_amount(counts, price.unwrap_or_default()));
             LineRow {
                 period: earlier.period,
                 is_adjustment: true,
                 key,
                 counts,
-                amount: amount - billed.amounts.get(&key).copied().unwrap_or_default(),
+                amount: amount_now - billed.amounts.get(&key).copied().unwrap_or_default(),
                 is_unpriced: price.is_none(),
             }
         };
@@ -139,7 +141,7 @@
         Ok(differences.into_iter().map(adjust).collect())
     }
 
-    /// Returns the lines of the period itself.
+    /// Settles the period to close and returns its lines.
     fn own_lines(&self) -> Result<Vec<LineRow>> {
         let lines = self.settle(self.period)?.lines;
         let line = |(key, counts)| {
@@ -159,11 +161,11 @@
     /// Settles a period from its records and stores its carry-over.
     fn settle(&self, period: Period) -> Result<SettlementResult> {
         let settled = carry_over::settle(self.db, period, self.terms.bounds)?;
-        let carry_over_changed = carry_over::save(self.db, period, &settled)?;
+        let has_carry_over_changed = carry_over::save(self.db, period, &settled)?;
         dirty::clear(self.db, period)?;
         Ok(SettlementResult {
             lines: settled.lines,
-            carry_over_changed,
+            has_carry_over_changed,
         })
     }
 
@@ -172,7 +174,7 @@
         prices.get(class).copied()
     }
 
-    fn statement(&self, lines: &[LineRow], statuses: &[MemberStatus]) -> Result<Statement> {
+    fn build_statement(&self, lines: &[LineRow], statuses: &[MemberStatus]) -> Result<Statement> {
         let corrections = correction::assign_pending(self.db, self.period)?;
         let lines: Vec<_> = lines
             .iter()
@@ -181,11 +183,9 @@
         let line_total: i64 = lines.iter().map(|line| line.amount).sum();
         let correction_total: i64 = corrections.iter().map(|line| line.amount).sum();
         let members = self.terms.members.iter();
-        let last_hash = "SELECT hash FROM statement ORDER BY period DESC LIMIT 1";
-        let previous: Option<String> = self
-            .db
-            .query_row(last_hash, [], |row| row.get(0))
-            .optional()?;
+        let select = "SELECT hash FROM statement ORDER BY period DESC LIMIT 1";
+        let previous_hash: Option<String> =
+            self.db.query_row(select, [], |row| row.get(0)).optional()?;
         Ok(Statement {
             period: self.period.name(),
             period_end: format_timestamp(self.period.end_ms),
@@ -198,7 +198,7 @@
             lines,
             corrections,
             rounding: ROUNDING.into(),
-            previous_hash: previous.unwrap_or_default(),
+            previous_hash: previous_hash.unwrap_or_default(),
         })
     }
 
--- a/crates/usage-ledger/src/store/correction.rs
+++ b/crates/usage-ledger/src/store/correction.rs
@@ -17,7 +17,7 @@
     /// credit or debit document is put into the outbox and returned.
     ///
     /// # Errors
-    /// A correction with this id exists already, or the store can't be written.
+    /// A correction with the same id already exists, or the store can't be written.
     pub fn enter_correction(
         &mut self,
         correction: &CorrectionLine,
@@ -26,7 +26,7 @@
     ) -> Result<Option<Document>> {
         let transaction = self.begin()?;
         let select = "SELECT hash FROM statement WHERE period = ?";
-        let closed: Option<String> = transaction
+        let statement_hash: Option<String> = transaction
             .query_row(select, [period.start_ms], |row| row.get(0))
             .optional()?;
         let CorrectionLine {
@@ -36,14 +36,15 @@
             reason,
             author,
         } = correction;
-        let added = transaction.execute(
+        let inserted_rows = transaction.execute(
             "INSERT OR IGNORE INTO correction VALUES (?, ?, ?, ?, ?, ?, ?, NULL)",
             params![id, now_ms, tenant, period.start_ms, amount, reason, author],
         )?;
-        if added == 0 {
+        if inserted_rows == 0 {
             return Err(StoreError::DuplicateCorrection { id: id.clone() });
         }
-        let document = closed.map(|hash| Document::of_correction(correction, period, &hash));
+        let document =
+            statement_hash.map(|hash| Document::of_correction(correction, period, &hash));
         if let Some(document) = &document {
             outbox::insert(&transaction, document, now_ms)?;
         }
--- a/crates/usage-ledger/src/store/dirty.rs
+++ b/crates/usage-ledger/src/store/dirty.rs
@@ -20,8 +20,8 @@
 /// Marks as dirty the closed periods whose settlement reads a late record that arrived at
 /// `arrived_at_ms`.
 ///
-/// If no period contains `arrived_at_ms` and the record arrived before `closed_until_ms`, the end
-/// of the last closed period, inserts a dirty period. Times are in Unix milliseconds.
+/// If the record arrived before the end of the last closed period, `closed_until_ms`, but no period
+/// contains `arrived_at_ms`, inserts a dirty period. Times are in Unix milliseconds.
 pub(super) fn mark_late_arrival(
     db: &Connection,
     arrived_at_ms: i64,
@@ -46,18 +46,19 @@
     let period = calendar.period_at(arrived_at_ms);
     // The calendar may have changed since the other periods were closed: the new period must not
     // overlap them.
-    let after = "SELECT min(start) FROM period WHERE start > ?";
-    let after: Option<i64> = db.query_row(after, [arrived_at_ms], |row| row.get(0))?;
-    let before = "SELECT max(end) FROM period WHERE end <= ?";
-    let before: Option<i64> = db.query_row(before, [arrived_at_ms], |row| row.get(0))?;
-    let start = period.start_ms.max(before.unwrap_or(i64::MIN));
-    let end = period.end_ms.min(after.unwrap_or(i64::MAX));
-    db.execute("INSERT INTO period VALUES (?, ?, '{}', 1)", [start, end])?;
+    let select = "SELECT min(start) FROM period WHERE start > ?";
+    let next_start_ms: Option<i64> = db.query_row(select, [arrived_at_ms], |row| row.get(0))?;
+    let select = "SELECT max(end) FROM period WHERE end <= ?";
+    let previous_end_ms: Option<i64> = db.query_row(select, [arrived_at_ms], |row| row.get(0))?;
+    let start_ms = period.start_ms.max(previous_end_ms.unwrap_or(i64::MIN));
+    let end_ms = period.end_ms.min(next_start_ms.unwrap_or(i64::MAX));
+    let insert = "INSERT INTO period VALUES (?, ?, '{}', 1)";
+    db.execute(insert, [start_ms, end_ms])?;
     Ok(())
 }
 
-/// Returns the first dirty period that starts before `before_ms`. Only one is returned, because
-/// settling it may make the following period dirty.
+/// Returns the earliest dirty period that starts before `before_ms`. Returns only one period,
+/// because settling it may make the following period dirty.
 pub(super) fn first_before(db: &Connection, before_ms: i64) -> Result<Option<DirtyPeriod>> {
     let select =
         "SELECT start, end, prices FROM period WHERE dirty AND start < ? ORDER BY start LIMIT 1";
@@ -82,7 +83,7 @@
     Ok(())
 }
 
-/// Marks the period that follows `period` dirty if it starts before `before_ms`. Called when the
+/// Marks the period that follows `period` as dirty if it starts before `before_ms`. Called when the
 /// carry-over of `period` has changed.
 pub(super) fn mark_following(db: &Connection, period: Period, before_ms: i64) -> Result<()> {
     db.execute(
--- a/crates/usage-ledger/src/store/error.rs
+++ b/crates/usage-ledger/src/store/error.rs
@@ -20,7 +20,7 @@
         /// Name of the period.
         period: String,
     },
-    /// A correction with the same id exists already.
+    /// A correction with the same id already exists.
     #[error("correction {id} already exists")]
     DuplicateCorrection {
         /// Id of the correction.
--- a/crates/usage-ledger/src/store/ingest/batch.rs
+++ b/crates/usage-ledger/src/store/ingest/batch.rs
@@ -10,7 +10,7 @@
 use crate::wire::{entry::What, Batch, Damage, Entry, Record};
 use rusqlite::{params, CachedStatement, Connection};
 
-/// Numbers of records in an ingested batch.
+/// Numbers of records of an ingested batch, by what the ingestion did with them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IngestSummary {
     /// Number of records that are new to the store.
@@ -80,7 +80,7 @@
         for entry in entries {
             match &entry.what {
                 Some(What::Record(record)) => self.insert_record(&mut insert, record)?,
-                Some(What::Mark(mark)) => self.progress.on_mark(mark),
+                Some(What::Mark(watermark)) => self.progress.on_watermark(watermark),
                 None => {}
             }
         }
@@ -111,11 +111,11 @@
         Ok(())
     }
 
-    /// Inserts a record. Returns false if the store already had it.
+    /// Inserts a record. Returns `false` if the store already had it.
     fn insert_if_new(&self, insert: &mut CachedStatement<'_>, record: &Record) -> Result<bool> {
         let run = self.ids.run;
         let class = self.ids.class(record);
-        let inserted = insert.execute(params![
+        let inserted_rows = insert.execute(params![
             record.arrived_ms as i64,
             run.member_id,
             run.incarnation as i64,
@@ -131,7 +131,7 @@
             record.key as i64,
             class.client_timeout_ms
         ])?;
-        Ok(inserted > 0)
+        Ok(inserted_rows > 0)
     }
 }
 
--- a/crates/usage-ledger/src/store/ingest/header_ids.rs
+++ b/crates/usage-ledger/src/store/ingest/header_ids.rs
@@ -5,7 +5,8 @@
 use crate::store::uncertainty::RunKey;
 use crate::wire::{Header, Record};
 
-/// Name of the tenant for all requests to an aggregator that has no tenants configured.
+/// Name of the tenant for records whose tenant is not in the header. An aggregator without
+/// configured tenants writes only such records.
 const DEFAULT_TENANT: &str = "all";
 /// Name of the class for records whose class is not in the header.
 const UNKNOWN_CLASS: &str = "unknown";
@@ -58,13 +59,14 @@
         })
     }
 
-    /// Returns the id of the tenant of a record.
+    /// Returns the id of the tenant of a record, or of the default tenant if the header does not
+    /// contain the record's tenant.
     pub(super) fn tenant_id(&self, record: &Record) -> u32 {
         let tenant = self.tenant_ids.get(record.tenant as usize);
         tenant.copied().unwrap_or(self.default_tenant_id)
     }
 
-    /// Returns the class of a record.
+    /// Returns the class of a record, or the unknown class if the header does not contain it.
     pub(super) fn class(&self, record: &Record) -> StoredClass {
         let class = self.classes.get(record.class as usize);
         class.copied().unwrap_or(self.unknown_class)
--- a/crates/usage-ledger/src/store/ingest/run_progress.rs
+++ b/crates/usage-ledger/src/store/ingest/run_progress.rs
@@ -7,13 +7,13 @@
 
 /// Progress of the collection of one run of a member.
 pub(super) struct RunProgress {
-    /// Highest sequence number of a record or mark.
+    /// Highest sequence number of a collected record or watermark.
     last_sequence: i64,
     /// Time before which all records of the run are in the store, in Unix milliseconds.
     complete_until_ms: i64,
-    /// Highest sequence number of a mark.
-    marked_sequence: i64,
-    /// Whether the closing mark has been collected.
+    /// Highest sequence number of a collected watermark.
+    watermark_sequence: i64,
+    /// Whether the closing watermark has been collected.
     has_ended: bool,
     /// Number of sequence numbers up to `last_sequence` for which no record has been collected.
     lost_records: i64,
@@ -30,7 +30,7 @@
                 Ok(RunProgress {
                     last_sequence: row.get(0)?,
                     complete_until_ms: row.get(1)?,
-                    marked_sequence: row.get(2)?,
+                    watermark_sequence: row.get(2)?,
                     has_ended: row.get(3)?,
                     lost_records: row.get(4)?,
                 })
@@ -39,7 +39,7 @@
         Ok(stored.optional()?.unwrap_or(RunProgress {
             last_sequence: 0,
             complete_until_ms: i64::MIN,
-            marked_sequence: 0,
+            watermark_sequence: 0,
             has_ended: false,
             lost_records: 0,
         }))
@@ -53,7 +53,7 @@
                 run.incarnation as i64,
                 self.last_sequence,
                 self.complete_until_ms,
-                self.marked_sequence,
+                self.watermark_sequence,
                 self.has_ended,
                 self.lost_records
             ],
@@ -73,14 +73,14 @@
         self.last_sequence = self.last_sequence.max(sequence);
     }
 
-    /// Updates the progress for a mark. Records before the mark that were not collected count as
-    /// lost.
-    pub(super) fn on_mark(&mut self, mark: &Mark) {
-        let sequence = mark.sequence as i64;
+    /// Updates the progress for a watermark. Records before the watermark that were not collected
+    /// count as lost until they are collected.
+    pub(super) fn on_watermark(&mut self, watermark: &Mark) {
+        let sequence = watermark.sequence as i64;
         self.lost_records += (sequence - self.last_sequence).max(0);
         self.last_sequence = self.last_sequence.max(sequence);
-        self.marked_sequence = self.marked_sequence.max(sequence);
-        self.complete_until_ms = self.complete_until_ms.max(mark.complete_ms as i64);
-        self.has_ended |= mark.end;
+        self.watermark_sequence = self.watermark_sequence.max(sequence);
+        self.complete_until_ms = self.complete_until_ms.max(watermark.complete_ms as i64);
+        self.has_ended |= watermark.end;
     }
 }
--- a/crates/usage-ledger/src/store/lines.rs
+++ b/crates/usage-ledger/src/store/lines.rs
@@ -12,7 +12,7 @@
 
 /// A line of a statement, with ids in place of names.
 pub(super) struct LineRow {
-    /// Period of the counted requests.
+    /// Period of the counted logical requests.
     pub(super) period: Period,
     /// Whether the line adjusts a period that was closed before.
     pub(super) is_adjustment: bool,
@@ -56,15 +56,15 @@
     }
 }
 
-/// Usage of a period, summed over all statements so far.
+/// Billed usage of a period: the sums of its lines in all statements so far.
 #[derive(Default)]
 pub(super) struct BilledUsage {
     pub(super) lines: LineCounts,
-    /// Billed amounts, in micro-units.
+    /// In micro-units.
     pub(super) amounts: BTreeMap<LineKey, i64>,
 }
 
-/// Returns the usage of `period`, summed over all statements so far.
+/// Returns the usage of `period` that all statements so far have billed.
 pub(super) fn load_billed_usage(db: &Connection, period: Period) -> Result<BilledUsage> {
     let mut select = db.prepare(
         "SELECT tenant, class, sum(uses), sum(whole), sum(partial), sum(share), sum(refused), sum(failed), sum(gone),
--- a/crates/usage-ledger/src/store/mod.rs
+++ b/crates/usage-ledger/src/store/mod.rs
@@ -13,7 +13,7 @@
 //! | `ingest` | stores batches of records | one per batch |
 //! | `closing` | closes a period and adjusts earlier ones | one per period |
 //! | `correction` | enters corrections | one per correction |
-//! | `outbox` | stores documents and the state of their delivery | one per delivery |
+//! | `outbox` | stores documents and the results of their delivery | one per delivery |
 //! | `queries` | reads positions, members, periods and statements | none |
 //! | `verification` | checks statements and documents against the records | none |
 
--- a/crates/usage-ledger/src/store/queries.rs
+++ b/crates/usage-ledger/src/store/queries.rs
@@ -13,20 +13,20 @@
 /// State of the collection from one member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
-    /// Name of the aggregator.
+    /// Name of the member in the settings (`[member NAME]`).
     pub member: String,
-    /// Position of the last collected record or mark in the latest run.
+    /// Position of the last collected record or watermark in the latest run.
     pub position: LogPosition,
     /// Time before which all records of the latest run are in the store, in Unix milliseconds.
     pub complete_until_ms: i64,
-    /// Whether the latest run has ended with a closing mark.
+    /// Whether the closing watermark of the latest run has been collected.
     pub has_ended: bool,
     /// Number of collected records, over all runs.
     pub records: i64,
     /// Number of missing records, over all runs: sequence numbers for which no record was
     /// collected.
     pub lost_records: i64,
-    /// Number of earlier runs that ended without a closing mark, for example in a crash.
+    /// Number of earlier runs that ended without a closing watermark, for example in a crash.
     pub unclosed_runs: i64,
     /// Number of unreadable byte ranges in the log.
     pub damaged_ranges: i64,
@@ -43,14 +43,14 @@
     pub body: String,
 }
 
-/// A closed period. Periods before the last closed one are included even if they have no statement,
-/// because all of their records were late.
+/// A closed period, or a period before the last closed one that has no statement because all of its
+/// records were late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClosedPeriod {
     /// Time range of the period.
     pub period: Period,
-    /// Whether late records may have changed the counts, so that the period is settled again when
-    /// the next one closes.
+    /// Whether the period is dirty: late records may have changed its counts, so it will be settled
+    /// again when the next period closes.
     pub has_pending_late_records: bool,
 }
 
@@ -66,7 +66,7 @@
     }
 
     /// Returns the position up to which the log of a member is stored; the default position if
-    /// nothing was ever collected.
+    /// nothing was ever collected from the member.
     ///
     /// # Errors
     /// The store can't be read.
@@ -118,7 +118,7 @@
     }
 
     /// Returns the number of records of one run of a member, by tenant and class. The keys have the
-    /// form `TENANT CLASS`, as in the counters of the aggregator.
+    /// form `TENANT CLASS`, like the keys in the counters of the aggregator.
     ///
     /// # Errors
     /// The store can't be read.
@@ -134,23 +134,21 @@
         Ok(counts.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// Returns the period to close next; `None` if no period was closed and there is no record.
+    /// Returns the period to close next: the one after the last closed period or, if no period was
+    /// closed, the period of the first record. Returns `None` if there is neither.
     ///
     /// # Errors
     /// The store can't be read.
     pub fn next_period(&self, calendar: &Calendar) -> Result<Option<Period>> {
-        let last_end = "SELECT max(end) FROM period WHERE start IN (SELECT period FROM statement)";
-        let last_end: Option<i64> = self.db.query_row(last_end, [], |row| row.get(0))?;
-        if let Some(start) = last_end {
-            let end = calendar.period_at(start).end_ms;
-            return Ok(Some(Period {
-                start_ms: start,
-                end_ms: end,
-            }));
+        let select = "SELECT max(end) FROM period WHERE start IN (SELECT period FROM statement)";
+        let last_end_ms: Option<i64> = self.db.query_row(select, [], |row| row.get(0))?;
+        if let Some(start_ms) = last_end_ms {
+            let end_ms = calendar.period_at(start_ms).end_ms;
+            return Ok(Some(Period { start_ms, end_ms }));
         }
-        let first_arrival = "SELECT min(at) FROM record";
-        let first_arrival: Option<i64> = self.db.query_row(first_arrival, [], |row| row.get(0))?;
-        Ok(first_arrival.map(|at| calendar.period_at(at)))
+        let select = "SELECT min(at) FROM record";
+        let first_arrival_ms: Option<i64> = self.db.query_row(select, [], |row| row.get(0))?;
+        Ok(first_arrival_ms.map(|arrived_at_ms| calendar.period_at(arrived_at_ms)))
     }
 
     /// Returns all statements, oldest first.
@@ -174,7 +172,7 @@
         .collect()
     }
 
-    /// Returns the closed periods, oldest first.
+    /// Returns the closed periods, and those without a statement before them, oldest first.
     ///
     /// # Errors
     /// The store can't be read.
--- a/crates/usage-ledger/src/store/records.rs
+++ b/crates/usage-ledger/src/store/records.rs
@@ -1,7 +1,7 @@
 //! Reads usage records: maps rows of the table `record` to [`UsageRecord`]s.
 //!
-//! Transaction boundary: none. Within a transaction of the caller all functions run in it; outside
-//! of one, each query reads one consistent snapshot.
+//! Transaction boundary: none. If the caller has begun a transaction, all functions run in it;
+//! otherwise each query reads one consistent snapshot.
 
 use super::database::Store;
 use super::error::Result;
@@ -48,7 +48,7 @@
     arrivals: Range<i64>,
     mut on_record: impl FnMut(UsageRecord),
 ) -> Result<()> {
-    let uncertain = uncertainty::uncertain_tails(db, None)?;
+    let uncertain_tails = uncertainty::uncertain_tails(db, None)?;
     let mut select = db.prepare_cached(
         "SELECT at, member, incarnation, sequence, tenant, class, outcome, share, parts, attempts, crossed, flags,
            key, give_up FROM record WHERE at >= ? AND at < ? ORDER BY at, member, incarnation, sequence",
@@ -60,7 +60,7 @@
             member_id: record.member_id,
             incarnation: record.incarnation,
         };
-        let tail = uncertain.get(&run);
+        let tail = uncertain_tails.get(&run);
         record.is_reply_uncertain = tail.is_some_and(|tail| record.sequence > tail.after_sequence);
         on_record(record);
     }
@@ -78,7 +78,7 @@
         sequence: row.get(3)?,
         tenant_id: row.get(4)?,
         class_id: row.get(5)?,
-        outcome: outcome(row.get(6)?, row.get(7)?),
+        outcome: outcome_from_number(row.get(6)?, row.get(7)?),
         parts: row.get(8)?,
         attempts: row.get(9)?,
         cross_zone_attempts: row.get(10)?,
@@ -90,12 +90,12 @@
     })
 }
 
-/// Maps the stored number of an outcome. An unknown number, which only a newer release can have
-/// written, counts as failed.
-fn outcome(number: i32, share: u32) -> RecordedOutcome {
+/// Returns the outcome for its stored number. An unknown number, which only a newer release can
+/// have written, counts as failed.
+fn outcome_from_number(number: i32, share_millionths: u32) -> RecordedOutcome {
     match WireOutcome::try_from(number) {
         Ok(WireOutcome::Whole) => RecordedOutcome::Complete,
-        Ok(WireOutcome::Partial) => RecordedOutcome::Partial(share),
+        Ok(WireOutcome::Partial) => RecordedOutcome::Partial(share_millionths),
         Ok(WireOutcome::Refused) => RecordedOutcome::Rejected,
         Ok(WireOutcome::Left) => RecordedOutcome::Cancelled,
         Ok(WireOutcome::Failed) | Err(_) => RecordedOutcome::Failed,
--- a/crates/usage-ledger/src/store/uncertainty.rs
+++ b/crates/usage-ledger/src/store/uncertainty.rs
@@ -1,4 +1,4 @@
-//! Runs of aggregators that ended without a closing mark, for example in a crash. The last replies
+//! Runs of members that ended without a closing watermark, for example in a crash. The last replies
 //! of such a run may not have been sent, so retries may belong to requests that are recorded as
 //! answered.
 //!
@@ -9,14 +9,14 @@
 use rusqlite::{params, Connection};
 use std::collections::{BTreeSet, HashMap};
 
-/// One run of an aggregator.
+/// Identity of one run of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct RunKey {
     pub(super) member_id: u32,
     pub(super) incarnation: u64,
 }
 
-/// The uncertain tail of a run: its last records, whose replies may not have been sent.
+/// The uncertain tail of a run: its last records, for which the replies may not have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UncertainTail {
     /// Sequence number of the last record before the tail.
@@ -29,8 +29,8 @@
 
 /// Returns the uncertain tails of one member, or of all members if `member_id` is `None`.
 ///
-/// A run has an uncertain tail if it has no closing mark although a later run of the same member
-/// has started.
+/// A run has an uncertain tail if it has no closing watermark although a later run of the same
+/// member has started. The tail consists of the records after the last watermark.
 pub(super) fn uncertain_tails(db: &Connection, member_id: Option<u32>) -> Result<UncertainTails> {
     let mut select = db.prepare_cached(
         "SELECT member, incarnation, marked, complete FROM position p WHERE NOT ended AND member = coalesce(?, member)
@@ -51,7 +51,7 @@
 }
 
 /// Marks as dirty the closed periods whose settlement reads records of a tail that has changed
-/// between `before` and `after`, since retries may now join other requests.
+/// between `before` and `after`, since retries may now join other logical requests.
 pub(super) fn mark_changed_tails(
     db: &Connection,
     before: &UncertainTails,
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -20,7 +20,7 @@
 /// Result of a verification.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerificationReport {
-    /// Number of statements, documents and periods that were checked.
+    /// Number of items that were checked: statements, documents and periods.
     pub checked: u64,
     /// Faults that were found, in the order of the checks.
     pub faults: Vec<VerificationFault>,
--- a/crates/usage-ledger/src/writer/handle.rs
+++ b/crates/usage-ledger/src/writer/handle.rs
@@ -19,7 +19,8 @@
 pub struct UsageLogWriter {
     /// `None` after [`UsageLogWriter::close`].
     queue: Option<SyncSender<Entry>>,
-    written: watch::Receiver<u64>,
+    /// Sequence number of the last record that was written or lost.
+    written_sequence: watch::Receiver<u64>,
     counters: Arc<WriterCounters>,
     max_reply_delay: Duration,
     collection_address: Option<SocketAddr>,
@@ -28,18 +29,18 @@
 }
 
 impl UsageLogWriter {
-    /// Creates the handle of a thread that writes the entries of `queue` and publishes to
-    /// `written`.
+    /// Creates the handle of a thread that writes the entries of `queue` and publishes its progress
+    /// to `written_sequence`.
     pub(super) fn new(
         queue: SyncSender<Entry>,
-        written: watch::Receiver<u64>,
+        written_sequence: watch::Receiver<u64>,
         counters: Arc<WriterCounters>,
         max_reply_delay: Duration,
         thread: JoinHandle<()>,
     ) -> UsageLogWriter {
         UsageLogWriter {
             queue: Some(queue),
-            written,
+            written_sequence,
             counters,
             max_reply_delay,
             collection_address: None,
@@ -52,7 +53,7 @@
         self.collection_address = Some(address);
     }
 
-    /// Queues an entry without waiting. Returns false if the queue is full or closed.
+    /// Queues an entry without waiting. Returns `false` if the queue is full or closed.
     pub fn try_enqueue(&mut self, what: What) -> bool {
         let entry = Entry { what: Some(what) };
         self.queue
@@ -68,7 +69,7 @@
     /// Returns a receiver for the sequence number of the last processed record, which was either
     /// handed to the operating system or lost.
     pub fn written_sequence(&self) -> watch::Receiver<u64> {
-        self.written.clone()
+        self.written_sequence.clone()
     }
 
     /// Returns the maximum time that a reply waits for its record to be written.
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Closes the queue and waits until the thread has written all queued entries, or until a
-    /// timeout.
+    /// Closes the queue and waits until the thread has processed all queued entries, but no longer
+    /// than 2 s. Later calls do nothing.
     pub fn close(&mut self) {
         self.queue = None;
         let Some(thread) = self.thread.take() else {
--- a/crates/usage-ledger/src/writer/run_tables.rs
+++ b/crates/usage-ledger/src/writer/run_tables.rs
@@ -1,4 +1,4 @@
-//! The names of the classes and tenants that records refer to by number.
+//! The classes and tenants that records refer to by index.
 
 use crate::log::VERSION;
 use crate::wire::{Class, Header};
@@ -6,14 +6,14 @@
 /// Number of nanoseconds in a millisecond.
 pub(super) const NANOSECONDS_PER_MS: u64 = 1_000_000;
 
-/// Tables of the names that records refer to by number, for one run of an aggregator.
+/// Classes and tenants that the records of one run of an aggregator refer to by index.
 #[derive(Clone, Debug, Default)]
 pub struct RunTables {
     /// Name of the aggregator that writes the log.
     pub aggregator: String,
-    /// Classes, indexed by their numbers in records.
+    /// Classes; records contain indexes into this list.
     pub classes: Vec<RunClass>,
-    /// Names of tenants, indexed by their numbers in records.
+    /// Names of tenants; records contain indexes into this list.
     pub tenants: Vec<String>,
 }
 
--- a/crates/usage-ledger/src/writer/start.rs
+++ b/crates/usage-ledger/src/writer/start.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Opens the log for a new run and starts its writer. If the settings contain a listen address,
-/// starts the collection service there. Removes a partial write from the end of the log.
+/// Opens the log for a new run, removes a partial write from its end, and starts its writer. If
+/// the settings contain a listen address, starts the collection service there.
 ///
 /// `now_ns` is the current time in Unix nanoseconds.
 ///
@@ -47,16 +47,16 @@
     now_ns: u64,
 ) -> Result<UsageLogWriter, StartError> {
     let directory = &settings.directory;
-    let in_directory = |source: io::Error| StartError::Directory {
+    let directory_error = |source: io::Error| StartError::Directory {
         directory: directory.clone(),
         source,
     };
-    fs::create_dir_all(directory).map_err(in_directory)?;
+    fs::create_dir_all(directory).map_err(directory_error)?;
     let lock = lock(directory)?;
-    let last_segment = repaired_last_segment(directory).map_err(in_directory)?;
+    let last_segment = repair_last_segment(directory).map_err(directory_error)?;
     let incarnation = next_incarnation(now_ns, last_segment.as_ref());
     let (queue, entries) = sync_channel(settings.queue_entries);
-    let (publish_written, written) = watch::channel(0);
+    let (publish_written, written_sequence) = watch::channel(0);
     let counters = Arc::<WriterCounters>::default();
     let header = tables.into_header(incarnation);
     let thread = WriterThread::new(disk, lock, settings, header, publish_written, &counters);
@@ -68,14 +68,14 @@
     let max_reply_delay = settings.max_reply_delay;
     Ok(UsageLogWriter::new(
         queue,
-        written,
+        written_sequence,
         counters,
         max_reply_delay,
         thread,
     ))
 }
 
-/// Locks the log, so that no other process can write to it.
+/// Locks the log, so that no other writer can open it.
 fn lock(directory: &Path) -> Result<File, StartError> {
     let lock = OpenOptions::new()
         .create(true)
@@ -95,7 +95,7 @@
 }
 
 /// Removes a partial write from the end of the log. Returns the last segment; `None` for a new log.
-fn repaired_last_segment(directory: &Path) -> io::Result<Option<Segment>> {
+fn repair_last_segment(directory: &Path) -> io::Result<Option<Segment>> {
     let Some(last) = segments(directory)?.pop() else {
         return Ok(None);
     };
@@ -104,7 +104,7 @@
         tracing::warn!(
             segment = last.name(),
             bytes = torn_bytes,
-            "removed a partial record from the end of the usage log"
+            "removed a partial write from the end of the usage log"
         );
     }
     Ok(Some(last))
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -22,7 +22,7 @@
 /// Maximum time that the thread waits for an entry before it polls the queue again.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The segment that is currently written.
+/// The segment to which batches are appended.
 struct OpenSegment {
     file: File,
     /// Length of the magic number and all complete frames, in bytes.
@@ -32,9 +32,9 @@
 /// A batch of encoded entries.
 struct EncodedBatch {
     bytes: Vec<u8>,
-    /// Sequence number of the first record that may be in the batch.
+    /// Lower bound on the sequence numbers of the records in the batch.
     first_sequence: u64,
-    /// Sequence number of the last record in this or an earlier batch.
+    /// Sequence number of the last record in this batch or, if it has none, in earlier batches.
     last_sequence: u64,
     /// Number of records in the batch.
     records: u64,
@@ -49,6 +49,7 @@
     segment_bytes: u64,
     max_log_bytes: u64,
     header: Header,
+    /// `None` if the next write must create a segment.
     open: Option<OpenSegment>,
     publish_written: watch::Sender<u64>,
     counters: Arc<WriterCounters>,
@@ -110,7 +111,8 @@
         counter.fetch_add(batch.records, Ordering::Relaxed);
     }
 
-    /// Appends a batch to the current segment, or to a new one if there is none or it is full.
+    /// Appends a batch to the open segment, or to a new one if none is open or the open one has
+    /// reached its size limit.
     fn append(&mut self, batch: &EncodedBatch) -> Result<(), AppendError> {
         let failed_recently = |at: Instant| at.elapsed() < RETRY_INTERVAL;
         if self.failed_at.is_some_and(failed_recently) {
