--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -61,8 +61,8 @@
     )
 }
 
-/// Naive implementation of the rules in the documentation of the module `join`, over all records at
-/// once.
+/// Joins all records at once: a naive implementation of the rules in the documentation of the
+/// module `join`. Returns the ids of the records of each logical request.
 fn join_naively(mut records: Vec<UsageRecord>) -> Vec<Vec<RecordId>> {
     records.sort_by_key(UsageRecord::id);
     let is_first = |record: &&UsageRecord| !record.is_retry && !record.has_idempotency_key;
@@ -134,17 +134,17 @@
         outcome,
         0u8..8,
     );
-    let record = |(at, member, tenant, key, is_retry, outcome, selector)| {
-        let keyed = selector == 0;
+    let record = |(arrived_at_ms, member_id, tenant_id, key, is_retry, outcome, selector)| {
+        let has_idempotency_key = selector == 0;
         UsageRecord {
-            member_id: member,
-            tenant_id: tenant,
-            key: key * 2 + u64::from(keyed),
-            has_idempotency_key: keyed,
+            member_id,
+            tenant_id,
+            key: key * 2 + u64::from(has_idempotency_key),
+            has_idempotency_key,
             is_retry,
             outcome,
             is_reply_uncertain: selector == 1,
-            ..first_record(at, 0)
+            ..first_record(arrived_at_ms, 0)
         }
     };
     prop::collection::vec(fields.prop_map(record), 0..60).prop_map(|mut records| {
@@ -155,24 +155,32 @@
     })
 }
 
-/// Settles one period in the same way as the store.
-fn settle(records: &[UsageRecord], period: Period, before: &CarryOver) -> (LineCounts, CarryOver) {
+/// Settles one period in the same way as the store. `previous` is the carry-over of the previous
+/// period.
+fn settle(
+    records: &[UsageRecord],
+    period: Period,
+    previous: &CarryOver,
+) -> (LineCounts, CarryOver) {
     let arrivals = BOUNDS.arrivals(period);
     let records = records.iter().copied();
-    let mut arrived: Vec<UsageRecord> = records
+    let mut arrived_records: Vec<UsageRecord> = records
         .filter(|record| arrivals.contains(&record.arrived_at_ms))
         .collect();
-    arrived.sort_by_key(UsageRecord::id);
-    let mut settler = PeriodSettler::new(period, BOUNDS, before.clone());
-    arrived.into_iter().for_each(|record| settler.push(record));
+    arrived_records.sort_by_key(UsageRecord::id);
+    let mut settler = PeriodSettler::new(period, BOUNDS, previous.clone());
+    arrived_records
+        .into_iter()
+        .for_each(|record| settler.push(record));
     let settled = settler.finish();
     (settled.lines, settled.carry_over)
 }
 
-fn period(n: i64) -> Period {
+/// Returns the period with this number. Period 0 starts at time 0.
+fn period(number: i64) -> Period {
     Period {
-        start_ms: n * PERIOD_MS,
-        end_ms: (n + 1) * PERIOD_MS,
+        start_ms: number * PERIOD_MS,
+        end_ms: (number + 1) * PERIOD_MS,
     }
 }
 
@@ -199,7 +207,7 @@
     }
 
     #[test]
-    fn periods_settled_one_by_one_have_the_counts_of_all_records_joined_at_once(records in arbitrary_records()) {
+    fn periods_settled_one_by_one_have_the_counts_of_one_join(records in arbitrary_records()) {
         let mut expected: BTreeMap<i64, LineCounts> = BTreeMap::new();
         for request in join(records.clone()) {
             let first = request.first();
@@ -208,9 +216,10 @@
             lines.entry(key).or_default().add(&request);
         }
         let mut carry_over = CarryOver::default();
-        for n in 0..4 {
-            let (lines, next) = settle(&records, period(n), &carry_over);
-            prop_assert_eq!(lines, expected.remove(&n).unwrap_or_default(), "wrong counts in period {}", n);
+        for number in 0..4 {
+            let (lines, next) = settle(&records, period(number), &carry_over);
+            let expected_lines = expected.remove(&number).unwrap_or_default();
+            prop_assert_eq!(lines, expected_lines, "wrong counts in period {}", number);
             carry_over = next;
         }
         prop_assert!(expected.is_empty());
@@ -224,14 +233,14 @@
         let early: Vec<UsageRecord> = records.iter().filter(is_early).copied().collect();
         let mut billed: Vec<LineCounts> = Vec::new();
         let mut carry_over = CarryOver::default();
-        for n in 0..4 {
-            let (lines, next) = settle(&early, period(n), &carry_over);
+        for number in 0..4 {
+            let (lines, next) = settle(&early, period(number), &carry_over);
             billed.push(lines);
             carry_over = next;
         }
         let mut carry_over = CarryOver::default();
-        for (n, billed) in (0..4).zip(&billed) {
-            let (current, next) = settle(&records, period(n), &carry_over);
+        for (number, billed) in (0..4).zip(&billed) {
+            let (current, next) = settle(&records, period(number), &carry_over);
             let adjusted = adjustments(&current, billed);
             let both = billed.values().chain(adjusted.values()).copied();
             prop_assert_eq!(total(both), total(current.values().copied()));
@@ -340,11 +349,11 @@
 
 #[test]
 fn an_idempotency_key_joins_records_whatever_their_outcome() {
-    let keyed = |at, sequence, outcome| UsageRecord {
+    let keyed = |arrived_at_ms, sequence, outcome| UsageRecord {
         has_idempotency_key: true,
         key: 7,
         outcome,
-        ..first_record(at, sequence)
+        ..first_record(arrived_at_ms, sequence)
     };
     let records = vec![
         keyed(0, 1, RecordedOutcome::Complete),
@@ -375,28 +384,28 @@
         complete_until_ms,
     };
     let until_ms = BOUNDS.arrivals(period(0)).end;
-    let both = |until_of_b| [progress("a", Some(until_ms)), progress("b", until_of_b)];
+    let members = |until_ms_of_b| [progress("a", Some(until_ms)), progress("b", until_ms_of_b)];
     let decide = |now_ms, members: &[MemberProgress]| {
         decide_closing(period(0), BOUNDS, GRACE_MS, now_ms, members)
     };
     assert_eq!(
-        decide(until_ms, &both(Some(until_ms))),
+        decide(until_ms, &members(Some(until_ms))),
         ClosingDecision::Complete
     );
     assert_eq!(
-        decide(until_ms, &both(Some(until_ms - 1))),
+        decide(until_ms, &members(Some(until_ms - 1))),
         ClosingDecision::Wait(vec!["b".into()])
     );
     assert_eq!(
-        decide(until_ms + GRACE_MS - 1, &both(None)),
+        decide(until_ms + GRACE_MS - 1, &members(None)),
         ClosingDecision::Wait(vec!["b".into()])
     );
     assert_eq!(
-        decide(until_ms + GRACE_MS, &both(None)),
+        decide(until_ms + GRACE_MS, &members(None)),
         ClosingDecision::Incomplete(vec!["b".into()])
     );
     assert_eq!(
-        decide(until_ms - 1, &both(Some(until_ms))),
+        decide(until_ms - 1, &members(Some(until_ms))),
         ClosingDecision::Wait(vec![]),
         "expected a wait: a member whose clock is ahead must not close the period early"
     );
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -47,26 +47,29 @@
     })
 }
 
-/// Writes records one by one and waits until each is written or lost, so that the queue is never
-/// full.
+/// Writes records one by one and waits until each is written or lost, so that the queue never
+/// fills up.
 pub fn write(writer: &mut UsageLogWriter, sequences: std::ops::RangeInclusive<u64>) {
-    let mut written = writer.written_sequence();
+    let mut written_sequence = writer.written_sequence();
     for sequence in sequences {
-        assert!(writer.try_enqueue(record(sequence)));
+        assert!(
+            writer.try_enqueue(record(sequence)),
+            "expected room in the queue for record {sequence}"
+        );
         let runtime = tokio::runtime::Builder::new_current_thread()
             .build()
             .unwrap();
         runtime.block_on(async {
-            written
-                .wait_for(|written| *written >= sequence)
+            written_sequence
+                .wait_for(|written_sequence| *written_sequence >= sequence)
                 .await
                 .unwrap()
         });
     }
 }
 
-/// Writes one run with this number of records.
-pub fn write_run(directory: &Path, segment_bytes: u64, records: u64) {
+/// Writes one run with `record_count` records.
+pub fn write_run(directory: &Path, segment_bytes: u64, record_count: u64) {
     let mut writer = writer::start_on(
         FileSystem,
         &settings(directory, segment_bytes),
@@ -74,7 +77,7 @@
         5_000_000,
     )
     .unwrap();
-    write(&mut writer, 1..=records);
+    write(&mut writer, 1..=record_count);
     writer.close();
 }
 
@@ -101,7 +104,7 @@
     }
 }
 
-/// Follows a log from a position to its end.
+/// Reads all entries of a log after a position.
 pub fn follow(directory: &Path, after: LogPosition, max_entries: usize) -> Found {
     let mut follower = LogFollower::new(directory, after);
     let mut found = Found::default();
@@ -109,7 +112,12 @@
         let incarnation = batch.header.as_ref().map_or(0, |header| header.incarnation);
         for entry in batch.entries {
             if let Some(What::Record(record)) = entry.what {
-                assert_eq!((record.key, record.parts), (record.sequence * 7, 5));
+                assert_eq!(
+                    (record.key, record.parts),
+                    (record.sequence * 7, 5),
+                    "wrong content of record {}",
+                    record.sequence
+                );
                 found.records.push(LogPosition {
                     incarnation,
                     sequence: record.sequence,
--- a/crates/usage-ledger/tests/log/main.rs
+++ b/crates/usage-ledger/tests/log/main.rs
@@ -1,4 +1,4 @@
-//! The usage log under faults of the disk: partial writes, flipped bits, a full disk, a stalled
+//! The usage log under faults of the disk: partial writes, flipped bits, a full disk and a stalled
 //! disk.
 
 mod harness;
--- a/crates/usage-ledger/tests/log/reading.rs
+++ b/crates/usage-ledger/tests/log/reading.rs
@@ -6,18 +6,18 @@
 use usage_ledger::writer::{self, FileSystem};
 
 #[test]
-fn a_partial_write_of_any_length_is_removed_without_loss_of_earlier_records() {
+fn a_partial_write_is_removed_without_loss_of_earlier_records() {
     let folder = tempfile::tempdir().unwrap();
     write_run(folder.path(), 1 << 20, 6);
     let segment = log::segments(folder.path()).unwrap().remove(0);
     let complete = fs::read(&segment.path).unwrap();
     let start = log::parse_header(&complete).unwrap().entries_start;
     let ends: Vec<usize> = (1..=6)
-        .map(|n| log::read_items(&complete, start, n).end)
+        .map(|count| log::read_items(&complete, start, count).end)
         .collect();
     for length in 0..=complete.len() {
         fs::write(&segment.path, &complete[..length]).unwrap();
-        let kept = ends.iter().filter(|end| **end <= length).count() as u64;
+        let complete_records = ends.iter().filter(|end| **end <= length).count() as u64;
         let mut second_run = writer::start_on(
             FileSystem,
             &settings(folder.path(), 1 << 20),
@@ -29,10 +29,10 @@
         second_run.close();
         let found = follow(folder.path(), LogPosition::default(), 100);
         if length >= start {
-            let old = found.sequences_of(segment.incarnation);
+            let sequences = found.sequences_of(segment.incarnation);
             assert_eq!(
-                old,
-                (1..=kept).collect::<Vec<_>>(),
+                sequences,
+                (1..=complete_records).collect::<Vec<_>>(),
                 "wrong records after a cut at byte {length}"
             );
         }
@@ -61,7 +61,7 @@
     let complete = fs::read(&segment.path).unwrap();
     let start = log::parse_header(&complete).unwrap().entries_start;
     let ends: Vec<usize> = std::iter::once(start)
-        .chain((1..=8).map(|n| log::read_items(&complete, start, n).end))
+        .chain((1..=8).map(|count| log::read_items(&complete, start, count).end))
         .collect();
     // Adds a later segment, so that unreadable bytes at the end of the first one can't be a write
     // in progress.
@@ -74,35 +74,35 @@
     .unwrap();
     write(&mut second_run, 1..=1);
     second_run.close();
-    for at in start..complete.len() {
+    for offset in start..complete.len() {
         for bit in [0x01, 0x80] {
             let mut bytes = complete.clone();
-            bytes[at] ^= bit;
+            bytes[offset] ^= bit;
             fs::write(&segment.path, &bytes).unwrap();
             let damaged_sequence = ends
                 .windows(2)
-                .position(|pair| (pair[0]..pair[1]).contains(&at))
+                .position(|pair| (pair[0]..pair[1]).contains(&offset))
                 .unwrap() as u64
                 + 1;
             let found = follow(folder.path(), LogPosition::default(), 3);
             assert_eq!(
                 found.sequences_of(segment.incarnation),
                 (1..=8)
-                    .filter(|n| *n != damaged_sequence)
+                    .filter(|sequence| *sequence != damaged_sequence)
                     .collect::<Vec<_>>(),
-                "wrong records after a flipped bit at byte {at}"
+                "wrong records after a flipped bit at byte {offset}"
             );
             let [damage] = &found.damage[..] else {
                 panic!(
-                    "expected one damaged range for a flipped bit at byte {at}: {:?}",
+                    "expected one damaged range for a flipped bit at byte {offset}: {:?}",
                     found.damage
                 )
             };
             assert_eq!(damage.segment, segment.name());
             let range = damage.from..damage.to;
             assert!(
-                range.contains(&(at as u64)),
-                "damaged range {range:?} does not contain byte {at}"
+                range.contains(&(offset as u64)),
+                "expected a damaged range that contains byte {offset}: {range:?}"
             );
         }
     }
@@ -132,9 +132,13 @@
     let found = follow(folder.path(), LogPosition::default(), 7);
     let all = &found.records;
     assert_eq!((all.len(), found.damage.len()), (300, 0));
-    for (n, after) in all.iter().enumerate() {
-        let rest = follow(folder.path(), *after, 1 + n % 90).records;
-        assert_eq!(rest, all[n + 1..], "wrong records after position {n}");
+    for (index, after) in all.iter().enumerate() {
+        let rest = follow(folder.path(), *after, 1 + index % 90).records;
+        assert_eq!(
+            rest,
+            all[index + 1..],
+            "wrong records after the position of record {index}"
+        );
     }
     // Settled segments are removed, except for the last one of the log.
     let before = log::segments(folder.path()).unwrap().len();
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -11,7 +11,7 @@
 use usage_ledger::settings::UsageLogSettings;
 use usage_ledger::writer::{self, Disk, FileSystem};
 
-/// A disk that writes half of the bytes and fails while the flag is set.
+/// A disk that, while the flag is set, writes half of the bytes and then fails.
 struct FullDisk(Arc<AtomicBool>);
 
 impl Disk for FullDisk {
--- a/crates/usage-ledger/tests/rate.rs
+++ b/crates/usage-ledger/tests/rate.rs
@@ -9,10 +9,10 @@
         complete: 3,
         partial: 1,
     };
-    let line = |complete, share| UsageCounts {
+    let counts = |complete, share_millionths| UsageCounts {
         complete,
-        share_millionths: share,
-        partial: i64::from(share > 0),
+        share_millionths,
+        partial: i64::from(share_millionths > 0),
         ..UsageCounts::default()
     };
     let cases = [
@@ -22,14 +22,14 @@
         ((1, 1_499_999), 4),
         ((1, 1_500_000), 5),
     ];
-    for ((complete, share), expected) in cases {
+    for ((complete, share_millionths), expected) in cases {
         assert_eq!(
-            line_amount(&line(complete, share), price),
+            line_amount(&counts(complete, share_millionths), price),
             expected,
-            "wrong amount for {complete} complete answers and a share of {share} millionths"
+            "wrong amount for {complete} complete answers and a share of {share_millionths} millionths"
         );
     }
-    let (before, after) = (line(1, 400_000), line(2, 900_000));
+    let (before, after) = (counts(1, 400_000), counts(2, 900_000));
     assert_eq!((after - before).share_millionths, 500_000);
     let mut sum = before;
     sum += after - before;
@@ -38,7 +38,7 @@
         complete: u64::MAX,
         partial: u64::MAX,
     };
-    assert_eq!(line_amount(&line(i64::MAX, i64::MAX), maximum), i64::MAX);
+    assert_eq!(line_amount(&counts(i64::MAX, i64::MAX), maximum), i64::MAX);
 }
 
 #[test]
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -25,7 +25,7 @@
 /// Interval at which a test polls a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` holds; `what` names the awaited event.
+/// Waits until `condition` holds. `what` names the awaited event in the panic message.
 fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !condition() {
@@ -58,7 +58,7 @@
 }
 
 /// Returns the address at which a log is offered for collection.
-fn address_of(writer: &UsageLogWriter) -> SocketAddr {
+fn collection_address(writer: &UsageLogWriter) -> SocketAddr {
     let address = writer.collection_address().unwrap();
     assert!(address.ip().is_loopback() && address.port() != 0);
     address
@@ -169,15 +169,15 @@
     let folder = tempfile::tempdir().unwrap();
     let log_directory = folder.path().join("log");
     let mut writer = start_log(&log_directory, "n0");
-    let settings = ledger_settings(folder.path(), &[("n0", address_of(&writer))]);
+    let settings = ledger_settings(folder.path(), &[("n0", collection_address(&writer))]);
     let service = Service::start(folder.path(), settings);
     for sequence in 1..=500 {
         write_record(&mut writer, sequence, PERIOD_START_MS + sequence as i64);
     }
-    // The period waits, since no mark has stated that the records are complete.
+    // The period waits, since no watermark has stated that the records are complete.
     let store = Store::open(&service.store).unwrap();
-    let collected = |sequence| store.position("n0").unwrap().sequence >= sequence;
-    wait_for("records", || collected(500));
+    let is_collected = |sequence| store.position("n0").unwrap().sequence >= sequence;
+    wait_for("records", || is_collected(500));
     assert!(service.statements().is_empty());
     let complete_until_ms = PERIOD_START_MS + 2 * PERIOD_MS;
     assert!(writer.try_enqueue(What::Mark(Mark {
@@ -194,7 +194,8 @@
     assert!(!statement.members[0].is_missing);
     let document = "statement-2001-09-09T014640.000Z-t.json";
     wait_for("document", || service.exported().contains(&document.into()));
-    // Segments whose records are stored are removed, except for the last one.
+    // Segments whose records are stored are removed after the next acknowledgement, except for the
+    // last one.
     assert!(log::segments(&log_directory).unwrap().len() > 1);
     wait_for("acknowledgement", || {
         write_record(&mut writer, 501, PERIOD_START_MS + PERIOD_MS);
@@ -211,7 +212,7 @@
         start_log(&folder.path().join("log-0"), "n0"),
         start_log(&folder.path().join("log-1"), "n1"),
     ];
-    let [first, second] = writers.each_ref().map(address_of);
+    let [first, second] = writers.each_ref().map(collection_address);
     for writer in &mut writers {
         write_record(writer, 1, PERIOD_START_MS);
     }
@@ -220,12 +221,16 @@
     let service = Service::start(folder.path(), settings);
     wait_for("first store", || service.store.exists());
     let store = Store::open(&service.store).unwrap();
-    let collected = |member| store.position(member).unwrap().sequence;
-    wait_for("records of n0", || collected("n0") == 1);
-    assert_eq!(collected("n1"), 0);
-    let corrected = ledger_settings(folder.path(), &[("n0", first), ("n1", second)]);
-    service.signal(SettlementSignal::Reload(Box::new(corrected)));
-    wait_for("records of n1", || collected("n1") == 1);
+    let collected_sequence = |member| store.position(member).unwrap().sequence;
+    wait_for("records of n0", || collected_sequence("n0") == 1);
+    assert_eq!(
+        collected_sequence("n1"),
+        0,
+        "expected the log of n0 not to be collected as that of n1"
+    );
+    let corrected_settings = ledger_settings(folder.path(), &[("n0", first), ("n1", second)]);
+    service.signal(SettlementSignal::Reload(Box::new(corrected_settings)));
+    wait_for("records of n1", || collected_sequence("n1") == 1);
     service.stop();
     for writer in &mut writers {
         writer.close();
--- a/crates/usage-ledger/tests/store/closing.rs
+++ b/crates/usage-ledger/tests/store/closing.rs
@@ -1,8 +1,8 @@
-//! Closing periods: late records, clock skew, and runs that ended without a closing mark.
+//! Closing periods: late records, clock skew, and runs that ended without a closing watermark.
 
 use crate::harness::{
-    adjusted_requests, batch, complete_record, header, mark, own_requests, period, rejected, retry,
-    StoreHarness, FIRST_MS, PERIOD_MS,
+    adjusted_requests, batch, complete_record, header, own_requests, period, rejected, retry,
+    watermark, StoreHarness, FIRST_MS, PERIOD_MS,
 };
 use usage_ledger::wire::{entry::What, Batch, Entry};
 
@@ -14,7 +14,7 @@
         1,
         vec![
             retry(complete_record(1, FIRST_MS + PERIOD_MS + 30, 4)),
-            mark(1, FIRST_MS + 9000, false),
+            watermark(1, FIRST_MS + 9000, false),
         ],
     );
     harness.ingest("n0", &retry_without_first_request);
@@ -29,20 +29,20 @@
     );
     let first = harness.close(1, &["n1"]);
     assert_eq!((own_requests(&first), first.total), (1, 10));
-    let before = harness.store.statements().unwrap();
+    let closed_statements = harness.store.statements().unwrap();
     // The first request is collected late: both records form one logical request, which belongs to
     // the period of the first request.
-    let late = harness.ingest(
+    let ingested = harness.ingest(
         "n1",
         &batch(
             7,
             vec![
                 rejected(1, FIRST_MS + PERIOD_MS - 20, 4),
-                mark(1, FIRST_MS + 9000, false),
+                watermark(1, FIRST_MS + 9000, false),
             ],
         ),
     );
-    assert_eq!(late.late, 1);
+    assert_eq!(ingested.late, 1);
     let next = harness.close(2, &[]);
     let lines: Vec<(String, i64, i64)> = next
         .lines
@@ -55,7 +55,7 @@
     );
     assert_eq!(
         harness.store.statements().unwrap()[..2],
-        before[..],
+        closed_statements[..],
         "expected closed statements to keep their bytes"
     );
     harness.assert_verified();
@@ -99,7 +99,7 @@
             1,
             vec![
                 rejected(1, FIRST_MS + PERIOD_MS + 5, 4),
-                mark(1, FIRST_MS + 5000, false),
+                watermark(1, FIRST_MS + 5000, false),
             ],
         ),
     );
@@ -109,7 +109,7 @@
             1,
             vec![
                 retry(complete_record(1, FIRST_MS + PERIOD_MS - 10, 4)),
-                mark(1, FIRST_MS + 5000, false),
+                watermark(1, FIRST_MS + 5000, false),
             ],
         ),
     );
@@ -130,7 +130,7 @@
             2,
             vec![
                 What::Record(complete_record(1, FIRST_MS + 500, 6)),
-                mark(1, FIRST_MS + 900, false),
+                watermark(1, FIRST_MS + 900, false),
             ],
         ),
     );
@@ -148,10 +148,10 @@
 }
 
 #[test]
-fn an_answer_of_a_run_without_a_closing_mark_may_be_retried() {
+fn an_answer_of_a_run_without_a_closing_watermark_may_be_retried() {
     let mut harness = StoreHarness::new();
     let records_before_the_crash = vec![
-        mark(0, FIRST_MS, false),
+        watermark(0, FIRST_MS, false),
         What::Record(complete_record(1, FIRST_MS + 10, 4)),
     ];
     harness.ingest("n0", &batch(1, records_before_the_crash));
@@ -161,19 +161,20 @@
             1,
             vec![
                 retry(complete_record(1, FIRST_MS + 60, 4)),
-                mark(1, FIRST_MS + 5000, false),
+                watermark(1, FIRST_MS + 5000, false),
             ],
         ),
     );
-    // The run of n0 may still go on: its answer counts as sent, and the retry as another request.
+    // The run of n0 may still be in progress: its answer counts as sent, and the retry as another
+    // logical request.
     let first = harness.close(0, &["n0"]);
     assert_eq!(
         (own_requests(&first), first.lines[0].counts.ambiguous),
         (2, 1)
     );
-    // A later run of n0 has started and the earlier one has no closing mark: the answer may not
-    // have been sent, so the retry joins that request.
-    harness.ingest("n0", &batch(2, vec![mark(0, FIRST_MS + 5000, false)]));
+    // A later run of n0 has started and the earlier one has no closing watermark: the answer may
+    // not have been sent, so the retry joins that request.
+    harness.ingest("n0", &batch(2, vec![watermark(0, FIRST_MS + 5000, false)]));
     let next = harness.close(1, &[]);
     assert_eq!(
         (
@@ -202,7 +203,7 @@
         to: 9,
     });
     harness.ingest("n0", &records);
-    harness.ingest("n0", &batch(1, vec![mark(7, FIRST_MS + 10, false)]));
+    harness.ingest("n0", &batch(1, vec![watermark(7, FIRST_MS + 10, false)]));
     // Tenant `t` was removed from the settings before the next run.
     let next_run = Batch {
         header: header(2, &["u"]),
--- a/crates/usage-ledger/tests/store/delivery.rs
+++ b/crates/usage-ledger/tests/store/delivery.rs
@@ -1,6 +1,8 @@
 //! Random records that are delivered repeatedly, late and in any order.
 
-use crate::harness::{batch, complete_record, mark, StoreHarness, BOUNDS, FIRST_MS, PERIOD_MS};
+use crate::harness::{
+    batch, complete_record, watermark, StoreHarness, BOUNDS, FIRST_MS, PERIOD_MS,
+};
 use proptest::prelude::*;
 use usage_ledger::join::Joiner;
 use usage_ledger::rate::UsageCounts;
@@ -8,8 +10,8 @@
 
 const MEMBERS: [&str; 2] = ["n0", "n1"];
 
-/// Random values of a record: offset of the arrival in milliseconds, key, whether it is a retry,
-/// outcome, selector of the member and of a restart, round of the delivery.
+/// Random values of a record: arrival time in milliseconds after [`FIRST_MS`], key, whether it is a
+/// retry, outcome, selector of the member and of a restart, and round of the delivery.
 type RandomRecord = (i64, u64, bool, i32, u8, u8);
 
 /// Entries of one run of a member that are delivered together.
@@ -28,19 +30,19 @@
 }
 
 /// Returns the deliveries of records. The run of a member may end before a record: with a closing
-/// mark if the record's bit in `ends` is 0, otherwise by a crash. A mark follows the record if its
-/// bit in `marks` is 0.
-fn deliveries(random_records: &[RandomRecord], ends: u64, marks: u64) -> Vec<Delivery> {
+/// watermark if the record's bit in `ends` is 0, otherwise by a crash. A watermark follows the
+/// record if its bit in `watermarks` is 0.
+fn deliveries(random_records: &[RandomRecord], ends: u64, watermarks: u64) -> Vec<Delivery> {
     let first_run = Run {
         incarnation: 1,
         last_sequence: 0,
     };
     let mut runs = [first_run; MEMBERS.len()];
     let mut deliveries = Vec::new();
-    for (n, &(offset_ms, key, repeat, outcome, selector, round)) in
+    for (index, &(offset_ms, key, repeat, outcome, selector, round)) in
         random_records.iter().enumerate()
     {
-        let bit_is_clear = |bits: u64| bits >> (n % 64) & 1 == 0;
+        let is_bit_clear = |bits: u64| bits >> (index % 64) & 1 == 0;
         let member = usize::from(selector % 2);
         let run = &mut runs[member];
         let mut deliver = |incarnation, entries| {
@@ -52,8 +54,8 @@
             });
         };
         if selector < 2 && run.last_sequence > 0 {
-            if bit_is_clear(ends) {
-                let end = mark(run.last_sequence, FIRST_MS, true);
+            if is_bit_clear(ends) {
+                let end = watermark(run.last_sequence, FIRST_MS, true);
                 deliver(run.incarnation, vec![end]);
             }
             run.incarnation += 1;
@@ -72,8 +74,8 @@
             ..complete_record(sequence, FIRST_MS + offset_ms, key)
         };
         let mut entries = vec![What::Record(record)];
-        if bit_is_clear(marks) {
-            entries.push(mark(sequence, FIRST_MS, false));
+        if is_bit_clear(watermarks) {
+            entries.push(watermark(sequence, FIRST_MS, false));
         }
         deliver(run.incarnation, entries);
     }
@@ -114,13 +116,13 @@
             (0i64..3 * PERIOD_MS, 0u64..4, any::<bool>(), 0i32..5, 0u8..8, 0u8..4),
             1..60,
         ),
-        ends in any::<u64>(), marks in any::<u64>(),
+        ends in any::<u64>(), watermarks in any::<u64>(),
     ) {
         let mut harness = StoreHarness::new();
-        let deliveries = deliveries(&random_records, ends, marks);
+        let deliveries = deliveries(&random_records, ends, watermarks);
         for round in 0..4u8 {
-            for (n, delivery) in deliveries.iter().enumerate() {
-                let is_repeated = delivery.round < round && n % 3 == 0;
+            for (index, delivery) in deliveries.iter().enumerate() {
+                let is_repeated = delivery.round < round && index % 3 == 0;
                 if delivery.round == round || is_repeated {
                     let batch = batch(delivery.incarnation, delivery.entries.clone());
                     harness.ingest(MEMBERS[delivery.member], &batch);
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Opens the store again, as after a crash of the process.
+    /// Opens the store again, like a process that restarts after a crash.
     pub fn restart(&mut self) {
         self.store = Store::open(&self.path).unwrap();
     }
@@ -151,15 +151,15 @@
     })
 }
 
-pub fn mark(sequence: u64, complete_until_ms: i64, end: bool) -> What {
+pub fn watermark(sequence: u64, complete_until_ms: i64, is_closing: bool) -> What {
     What::Mark(Mark {
         sequence,
         complete_ms: complete_until_ms as u64,
-        end,
+        end: is_closing,
     })
 }
 
-/// Returns the number of requests in the lines of the statement's own period.
+/// Returns the number of logical requests in the lines of the statement's own period.
 pub fn own_requests(statement: &Statement) -> i64 {
     let lines = statement.lines.iter();
     lines
@@ -168,7 +168,8 @@
         .sum()
 }
 
-/// Returns the number of requests that a statement adds to earlier periods.
+/// Returns the number of logical requests that a statement adds to earlier periods; negative if it
+/// subtracts some.
 pub fn adjusted_requests(statement: &Statement) -> i64 {
     let lines = statement.lines.iter();
     lines
--- a/crates/usage-ledger/tests/store/ingest.rs
+++ b/crates/usage-ledger/tests/store/ingest.rs
@@ -1,7 +1,7 @@
 //! Ingestion of batches that are delivered repeatedly, for example after a crash.
 
 use crate::harness::{
-    batch, complete_record, mark, own_requests, rejected, retry, StoreHarness, FIRST_MS,
+    batch, complete_record, own_requests, rejected, retry, watermark, StoreHarness, FIRST_MS,
 };
 use usage_ledger::log::LogPosition;
 use usage_ledger::wire::entry::What;
@@ -20,7 +20,7 @@
         1,
         vec![
             retry(complete_record(3, FIRST_MS + 60, 4)),
-            mark(3, FIRST_MS + 5000, false),
+            watermark(3, FIRST_MS + 5000, false),
         ],
     );
     assert_eq!(harness.ingest("n0", &first_batch).new, 2);
--- a/crates/usage-ledger/tests/store/reconciliation.rs
+++ b/crates/usage-ledger/tests/store/reconciliation.rs
@@ -34,22 +34,23 @@
         What::Record(complete_record(5, FIRST_MS + 2 * PERIOD_MS, 10)),
     ];
     harness.ingest("n0", &batch(1, records));
-    let clients = [
+    let client_rows = [
         client_usage_row(FIRST_MS + 2 * PERIOD_MS, "whole", 10),
         client_usage_row(FIRST_MS + PERIOD_MS + 1, "whole", 12),
         client_usage_row(FIRST_MS + 20, "whole", 6),
         client_usage_row(FIRST_MS, "whole", 2),
     ];
-    let range = FIRST_MS..FIRST_MS + 2 * PERIOD_MS;
-    let reconciled =
-        reconcile_with_clients(&harness.store, &calendar(), BOUNDS, range, &clients).unwrap();
-    let total = |n, pair| {
+    let arrivals = FIRST_MS..FIRST_MS + 2 * PERIOD_MS;
+    let report =
+        reconcile_with_clients(&harness.store, &calendar(), BOUNDS, arrivals, &client_rows)
+            .unwrap();
+    let total = |period_number, totals| {
         let key = TotalKey {
-            period: period(n).name(),
+            period: period(period_number).name(),
             tenant: "t".into(),
             class: "c".into(),
         };
-        (key, pair)
+        (key, totals)
     };
     let totals = [
         total(
@@ -71,9 +72,9 @@
             },
         ),
     ];
-    assert_eq!(reconciled.totals, totals.into());
-    assert_eq!(reconciled.unequal_totals(), 1);
-    let differences: Vec<_> = reconciled
+    assert_eq!(report.totals, totals.into());
+    assert_eq!(report.unequal_totals(), 1);
+    let differences: Vec<_> = report
         .differences
         .iter()
         .map(|difference| {
@@ -109,7 +110,7 @@
             ),
         ]
     );
-    let texts: Vec<String> = reconciled
+    let texts: Vec<String> = report
         .differences
         .iter()
         .map(|difference| difference.kind.to_string())
--- a/crates/usage-ledger/tests/store/verification.rs
+++ b/crates/usage-ledger/tests/store/verification.rs
@@ -1,4 +1,4 @@
-//! Verification of a store that was tampered with, and rejection of a newer schema.
+//! Verification of a store after tampering, and rejection of a newer schema.
 
 use crate::harness::{batch, complete_record, StoreHarness, BOUNDS, FIRST_MS};
 use usage_ledger::store::{Store, VerificationFault};
