--- a/crates/aggregator/tests/command_line.rs
+++ b/crates/aggregator/tests/command_line.rs
@@ -16,7 +16,7 @@
     ("[log]\nlevel = loud\n", "2: [log] level = loud"),
     ("[usage]\ndirectory = x\nstall = 5\n", "3: [usage] stall = 5: must be a whole number with a unit"),
     ("[usage]\ndirectory = x\nsegment = 8MB\n", "3: [usage] segment = 8MB"),
-    ("[usage]\nlisten = 127.0.0.1:1\n", "2: [usage] listen: there is no log to collect"),
+    ("[usage]\nlisten = 127.0.0.1:1\n", "2: [usage] listen: requires 'directory': without it, there is no log"),
     ("[usage]\ndirectory = x\nkeep = 1MiB\n", "3: [usage] keep: must be at least twice 'segment'"),
     ("[log]\nlevel = info\nlevel = warn\n", "3: [log] level is set more than once"),
     ("[log]\n[log]\n", "2: duplicate section [log]"),
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -10,7 +10,8 @@
 use std::io::{self, Read as _, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
 
-/// Initial number of bytes per read, which is doubled until the bytes contain a valid frame.
+/// Initial number of bytes per read. The number is doubled until the bytes contain a valid frame or
+/// the file ends.
 const CHUNK_BYTES: u64 = 256 * 1024;
 /// Upper bound on the length of the magic number and the frame head before the header, in bytes.
 const HEADER_MARGIN_BYTES: u64 = 64;
--- a/crates/usage-ledger/src/period_settler.rs
+++ b/crates/usage-ledger/src/period_settler.rs
@@ -89,6 +89,8 @@
 }
 
 impl PeriodCount {
+    /// Counts a request of this period. A request of a later period contributes only to the
+    /// carry-over.
     fn add(&mut self, request: &LogicalRequest) {
         if request.first().arrived_at_ms < self.period.end_ms {
             self.count(request);
--- a/crates/usage-ledger/src/settings/ledger.rs
+++ b/crates/usage-ledger/src/settings/ledger.rs
@@ -46,9 +46,9 @@
 /// Destinations of documents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExportTarget {
-    /// Folder to which documents are written; `None` to write none.
+    /// Folder to which documents are written; `None` if they are not written to a folder.
     pub folder: Option<PathBuf>,
-    /// URL to which documents are posted; `None` to post none.
+    /// URL to which documents are posted; `None` if they are not posted.
     pub url: Option<String>,
     /// Timeout for posting one document.
     pub timeout: Duration,
--- a/crates/usage-ledger/src/settings/usage_log.rs
+++ b/crates/usage-ledger/src/settings/usage_log.rs
@@ -51,9 +51,10 @@
         let listen_address = values.address("listen");
         let Some(directory) = values.text("directory").map(PathBuf::from) else {
             return match listen_address {
-                Some(_) => {
-                    Err(values.problem("listen", "there is no log to collect without 'directory'"))
-                }
+                Some(_) => Err(values.problem(
+                    "listen",
+                    "requires 'directory': without it, there is no log to collect",
+                )),
                 None => Ok(None),
             };
         };
--- a/crates/usage-ledger/src/store/error.rs
+++ b/crates/usage-ledger/src/store/error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// An operation of SQLite failed.
-    #[error("store: {0}")]
+    #[error("store operation failed: {0}")]
     Sqlite(#[from] rusqlite::Error),
     /// A newer release has written the store, with a schema that this release does not support.
     #[error("store has schema version {found}, written by a newer release; this release supports up to {known}")]
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -114,8 +114,8 @@
     /// Appends a batch to the open segment, or to a new one if none is open or the open one has
     /// reached its size limit.
     fn append(&mut self, batch: &EncodedBatch) -> Result<(), AppendError> {
-        let failed_recently = |at: Instant| at.elapsed() < RETRY_INTERVAL;
-        if self.failed_at.is_some_and(failed_recently) {
+        let is_recent = |at: Instant| at.elapsed() < RETRY_INTERVAL;
+        if self.failed_at.is_some_and(is_recent) {
             return Err(AppendError::Backoff);
         }
         let open = self.open.take();
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -543,7 +543,7 @@
     let cases = [
         (
             "[usage]\nlisten = 127.0.0.1:1\n",
-            "old.ini:2: [usage] listen: there is no log to collect without 'directory'",
+            "old.ini:2: [usage] listen: requires 'directory': without it, there is no log to collect",
         ),
         (
             "[usage]\ndirectory = d\nsegment = 1KiB\n",
--- a/crates/usage-ledger/tests/joining.rs
+++ b/crates/usage-ledger/tests/joining.rs
@@ -207,7 +207,7 @@
     }
 
     #[test]
-    fn periods_settled_one_by_one_have_the_counts_of_one_join(records in arbitrary_records()) {
+    fn periods_settled_one_by_one_have_the_same_counts_as_one_join(records in arbitrary_records()) {
         let mut expected: BTreeMap<i64, LineCounts> = BTreeMap::new();
         for request in join(records.clone()) {
             let first = request.first();
--- a/crates/usage-ledger/tests/log/harness.rs
+++ b/crates/usage-ledger/tests/log/harness.rs
@@ -83,12 +83,12 @@
 
 /// All records and damage that a follower has delivered.
 #[derive(Default)]
-pub struct Found {
+pub struct LogContents {
     pub records: Vec<LogPosition>,
     pub damage: Vec<Damage>,
 }
 
-impl Found {
+impl LogContents {
     /// Returns the sequence numbers of all records.
     pub fn sequences(&self) -> Vec<u64> {
         self.records.iter().map(|record| record.sequence).collect()
@@ -105,9 +105,9 @@
 }
 
 /// Reads all entries of a log after a position.
-pub fn follow(directory: &Path, after: LogPosition, max_entries: usize) -> Found {
+pub fn follow(directory: &Path, after: LogPosition, max_entries: usize) -> LogContents {
     let mut follower = LogFollower::new(directory, after);
-    let mut found = Found::default();
+    let mut contents = LogContents::default();
     while let Some(batch) = follower.next_batch(max_entries).unwrap() {
         let incarnation = batch.header.as_ref().map_or(0, |header| header.incarnation);
         for entry in batch.entries {
@@ -118,13 +118,13 @@
                     "wrong content of record {}",
                     record.sequence
                 );
-                found.records.push(LogPosition {
+                contents.records.push(LogPosition {
                     incarnation,
                     sequence: record.sequence,
                 });
             }
         }
-        found.damage.extend(batch.damage);
+        contents.damage.extend(batch.damage);
     }
-    found
+    contents
 }
--- a/crates/usage-ledger/tests/log/reading.rs
+++ b/crates/usage-ledger/tests/log/reading.rs
@@ -27,22 +27,22 @@
         .unwrap();
         write(&mut second_run, 1..=2);
         second_run.close();
-        let found = follow(folder.path(), LogPosition::default(), 100);
+        let contents = follow(folder.path(), LogPosition::default(), 100);
         if length >= start {
-            let sequences = found.sequences_of(segment.incarnation);
+            let sequences = contents.sequences_of(segment.incarnation);
             assert_eq!(
                 sequences,
                 (1..=complete_records).collect::<Vec<_>>(),
                 "wrong records after a cut at byte {length}"
             );
         }
-        let damage = &found.damage;
+        let damage = &contents.damage;
         assert!(
             damage.is_empty(),
             "expected no damage after a cut at byte {length}: {damage:?}"
         );
         assert!(
-            found.sequences().ends_with(&[1, 2]),
+            contents.sequences().ends_with(&[1, 2]),
             "expected the records of the second run after a cut at byte {length}"
         );
         for other in log::segments(folder.path()).unwrap() {
@@ -84,18 +84,18 @@
                 .position(|pair| (pair[0]..pair[1]).contains(&offset))
                 .unwrap() as u64
                 + 1;
-            let found = follow(folder.path(), LogPosition::default(), 3);
+            let contents = follow(folder.path(), LogPosition::default(), 3);
             assert_eq!(
-                found.sequences_of(segment.incarnation),
+                contents.sequences_of(segment.incarnation),
                 (1..=8)
                     .filter(|sequence| *sequence != damaged_sequence)
                     .collect::<Vec<_>>(),
                 "wrong records after a flipped bit at byte {offset}"
             );
-            let [damage] = &found.damage[..] else {
+            let [damage] = &contents.damage[..] else {
                 panic!(
                     "expected one damaged range for a flipped bit at byte {offset}: {:?}",
-                    found.damage
+                    contents.damage
                 )
             };
             assert_eq!(damage.segment, segment.name());
@@ -129,9 +129,9 @@
         log::segments(folder.path()).unwrap().len() > 4,
         "expected several segments per run"
     );
-    let found = follow(folder.path(), LogPosition::default(), 7);
-    let all = &found.records;
-    assert_eq!((all.len(), found.damage.len()), (300, 0));
+    let contents = follow(folder.path(), LogPosition::default(), 7);
+    let all = &contents.records;
+    assert_eq!((all.len(), contents.damage.len()), (300, 0));
     for (index, after) in all.iter().enumerate() {
         let rest = follow(folder.path(), *after, 1 + index % 90).records;
         assert_eq!(
@@ -141,10 +141,13 @@
         );
     }
     // Settled segments are removed, except for the last one of the log.
-    let before = log::segments(folder.path()).unwrap().len();
+    let segment_count = log::segments(folder.path()).unwrap().len();
     let settled = all[120];
-    let removed = log::remove_settled(folder.path(), settled).unwrap();
-    assert!(removed > 0 && log::segments(folder.path()).unwrap().len() == before - removed);
+    let removed_segments = log::remove_settled(folder.path(), settled).unwrap();
+    assert!(
+        removed_segments > 0
+            && log::segments(folder.path()).unwrap().len() == segment_count - removed_segments
+    );
     assert_eq!(follow(folder.path(), settled, 50).records, all[121..]);
     log::remove_settled(folder.path(), AFTER_ALL_RECORDS).unwrap();
     assert_eq!(log::segments(folder.path()).unwrap().len(), 1);
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -27,15 +27,15 @@
 #[test]
 fn a_full_disk_loses_records_without_blocking() {
     let folder = tempfile::tempdir().unwrap();
-    let full = Arc::new(AtomicBool::new(false));
-    let disk = FullDisk(full.clone());
+    let is_full = Arc::new(AtomicBool::new(false));
+    let disk = FullDisk(is_full.clone());
     let mut writer =
         writer::start_on(disk, &settings(folder.path(), 1 << 20), run_tables(), 0).unwrap();
     write(&mut writer, 1..=3);
-    full.store(true, Ordering::SeqCst);
+    is_full.store(true, Ordering::SeqCst);
     // `write` waits for each record. The wait must also end for records that can't be written.
     write(&mut writer, 4..=9);
-    full.store(false, Ordering::SeqCst);
+    is_full.store(false, Ordering::SeqCst);
     std::thread::sleep(Duration::from_millis(120));
     write(&mut writer, 10..=12);
     writer.close();
@@ -46,9 +46,9 @@
         ),
         (6, 6)
     );
-    let found = follow(folder.path(), LogPosition::default(), 100);
-    assert_eq!(found.sequences(), [1, 2, 3, 10, 11, 12]);
-    let damage = &found.damage;
+    let contents = follow(folder.path(), LogPosition::default(), 100);
+    assert_eq!(contents.sequences(), [1, 2, 3, 10, 11, 12]);
+    let damage = &contents.damage;
     assert!(
         damage.is_empty(),
         "expected partial writes to be removed: {damage:?}"
@@ -92,9 +92,9 @@
     );
     drop(release);
     writer.close();
-    let found = follow(folder.path(), LogPosition::default(), 4096);
+    let contents = follow(folder.path(), LogPosition::default(), 4096);
     assert_eq!(
-        found.records.len() as u64,
+        contents.records.len() as u64,
         queued,
         "expected all queued records in the log"
     );
@@ -108,27 +108,30 @@
         ..settings(folder.path(), 4096)
     };
     let mut writer = writer::start_on(FileSystem, &limited_settings, run_tables(), 0).unwrap();
-    let second = writer::start_on(FileSystem, &limited_settings, run_tables(), 0);
-    assert!(second
+    let second_writer = writer::start_on(FileSystem, &limited_settings, run_tables(), 0);
+    assert!(second_writer
         .err()
         .unwrap()
         .to_string()
         .contains("locked by another process"));
     write(&mut writer, 1..=1000);
-    let lost = writer.counters().lost_records.load(Ordering::SeqCst);
+    let lost_records = writer.counters().lost_records.load(Ordering::SeqCst);
     let log_bytes: u64 = log::segments(folder.path())
         .unwrap()
         .iter()
         .map(|segment| fs::metadata(&segment.path).unwrap().len())
         .sum();
     assert!(
-        lost > 0 && log_bytes <= limited_settings.max_log_bytes,
-        "expected lost records and a log within its size limit: {lost} lost, {log_bytes} bytes"
+        lost_records > 0 && log_bytes <= limited_settings.max_log_bytes,
+        "expected lost records and a log within its size limit: {lost_records} lost, {log_bytes} bytes"
     );
     // After settled segments are removed, the log can grow again.
     log::remove_settled(folder.path(), AFTER_ALL_RECORDS).unwrap();
     std::thread::sleep(Duration::from_millis(120));
     write(&mut writer, 1001..=1003);
-    assert_eq!(writer.counters().lost_records.load(Ordering::SeqCst), lost);
+    assert_eq!(
+        writer.counters().lost_records.load(Ordering::SeqCst),
+        lost_records
+    );
     writer.close();
 }
--- a/crates/usage-ledger/tests/settlement.rs
+++ b/crates/usage-ledger/tests/settlement.rs
@@ -150,7 +150,8 @@
             .collect()
     }
 
-    fn exported(&self) -> Vec<String> {
+    /// Returns the names of the files in the export folder.
+    fn exported_files(&self) -> Vec<String> {
         let Ok(files) = fs::read_dir(&self.documents) else {
             return Vec::new();
         };
@@ -193,7 +194,9 @@
     );
     assert!(!statement.members[0].is_missing);
     let document = "statement-2001-09-09T014640.000Z-t.json";
-    wait_for("document", || service.exported().contains(&document.into()));
+    wait_for("document", || {
+        service.exported_files().contains(&document.into())
+    });
     // Segments whose records are stored are removed after the next acknowledgement, except for the
     // last one.
     assert!(log::segments(&log_directory).unwrap().len() > 1);
@@ -219,7 +222,7 @@
     // The configured address of n1 is wrong: it is the address of n0's log.
     let settings = ledger_settings(folder.path(), &[("n0", first), ("n1", first)]);
     let service = Service::start(folder.path(), settings);
-    wait_for("first store", || service.store.exists());
+    wait_for("store", || service.store.exists());
     let store = Store::open(&service.store).unwrap();
     let collected_sequence = |member| store.position(member).unwrap().sequence;
     wait_for("records of n0", || collected_sequence("n0") == 1);
--- a/crates/usage-ledger/tests/store/closing.rs
+++ b/crates/usage-ledger/tests/store/closing.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn clock_skew_and_a_clock_that_steps_back_count_each_request_once() {
+fn each_request_is_counted_once_despite_clock_skew_and_clock_steps() {
     let mut harness = StoreHarness::new();
     // The clock of n1 is behind: the retry seems to arrive before its first request, in the
     // previous period.
--- a/crates/usage-ledger/tests/store/documents.rs
+++ b/crates/usage-ledger/tests/store/documents.rs
@@ -85,7 +85,7 @@
 /// If the process is killed after a period was closed, or after a document was sent but before the
 /// outbox was updated, the same document must be sent again.
 #[test]
-fn a_document_survives_crashes_under_one_id_with_the_same_bytes() {
+fn a_document_keeps_its_id_and_bytes_after_crashes() {
     let mut harness = StoreHarness::new();
     harness.ingest(
         "n0",
@@ -104,7 +104,7 @@
     assert_only_in_folder(&export::deliver(&target, &pending[0]));
     let bytes =
         |folder: &Path| std::fs::read(folder.join(format!("{}.json", pending[0].id))).unwrap();
-    let first = bytes(folder.path());
+    let first_bytes = bytes(folder.path());
     // The document has been sent, but the process is killed before the outbox is updated.
     harness.restart();
     let pending_after_restart = harness.store.undelivered_documents(&target).unwrap();
@@ -120,7 +120,7 @@
             bytes(folder.path()),
             std::fs::read_dir(folder.path()).unwrap().count()
         ),
-        (first, 1)
+        (first_bytes, 1)
     );
     assert!(harness
         .store
