--- a/crates/usage-ledger/src/collect.rs
+++ b/crates/usage-ledger/src/collect.rs
@@ -142,11 +142,11 @@
 async fn send_batches(mut follower: LogFollower, sender: mpsc::Sender<Result<Batch, Status>>) {
     let mut idle_polls = 0;
     loop {
-        let read = tokio::task::spawn_blocking(move || {
+        let read_task = tokio::task::spawn_blocking(move || {
             let next_batch = follower.next_batch(MAX_BATCH_ENTRIES);
             (follower, next_batch)
         });
-        let Ok((returned_follower, next_batch)) = read.await else {
+        let Ok((returned_follower, next_batch)) = read_task.await else {
             return;
         };
         follower = returned_follower;
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -152,14 +152,14 @@
     }
 
     fn read_chunk(&self, open: &OpenSegment, max_entries: usize) -> io::Result<Chunk> {
-        let read = open.read_items(max_entries)?;
+        let segment_read = open.read_items(max_entries)?;
         let mut chunk = Chunk {
             entries: Vec::new(),
             damage: Vec::new(),
-            end: open.offset + read.content.end as u64,
-            unread_bytes: read.length - read.content.end as u64,
+            end: open.offset + segment_read.content.end as u64,
+            unread_bytes: segment_read.length - segment_read.content.end as u64,
         };
-        for item in read.content.items {
+        for item in segment_read.content.items {
             match item {
                 SegmentItem::Entry(entry) if self.is_before_start(&open.segment, &entry) => {}
                 SegmentItem::Entry(entry) => chunk.entries.push(entry),
--- a/crates/usage-ledger/src/settlement/closer.rs
+++ b/crates/usage-ledger/src/settlement/closer.rs
@@ -51,7 +51,7 @@
     ) -> Result<LogPosition, StoreError> {
         let bounds = self.settings.join_bounds();
         let calendar = &self.settings.calendar;
-        let ingested = self.store.ingest(member, batch, calendar, bounds)?;
+        let summary = self.store.ingest(member, batch, calendar, bounds)?;
         for damage in &batch.damage {
             let (segment, from, to) = (&damage.segment, damage.from, damage.to);
             tracing::error!(
@@ -62,10 +62,10 @@
                 "usage log contains unreadable bytes"
             );
         }
-        if ingested.late > 0 {
+        if summary.late > 0 {
             tracing::warn!(
                 member,
-                late = ingested.late,
+                late = summary.late,
                 "stored late records; the next statement will adjust closed periods"
             );
         }
--- a/crates/usage-ledger/src/settlement/collector.rs
+++ b/crates/usage-ledger/src/settlement/collector.rs
@@ -170,13 +170,13 @@
     /// Passes a batch to the main loop and waits until it is stored. Returns the new position.
     async fn store(&self, batch: Batch) -> Result<LogPosition, CollectError> {
         let (position_sender, position) = oneshot::channel();
-        let collected = CollectedBatch {
+        let collected_batch = CollectedBatch {
             member: self.member.clone(),
             batch,
             position_sender,
         };
-        let sent = self.batches.send(collected).await;
-        sent.map_err(|_| CollectError::ShuttingDown)?;
+        let send_result = self.batches.send(collected_batch).await;
+        send_result.map_err(|_| CollectError::ShuttingDown)?;
         position.await.map_err(|_| CollectError::NotStored)
     }
 }
--- a/crates/usage-ledger/src/writer/thread.rs
+++ b/crates/usage-ledger/src/writer/thread.rs
@@ -84,13 +84,16 @@
     pub(super) fn run(mut self, entries: &Receiver<Entry>) {
         let mut last_sequence = 0;
         loop {
-            let first = match entries.recv_timeout(RECEIVE_TIMEOUT) {
+            let first_entry = match entries.recv_timeout(RECEIVE_TIMEOUT) {
                 Ok(entry) => entry,
                 Err(RecvTimeoutError::Timeout) => continue,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let queued = entries.try_iter().take(MAX_BATCH_ENTRIES - 1);
-            let batch = encode(std::iter::once(first).chain(queued), last_sequence);
+            let further_entries = entries.try_iter().take(MAX_BATCH_ENTRIES - 1);
+            let batch = encode(
+                std::iter::once(first_entry).chain(further_entries),
+                last_sequence,
+            );
             last_sequence = batch.last_sequence;
             self.write(&batch);
             self.publish_written.send_replace(last_sequence);
@@ -118,8 +121,8 @@
         if self.failed_at.is_some_and(is_recent) {
             return Err(AppendError::Backoff);
         }
-        let open = self.open.take();
-        let mut segment = match open.filter(|open| open.length < self.segment_bytes) {
+        let open_segment = self.open.take();
+        let mut segment = match open_segment.filter(|open| open.length < self.segment_bytes) {
             Some(open) => open,
             None => self.create_segment(batch.first_sequence)?,
         };
--- a/crates/usage-ledger/tests/compatibility.rs
+++ b/crates/usage-ledger/tests/compatibility.rs
@@ -337,15 +337,15 @@
         ]
     );
     assert_eq!(close_period(&mut store), one_line(STATEMENT));
-    let verified = VerificationReport {
+    let expected_report = VerificationReport {
         checked: 3,
         faults: vec![],
     };
-    assert_eq!(store.verify(BOUNDS).unwrap(), verified);
+    assert_eq!(store.verify(BOUNDS).unwrap(), expected_report);
     // The current release recognises the records of the same batch as already stored.
     let calendar = Calendar(PeriodLength::Milliseconds(1000));
-    let ingested = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
-    assert_eq!((ingested.new, ingested.known), (0, 3));
+    let summary = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
+    assert_eq!((summary.new, summary.known), (0, 3));
 }
 
 #[test]
@@ -372,8 +372,8 @@
     let folder = tempfile::tempdir().unwrap();
     let mut store = open_store(folder.path());
     let calendar = Calendar(PeriodLength::Milliseconds(1000));
-    let ingested = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
-    assert_eq!((ingested.new, ingested.late), (3, 0));
+    let summary = store.ingest("n0", &records(), &calendar, BOUNDS).unwrap();
+    assert_eq!((summary.new, summary.late), (3, 0));
     assert_eq!(close_period(&mut store), one_line(STATEMENT));
     let correction = CorrectionLine {
         id: "k 1".into(),
@@ -404,7 +404,7 @@
     settings::EXPORT,
 ]);
 
-fn read(text: &str) -> Settings {
+fn parse_settings(text: &str) -> Settings {
     Settings::read(&SETTINGS, "old.ini", text).unwrap()
 }
 
@@ -452,8 +452,10 @@
 timeout = 3s
 again = 100ms
 ";
-    let read = read(text);
-    let usage = UsageLogSettings::read(&read, &SETTINGS).unwrap().unwrap();
+    let settings = parse_settings(text);
+    let usage = UsageLogSettings::read(&settings, &SETTINGS)
+        .unwrap()
+        .unwrap();
     let expected = UsageLogSettings {
         directory: "/var/lib/mixer/usage".into(),
         segment_bytes: 4 << 20,
@@ -464,7 +466,7 @@
         listen_address: Some("127.0.0.1:7500".parse().unwrap()),
     };
     assert_eq!(usage, expected);
-    let ledger = LedgerSettings::read(&read, &SETTINGS).unwrap();
+    let ledger = LedgerSettings::read(&settings, &SETTINGS).unwrap();
     assert_eq!(ledger.store_path, Some("/var/lib/ledger.sqlite".into()));
     assert_eq!(
         (ledger.retry_delay, ledger.idle_timeout),
@@ -518,7 +520,7 @@
         (ledger.export.timeout, ledger.export.retry_delay),
         (Duration::from_secs(5), Duration::from_millis(500))
     );
-    let usage = UsageLogSettings::read(&read("[usage]\ndirectory = d\n"), &SETTINGS);
+    let usage = UsageLogSettings::read(&parse_settings("[usage]\ndirectory = d\n"), &SETTINGS);
     let usage = usage.unwrap().unwrap();
     assert_eq!(
         (
@@ -584,7 +586,7 @@
         ),
     ];
     for (text, expected) in cases {
-        let settings = read(text);
+        let settings = parse_settings(text);
         let usage = UsageLogSettings::read(&settings, &SETTINGS).map(drop);
         let problems = usage.and_then(|()| LedgerSettings::read(&settings, &SETTINGS).map(drop));
         assert_eq!(
--- a/crates/usage-ledger/tests/log/writing.rs
+++ b/crates/usage-ledger/tests/log/writing.rs
@@ -76,14 +76,14 @@
         0,
     )
     .unwrap();
-    let queued = (1..=3000)
+    let queued_records = (1..=3000)
         .filter(|sequence| writer.try_enqueue(record(*sequence)))
         .count() as u64;
     // The capacity of the queue is 64; up to 1024 more records are in the batch that is being
     // written.
     assert!(
-        (64..=64 + 1024).contains(&queued),
-        "unexpected number of queued records: {queued}"
+        (64..=64 + 1024).contains(&queued_records),
+        "expected 64 to 1088 queued records: {queued_records}"
     );
     assert_eq!(
         *writer.written_sequence().borrow(),
@@ -95,7 +95,7 @@
     let contents = follow(folder.path(), LogPosition::default(), 4096);
     assert_eq!(
         contents.records.len() as u64,
-        queued,
+        queued_records,
         "expected all queued records in the log"
     );
 }
--- a/crates/usage-ledger/tests/store/closing.rs
+++ b/crates/usage-ledger/tests/store/closing.rs
@@ -18,21 +18,24 @@
         ],
     );
     harness.ingest("n0", &retry_without_first_request);
-    let empty = harness.close(0, &["n1"]);
+    let empty_statement = harness.close(0, &["n1"]);
     assert_eq!(
         (
-            own_requests(&empty),
-            empty.members[1].is_missing,
-            empty.members[1].complete_until.clone()
+            own_requests(&empty_statement),
+            empty_statement.members[1].is_missing,
+            empty_statement.members[1].complete_until.clone()
         ),
         (0, true, None)
     );
-    let first = harness.close(1, &["n1"]);
-    assert_eq!((own_requests(&first), first.total), (1, 10));
+    let first_statement = harness.close(1, &["n1"]);
+    assert_eq!(
+        (own_requests(&first_statement), first_statement.total),
+        (1, 10)
+    );
     let closed_statements = harness.store.statements().unwrap();
     // The first request is collected late: both records form one logical request, which belongs to
     // the period of the first request.
-    let ingested = harness.ingest(
+    let summary = harness.ingest(
         "n1",
         &batch(
             7,
@@ -42,9 +45,9 @@
             ],
         ),
     );
-    assert_eq!(ingested.late, 1);
-    let next = harness.close(2, &[]);
-    let lines: Vec<(String, i64, i64)> = next
+    assert_eq!(summary.late, 1);
+    let next_statement = harness.close(2, &[]);
+    let lines: Vec<(String, i64, i64)> = next_statement
         .lines
         .iter()
         .map(|line| (line.period.clone(), line.counts.requests, line.amount))
@@ -80,9 +83,12 @@
             ))],
         ),
     );
-    let next = harness.close(1, &[]);
+    let next_statement = harness.close(1, &[]);
     assert_eq!(
-        (adjusted_requests(&next), next.lines[0].period.clone()),
+        (
+            adjusted_requests(&next_statement),
+            next_statement.lines[0].period.clone()
+        ),
         (1, period(-5).name())
     );
     harness.assert_verified();
@@ -114,12 +120,12 @@
         ),
     );
     assert_eq!(own_requests(&harness.close(0, &[])), 0);
-    let first = harness.close(1, &[]);
+    let first_statement = harness.close(1, &[]);
     assert_eq!(
         (
-            own_requests(&first),
-            first.lines[0].counts.complete,
-            first.lines[0].counts.records
+            own_requests(&first_statement),
+            first_statement.lines[0].counts.complete,
+            first_statement.lines[0].counts.records
         ),
         (1, 1, 2)
     );
@@ -139,9 +145,12 @@
         FIRST_MS + 900,
         "expected the watermark of the latest run"
     );
-    let second = harness.close(2, &[]);
+    let second_statement = harness.close(2, &[]);
     assert_eq!(
-        (adjusted_requests(&second), second.lines[0].period.clone()),
+        (
+            adjusted_requests(&second_statement),
+            second_statement.lines[0].period.clone()
+        ),
         (1, period(0).name())
     );
     harness.assert_verified();
@@ -167,20 +176,23 @@
     );
     // The run of n0 may still be in progress: its answer counts as sent, and the retry as another
     // logical request.
-    let first = harness.close(0, &["n0"]);
+    let first_statement = harness.close(0, &["n0"]);
     assert_eq!(
-        (own_requests(&first), first.lines[0].counts.ambiguous),
+        (
+            own_requests(&first_statement),
+            first_statement.lines[0].counts.ambiguous
+        ),
         (2, 1)
     );
     // A later run of n0 has started and the earlier one has no closing watermark: the answer may
     // not have been sent, so the retry joins that request.
     harness.ingest("n0", &batch(2, vec![watermark(0, FIRST_MS + 5000, false)]));
-    let next = harness.close(1, &[]);
+    let next_statement = harness.close(1, &[]);
     assert_eq!(
         (
-            adjusted_requests(&next),
-            next.total,
-            next.members[0].unclosed_runs
+            adjusted_requests(&next_statement),
+            next_statement.total,
+            next_statement.members[0].unclosed_runs
         ),
         (-1, -10, 1)
     );
