--- a/crates/core/src/config/key_values.rs
+++ b/crates/core/src/config/key_values.rs
@@ -9,7 +9,7 @@
 pub(super) struct KeyValues<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> KeyValues<'a> {
-    /// Parses lines of `key=value`. If a key occurs more than once, the last line counts.
+    /// Parses lines of `key=value`. If a key occurs more than once, the last line applies.
     pub(super) fn parse(text: &'a str) -> Result<Self, PlatformSettingsError> {
         text.lines()
             .filter(|line| !line.trim().is_empty())
@@ -122,9 +122,9 @@
     /// Returns the maximum `Retry-After` in nanoseconds, or `None` if the settings do not allow the
     /// header.
     pub(super) fn max_retry_after(&self) -> Result<Option<u64>, PlatformSettingsError> {
-        let longest = self.or_default("limits.max_retry_after_ns")?;
-        let allowed = self.or_default::<bool>("limits.retry_after")?;
-        Ok((allowed && longest > 0).then_some(longest))
+        let maximum = self.or_default("limits.max_retry_after_ns")?;
+        let is_allowed = self.or_default::<bool>("limits.retry_after")?;
+        Ok((is_allowed && maximum > 0).then_some(maximum))
     }
 }
 
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -57,8 +57,8 @@
         replica: ReplicaId,
         attempt: &NewAttempt,
     ) -> Result<ConnectionId, AttemptOutcome> {
-        let within_limit = usize::from(attempt.id.number) < self.settings.max_attempts;
-        if !within_limit || attempt.times_out_at <= now || !self.endpoints.is_ready(replica) {
+        let is_within_limit = usize::from(attempt.id.number) < self.settings.max_attempts;
+        if !is_within_limit || attempt.times_out_at <= now || !self.endpoints.is_ready(replica) {
             return Err(AttemptOutcome::NotSent);
         }
         self.find_or_open_connection(now, replica, Some(&attempt.wire_id))
@@ -166,8 +166,8 @@
         }));
     }
 
-    /// Ends an attempt from our side, for example on its timeout: at its connection, in the table
-    /// and in the timers. The policy is informed by an event.
+    /// Ends an attempt before it has a response, for example on its timeout: at its connection, in
+    /// the table and in the timers. The policy is informed by an event.
     ///
     /// An attempt that times out before it was sent ends as [`AttemptOutcome::NotSent`], since it
     /// is known not to have been executed.
--- a/crates/core/src/engine/client_table.rs
+++ b/crates/core/src/engine/client_table.rs
@@ -23,7 +23,7 @@
     /// Whether a query of this client has been passed to the policy.
     has_sent_query: bool,
     /// Whether the connection is to be closed.
-    close_requested: bool,
+    is_close_requested: bool,
 }
 
 /// The connected clients.
@@ -58,7 +58,7 @@
         self.clients.contains_key(&client)
     }
 
-    /// Returns the clients that are not waiting for a query.
+    /// Returns the clients that are not waiting for the reply to a query.
     pub(super) fn without_query(&self) -> impl Iterator<Item = ClientId> + '_ {
         let clients = self.clients.iter();
         let idle = clients.filter(|(_, client)| client.query.is_none());
@@ -74,12 +74,12 @@
         self.clients.insert(client, state);
     }
 
-    /// Removes a client and returns the query that it was waiting for.
+    /// Removes a client. Returns the query whose reply the client was waiting for, if any.
     pub(super) fn remove(&mut self, client: ClientId) -> Option<RequestId> {
         self.clients.remove(&client)?.query
     }
 
-    /// Marks a client as waiting for a query.
+    /// Marks a client as waiting for the reply to a query.
     pub(super) fn set_query(&mut self, client: ClientId, query: RequestId) {
         if let Some(client) = self.clients.get_mut(&client) {
             client.query = Some(query);
@@ -93,7 +93,7 @@
         let client = self.clients.get_mut(&client)?;
         client.query = None;
         client.idle_since = now;
-        Some(client.close_requested)
+        Some(client.is_close_requested)
     }
 
     /// Selects the clients to evict when `newest` connects, and marks them so that none is selected
@@ -112,7 +112,7 @@
             .sort_unstable_by_key(|(id, client)| (client.has_sent_query, client.idle_since, **id));
         evicted.truncate(MAX_EVICTIONS_PER_CONNECT);
         for (_, client) in &mut evicted {
-            client.close_requested = true;
+            client.is_close_requested = true;
         }
         evicted.into_iter().map(|(id, _)| *id).collect()
     }
@@ -120,7 +120,7 @@
 
 impl Client {
     fn is_closable(&self) -> bool {
-        self.query.is_none() && !self.close_requested
+        self.query.is_none() && !self.is_close_requested
     }
 
     fn is_long_idle(&self, now: Nanos) -> bool {
--- a/crates/core/src/engine/clients.rs
+++ b/crates/core/src/engine/clients.rs
@@ -50,8 +50,8 @@
                 self.on_query(now, query);
             }
             Ok(ClientRequest::Ready) => {
-                let ready = self.endpoints.has_been_ready() && !self.shutdown.is_requested();
-                self.send_reply(now, client, QueryReply::Ready(ready));
+                let is_ready = self.endpoints.has_been_ready() && !self.shutdown.is_requested();
+                self.send_reply(now, client, QueryReply::Ready(is_ready));
             }
             Ok(ClientRequest::Stats) => {
                 let json = serde_json::to_vec_pretty(&self.counters).unwrap_or_default();
@@ -75,13 +75,13 @@
     }
 
     pub(super) fn send_reply(&mut self, now: Nanos, client: ClientId, reply: QueryReply) {
-        let Some(close_requested) = self.clients.on_reply(client, now) else {
+        let Some(is_close_requested) = self.clients.on_reply(client, now) else {
             return;
         };
         self.effects.push(Effect::SendReply {
             client,
             reply,
-            close: close_requested || self.shutdown.is_requested(),
+            close: is_close_requested || self.shutdown.is_requested(),
         });
     }
 }
--- a/crates/core/src/engine/connection_table.rs
+++ b/crates/core/src/engine/connection_table.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Notes that a frame was received on a connection. Returns `false` if the connection has
+    /// Records that a frame was received on a connection. Returns `false` if the connection has
     /// ended.
     pub(super) fn on_activity(&mut self, id: ConnectionId, now: Nanos) -> bool {
         let Some(connection) = self.get_mut(id) else {
--- a/crates/core/src/engine/connections.rs
+++ b/crates/core/src/engine/connections.rs
@@ -109,7 +109,7 @@
         Some(id)
     }
 
-    /// Closes a connection from our side. What is in flight on it ends as described in
+    /// Closes a connection. The attempts and health checks on it end as described in
     /// [`ConnectionEnd::ClosedByEngine`].
     pub(super) fn close_connection(&mut self, now: Nanos, id: ConnectionId) {
         self.effects
--- a/crates/core/src/engine/counters.rs
+++ b/crates/core/src/engine/counters.rs
@@ -31,7 +31,7 @@
     /// Reloads of the platform's configuration. Reloads of the aggregator's settings are not
     /// counted.
     pub reloads: ReloadCounters,
-    /// Events that must never occur; each is logged with its cause.
+    /// Events that must never occur.
     pub faults: FaultCounters,
 }
 
@@ -44,11 +44,12 @@
     pub parts: u64,
     /// Queries passed to the policy that the client marked as retries.
     pub retries: u64,
-    /// Malformed requests, rejected before they reached the policy.
+    /// Invalid requests, rejected before they reached the policy.
     pub invalid: u64,
     /// Queries rejected before they reached the policy because too many were open.
     pub over_capacity: u64,
-    /// Queries rejected before they reached the policy because the client had no time left.
+    /// Queries rejected before they reached the policy because the client had no time left, or
+    /// because the process was about to exit.
     pub too_late: u64,
 }
 
@@ -78,16 +79,17 @@
     pub error: u64,
     /// Attempts rejected by the replica.
     pub rejected: u64,
-    /// Attempts without a response before their timeout.
+    /// Attempts that were sent and had no response before their timeout.
     pub timed_out: u64,
     /// Attempts that did not reach the replica, because no connection was available or because it
     /// was lost before the frame was written.
     pub unreachable: u64,
     /// Attempts whose connection was lost after the replica may have received them.
     pub connection_lost: u64,
-    /// Attempts cancelled by the aggregator.
+    /// Attempts cancelled by the aggregator, whether or not they were sent.
     pub cancelled: u64,
-    /// Attempts that ended before they were sent.
+    /// Attempts dropped before they were sent, for example at their timeout or because their
+    /// replica was draining.
     pub not_sent: u64,
 }
 
@@ -159,6 +161,7 @@
     pub reply_deadline: u64,
     /// Answers rejected because they claimed a higher coverage than their results had.
     pub overstated_coverage: u64,
-    /// Actions of the policy whose target does not exist or that the settings do not allow.
+    /// Actions of the policy that could not be executed: attempts at parts that are not open, and
+    /// gossip messages that are too long or that the settings do not allow.
     pub unknown_target: u64,
 }
--- a/crates/core/src/engine/endpoint_table.rs
+++ b/crates/core/src/engine/endpoint_table.rs
@@ -107,7 +107,7 @@
         self.version
     }
 
-    /// Returns whether any replica has been ready after an update so far.
+    /// Returns whether any replica has been ready since the start of the process.
     pub(super) fn has_been_ready(&self) -> bool {
         self.has_been_ready
     }
--- a/crates/core/src/engine/endpoints.rs
+++ b/crates/core/src/engine/endpoints.rs
@@ -63,8 +63,8 @@
     /// Starts a new watch after a reload, since the address of discovery may have changed. The
     /// watch is started even if the address is the same, because an operator may reload in order to
     /// restart it. The endpoint list, connections and queries are kept.
-    pub(super) fn on_configuration_reloaded(&mut self, usable: bool) {
-        if !usable {
+    pub(super) fn on_configuration_reloaded(&mut self, is_valid: bool) {
+        if !is_valid {
             self.counters.reloads.failed += 1;
             return;
         }
--- a/crates/core/src/engine/frames.rs
+++ b/crates/core/src/engine/frames.rs
@@ -17,8 +17,8 @@
 }
 
 impl Engine {
-    /// Writes the next frame of each connection that has one, and closes the connections that have
-    /// become useless.
+    /// Writes the next frame of each pending connection. Closes connections that are unresponsive
+    /// with nothing in flight, and idle ones whose replica is not ready.
     pub(super) fn flush_pending_writes(&mut self, now: Nanos) {
         while let Some(connection) = self.connections.pop_pending() {
             self.drop_expired_attempts(now, connection);
@@ -67,8 +67,8 @@
             }
             OutgoingFrame::HealthCheck(_) => {
                 self.counters.sent.health_checks += 1;
-                let load_is_reported = !self.settings.load_report_fields.is_empty();
-                Some(if load_is_reported {
+                let is_load_reported = !self.settings.load_report_fields.is_empty();
+                Some(if is_load_reported {
                     LeafRequest::LoadReport
                 } else {
                     LeafRequest::HealthCheck
@@ -137,10 +137,10 @@
         self.on_attempt_ended(now, attempt, outcome, report);
     }
 
-    /// Handles a frame that cannot be decoded. The leaf server is alive and has executed the part
-    /// that it responded to, so that attempt has failed. The start of the next frame is unknown, so
-    /// the other attempts on the connection cannot get a response: closing the connection cancels
-    /// them at once.
+    /// Handles a frame that cannot be decoded, or a response with an unknown id. The leaf server is
+    /// alive and has executed the part that it responded to, so that attempt has failed. The start
+    /// of the next frame is unknown, so the other attempts on the connection cannot get a response:
+    /// closing the connection cancels them at once.
     fn on_malformed_response(&mut self, now: Nanos, id: ConnectionId, wire_id: Option<&str>) {
         let replica = self.connections.replica_of(id);
         let Some(connection) = self.connections.get_mut(id) else {
--- a/crates/core/src/engine/input.rs
+++ b/crates/core/src/engine/input.rs
@@ -7,56 +7,61 @@
 use crate::protocol::leaf::LeafResponse;
 use crate::protocol::query::ClientRequest;
 
-/// An event outside the engine, reported by the sockets or the process.
+/// An event outside the engine, for example on a socket. The event loop passes inputs to
+/// [`Engine::apply`](super::Engine::apply) in batches, each of which ends with
+/// [`Input::BatchEnded`].
 #[derive(Debug)]
 pub enum Input {
-    /// A frontend has started. It may submit requests from now on.
+    /// A frontend has started to accept clients. During a shutdown, the engine requests the exit
+    /// once all frontends have stopped, or at the exit deadline.
     FrontendStarted,
-    /// A frontend accepts no more clients, and has submitted all requests of the clients that it
-    /// had accepted.
+    /// A frontend has stopped: it reports no further [`Input::ClientConnected`]. Requests may still
+    /// arrive from clients that are connected.
     FrontendStopped,
     /// A client has connected.
     ClientConnected {
-        /// Identifier of the new client connection.
+        /// New identifier, which has not been used for another client.
         client: ClientId,
     },
-    /// A client has sent a request, valid or not.
+    /// A client has sent a request, valid or not. The engine replies with
+    /// [`Effect::SendReply`](super::Effect::SendReply).
     RequestReceived {
-        /// Identifier of the client connection.
+        /// Client that has sent the request.
         client: ClientId,
-        /// Time at which the last byte of the request was received.
+        /// Time at which the last byte of the request was received, in Unix nanoseconds.
         arrived_at: Nanos,
         /// The parsed request, or the reason why it is invalid.
         request: Result<ClientRequest, RequestError>,
     },
-    /// The connection of a client has ended.
+    /// The connection of a client has ended, whichever side closed it.
     ClientDisconnected {
-        /// Identifier of the client connection.
+        /// Client whose connection has ended.
         client: ClientId,
     },
     /// A connection to a leaf server has been established.
     ConnectionOpened {
-        /// Identifier of the connection.
+        /// Identifier from [`Effect::OpenConnection`](super::Effect::OpenConnection).
         connection: ConnectionId,
     },
-    /// A socket has accepted the last byte of the frame that it was writing.
+    /// The socket of a connection to a leaf server has accepted the last byte of the frame that it
+    /// was writing.
     FrameWritten {
-        /// Identifier of the connection.
+        /// Connection on which the frame was written.
         connection: ConnectionId,
     },
     /// A leaf server has sent a frame.
     FrameReceived {
-        /// Identifier of the connection.
+        /// Connection on which the frame was received.
         connection: ConnectionId,
-        /// The decoded frame.
+        /// Decoded frame, or [`LeafResponse::Malformed`].
         frame: LeafResponse,
     },
     /// A connection to a leaf server was refused, has failed or has ended.
     ConnectionClosed {
-        /// Identifier of the connection.
+        /// Connection that has ended or was never established.
         connection: ConnectionId,
     },
-    /// Discovery has sent the endpoint list or the changes to it.
+    /// Discovery has sent a snapshot of the endpoint list or a delta to it.
     EndpointsUpdated(EndpointUpdate),
     /// A watch on the endpoint list has ended. The next one starts when the policy requests it.
     WatchEnded {
@@ -65,21 +70,21 @@
     },
     /// Another aggregator has sent a gossip message.
     GossipReceived {
-        /// Number of the sending aggregator.
+        /// Number of the sending aggregator: its index in the configured `peers`.
         from: u32,
-        /// Payload of the message.
+        /// Payload of the message, which only the policy interprets.
         bytes: Vec<u8>,
     },
-    /// The configuration has been read again.
+    /// The configuration file has been read again.
     ConfigurationReloaded {
-        /// Whether the new configuration is valid and has been applied.
-        usable: bool,
+        /// Whether the new configuration is valid and its addresses are in force.
+        is_valid: bool,
     },
     /// The operator has requested a graceful shutdown.
     ShutdownRequested,
-    /// The process exits. No further input follows.
+    /// The process is about to exit, and no further input follows.
     InputsEnded,
-    /// All available inputs have been applied: the policy handles the events of the batch, and
-    /// frames are written.
+    /// A batch of inputs is complete, or a timer is due. The engine runs the timers that are due,
+    /// lets the policy handle the events of the batch, and writes frames.
     BatchEnded,
 }
--- a/crates/core/src/engine/leaf_connection/in_flight.rs
+++ b/crates/core/src/engine/leaf_connection/in_flight.rs
@@ -15,10 +15,11 @@
 pub enum ResponseMatch {
     /// An attempt that was in flight and that this response ends.
     Attempt(AttemptId),
-    /// An attempt that had already ended: the response is a duplicate, or was sent before our
+    /// An attempt that had already ended: the response is a duplicate, or was sent before the
     /// cancellation arrived.
     AlreadyEnded,
-    /// No part that was ever written to this connection: the response is malformed.
+    /// Neither a written attempt nor one of those that ended most recently: the response is
+    /// malformed.
     Unknown,
 }
 
@@ -37,7 +38,7 @@
 #[derive(Debug, Default)]
 pub(super) struct InFlightAttempts {
     attempts: BTreeMap<WireId, AttemptProgress>,
-    /// Wire ids of written attempts that have ended, oldest first.
+    /// Wire ids of ended attempts whose frames were passed to the socket, oldest first.
     ended_ids: VecDeque<WireId>,
 }
 
--- a/crates/core/src/engine/leaf_connection/mod.rs
+++ b/crates/core/src/engine/leaf_connection/mod.rs
@@ -113,9 +113,9 @@
         self.is_unresponsive
     }
 
-    /// Returns whether the connection is unresponsive and no attempt in flight could still be
-    /// answered. Only cancellations can be queued then, and closing the connection cancels as well.
-    /// A frame that the socket cannot deliver would keep the connection open forever.
+    /// Returns whether the connection is unresponsive and no attempt is in flight on it. Such a
+    /// connection is closed even if frames are queued: closing it also cancels attempts at the leaf
+    /// server, and a frame that the socket cannot deliver would keep it open forever.
     pub fn should_close(&self) -> bool {
         self.is_unresponsive && self.in_flight.is_empty()
     }
--- a/crates/core/src/engine/leaf_connection/write_queue.rs
+++ b/crates/core/src/engine/leaf_connection/write_queue.rs
@@ -83,17 +83,17 @@
 
     /// Removes a queued attempt. Returns whether the attempt was queued.
     pub(super) fn remove_attempt(&mut self, attempt: AttemptId) -> bool {
-        let mut removed = false;
+        let mut was_queued = false;
         self.waiting.retain_mut(|frame| {
             let OutgoingFrame::Call(call) = frame else {
                 return true;
             };
             let entries_before = call.len();
             call.retain(|entry| entry.attempt != attempt);
-            removed |= call.len() < entries_before;
+            was_queued |= call.len() < entries_before;
             !call.is_empty()
         });
-        removed
+        was_queued
     }
 
     /// Removes a queued health check.
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -1,9 +1,9 @@
 //! The engine: a single reducer that owns the entire state of an aggregator.
 //!
-//! The sockets pass [`Input`]s to [`Engine::apply`], which returns the [`Effect`]s that the sockets
-//! carry out. The engine has no socket and no clock, so it is deterministic: the same inputs at the
-//! same times yield the same effects. Inputs are turned into events. At the end of each batch of
-//! inputs, the [`Policy`] handles the events, and the actions that it returns are executed
+//! The event loop passes [`Input`]s to [`Engine::apply`], which returns the [`Effect`]s that the
+//! driver executes. The engine has no socket and no clock, so it is deterministic: the same inputs
+//! at the same times yield the same effects. Inputs are turned into events. At the end of each
+//! batch of inputs, the [`Policy`] handles the events, and the actions that it returns are executed
 //! (`actions.rs`).
 //!
 //! The state is kept in one table per kind of entity, with private fields: `client_table`,
@@ -116,8 +116,8 @@
             cached_endpoints,
             max_descriptors,
         } = options;
-        let list_is_polled = policy_settings.endpoint_list_polled;
-        let answer_timeout = if list_is_polled {
+        let is_list_polled = policy_settings.endpoint_list_polled;
+        let answer_timeout = if is_list_polled {
             POLLED_LIST_TIMEOUT
         } else {
             PUSHED_LIST_TIMEOUT
@@ -142,7 +142,7 @@
         };
         engine.load_cached_endpoints(&cached_endpoints);
         // When the list is polled, the policy starts the first watch itself, at a random time.
-        if !list_is_polled {
+        if !is_list_polled {
             engine.start_watch();
         }
         engine.end_batch(now);
@@ -195,7 +195,7 @@
     }
 
     /// Applies one input at time `now` and returns the effects in the order in which they must be
-    /// carried out.
+    /// executed.
     ///
     /// Frames are written only at [`Input::BatchEnded`], so that a disconnected client, a draining
     /// replica or a shutdown takes precedence over a connection that opened in the same batch.
@@ -227,7 +227,7 @@
                 self.events.push(Event::GossipReceived { from, bytes });
             }
             Input::WatchEnded { watch } => self.on_watch_ended(watch),
-            Input::ConfigurationReloaded { usable } => self.on_configuration_reloaded(usable),
+            Input::ConfigurationReloaded { is_valid } => self.on_configuration_reloaded(is_valid),
             Input::ShutdownRequested => self.on_shutdown_requested(now),
             Input::InputsEnded => self.record_final_watermark(),
             Input::BatchEnded => {
--- a/crates/core/src/engine/shutdown.rs
+++ b/crates/core/src/engine/shutdown.rs
@@ -67,7 +67,7 @@
     /// `None` until a shutdown is requested.
     schedule: Option<Schedule>,
     is_drain_period_over: bool,
-    /// Number of frontends that may still submit a request.
+    /// Number of frontends that may still report a new client.
     running_frontends: usize,
     is_exit_requested: bool,
 }
@@ -166,10 +166,10 @@
     /// Requests the exit of the process once the drain period is over and no query, client or
     /// frontend is left that could need an answer.
     pub(super) fn maybe_exit(&mut self) {
-        let nothing_left = self.queries.is_empty()
+        let is_all_ended = self.queries.is_empty()
             && self.clients.is_empty()
             && self.shutdown.running_frontends == 0;
-        if self.shutdown.is_drain_period_over() && nothing_left {
+        if self.shutdown.is_drain_period_over() && is_all_ended {
             self.exit();
         }
     }
--- a/crates/core/src/engine/usage_log.rs
+++ b/crates/core/src/engine/usage_log.rs
@@ -126,8 +126,8 @@
     }
 
     pub(super) fn record_watermark(&mut self, now: Nanos) {
-        let exited = self.shutdown.is_exit_requested();
-        let Some(watermarks) = self.watermarks.as_mut().filter(|_| !exited) else {
+        let is_exit_requested = self.shutdown.is_exit_requested();
+        let Some(watermarks) = self.watermarks.as_mut().filter(|_| !is_exit_requested) else {
             return;
         };
         let watermark = watermarks.advance(now);
--- a/crates/core/src/net/backlog.rs
+++ b/crates/core/src/net/backlog.rs
@@ -31,8 +31,9 @@
         }
     }
 
-    /// Accepts the next connection. Returns `None` once the backlog is empty. A failed accept loses
-    /// only its own connection, so the next one is accepted after a pause.
+    /// Accepts the next connection. Returns `None` once the backlog is empty or
+    /// `MAX_BACKLOG_CONNECTIONS` were accepted. A failed accept loses only its own connection, so
+    /// the next one is accepted after a pause.
     pub async fn accept(&mut self) -> Option<(TcpStream, SocketAddr)> {
         self.remaining = self.remaining.checked_sub(1)?;
         loop {
--- a/crates/core/src/net/buffer_pool.rs
+++ b/crates/core/src/net/buffer_pool.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Encoder, Framed, FramedParts};
 
-/// Size of a buffer, which holds the head of a request and nearly every frame and response.
+/// Size of a buffer, in bytes. It holds the head of a request and nearly every frame and response.
 pub(super) const BUFFER_BYTES: usize = 16 * 1024;
 /// Maximum number of unused buffers that are kept, 4 MiB in total.
 const MAX_FREE_BUFFERS: usize = 256;
@@ -24,7 +24,7 @@
     }
 
     /// Keeps a buffer for reuse, unless it has grown for a large message. Otherwise, all buffers
-    /// would be large in the end.
+    /// would eventually be large.
     fn put_back(&self, mut buffer: BytesMut) {
         buffer.clear();
         let mut free = self.0.borrow_mut();
--- a/crates/core/src/net/client_connection/next_request.rs
+++ b/crates/core/src/net/client_connection/next_request.rs
@@ -85,7 +85,7 @@
         .map_or(NextRequest::Disconnected, NextRequest::Received))
 }
 
-/// Whether part of a request has been read.
+/// Returns whether part of a request has been read.
 fn is_in_request(stream: &ClientStream) -> bool {
-    stream.codec().in_request() || !stream.read_buffer().is_empty()
+    stream.codec().is_in_request() || !stream.read_buffer().is_empty()
 }
--- a/crates/core/src/net/client_connection/pipelined_requests.rs
+++ b/crates/core/src/net/client_connection/pipelined_requests.rs
@@ -24,7 +24,7 @@
     pub(super) arrived_at: Nanos,
     pub(super) request: DecodedRequest,
     /// Guard that is dropped once the request is answered. A shutdown waits for that.
-    pub(super) open: OpenRequest,
+    pub(super) open_request: OpenRequest,
 }
 
 /// Whether more requests may be read ahead on a connection.
@@ -70,7 +70,7 @@
         Some(received)
     }
 
-    /// Whether no request is queued.
+    /// Returns whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
--- a/crates/core/src/net/client_connection/serving.rs
+++ b/crates/core/src/net/client_connection/serving.rs
@@ -86,7 +86,7 @@
             let ReceivedRequest {
                 arrived_at,
                 request,
-                open,
+                open_request,
             } = received;
             let keep_alive = match self.submit(arrived_at, request).await {
                 Submission::Accepted { keep_alive } => keep_alive,
@@ -108,7 +108,7 @@
                 ..render_reply(&reply)
             };
             self.respond(response).await?;
-            drop(open);
+            drop(open_request);
             if is_last {
                 return Ok(Ending::Closed(CloseReason::LastResponse));
             }
@@ -125,7 +125,7 @@
         ReceivedRequest {
             arrived_at: self.shared.clock.now(),
             request,
-            open: self.shared.open_requests.open(),
+            open_request: self.shared.open_requests.open(),
         }
     }
 
--- a/crates/core/src/net/driver/mod.rs
+++ b/crates/core/src/net/driver/mod.rs
@@ -69,7 +69,7 @@
             self.discovery = addresses.discovery;
         }
         Input::ConfigurationReloaded {
-            usable: addresses.is_some(),
+            is_valid: addresses.is_some(),
         }
     }
 
@@ -117,7 +117,7 @@
         self.replies.next_deadline()
     }
 
-    /// Waits until usage records are written for which replies are held.
+    /// Waits until further usage records are written. Never returns while no reply is held.
     pub(super) async fn wait_for_usage_log(&mut self) {
         self.replies.wait_for_usage_log().await;
     }
--- a/crates/core/src/net/driver/reply_delivery.rs
+++ b/crates/core/src/net/driver/reply_delivery.rs
@@ -66,7 +66,7 @@
             .and_then(PendingReplies::next_deadline)
     }
 
-    /// Waits until usage records are written for which replies are held.
+    /// Waits until further usage records are written. Never returns while no reply is held.
     pub(super) async fn wait_for_usage_log(&mut self) {
         match &mut self.pending_replies {
             Some(pending_replies) => pending_replies.wait_for_written().await,
--- a/crates/core/src/net/driver/shutdown.rs
+++ b/crates/core/src/net/driver/shutdown.rs
@@ -7,7 +7,8 @@
 /// Maximum time to write replies that are sent only at the exit deadline.
 const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Waits until all clients have disconnected, or until the exit deadline.
+/// Waits until all clients have disconnected, at most until the exit deadline. If the deadline has
+/// passed, replies still have [`LAST_WRITES_TIMEOUT`] to be written.
 pub(super) async fn wait_for_clients(shared: &Shared, exit_deadline: Instant) {
     let all_ended = async {
         while has_open_clients(shared) {
@@ -18,7 +19,7 @@
     let _ = timeout_at(exit_deadline.max(last_writes), all_ended).await;
 }
 
-/// Whether a client is connected or a request of any frontend is open.
+/// Returns whether a client is connected or a request of any frontend is open.
 fn has_open_clients(shared: &Shared) -> bool {
     shared.clients.len() > 0 || shared.open_requests.count() > 0
 }
--- a/crates/core/src/net/endpoint_watch.rs
+++ b/crates/core/src/net/endpoint_watch.rs
@@ -26,7 +26,8 @@
     pub(super) address: SocketAddr,
     /// Version of the list to continue from, then the latest version received.
     pub(super) version: u64,
-    /// Maximum time until the response begins.
+    /// Maximum time until the response begins. If it is longer than [`HEARTBEAT_TIMEOUT`], it is
+    /// also the maximum time until the first line of the response.
     pub(super) response_timeout: Duration,
 }
 
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -105,7 +105,7 @@
         self.shared.listening_stopped().await;
     }
 
-    /// Whether a shutdown has begun. If so, each response must ask the client to close the
+    /// Returns whether a shutdown has begun. If so, each response must ask the client to close the
     /// connection.
     pub fn is_draining(&self) -> bool {
         *self.shared.phase.borrow() >= ServingPhase::Draining
--- a/crates/core/src/net/leaf_connection.rs
+++ b/crates/core/src/net/leaf_connection.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whether the connection has ended.
+    /// Returns whether the connection has ended.
     pub(super) fn is_closed(&self) -> bool {
         self.task.is_finished()
     }
--- a/crates/core/src/net/pending_replies.rs
+++ b/crates/core/src/net/pending_replies.rs
@@ -36,7 +36,8 @@
     max_delay: Duration,
     pending: VecDeque<PendingReply>,
     /// Sequence of the latest record, until a reply follows. That reply waits for the record. A
-    /// query whose client has disconnected has a record and no reply.
+    /// query whose client has disconnected has a record and no reply, so the next reply to any
+    /// client waits for that record, unless a later record replaces it.
     latest_record: Option<u64>,
     /// Sequence up to which the log was written when a reply was last sent without its record. No
     /// reply waits until the log advances.
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Queues a record, for which the reply that follows waits.
+    /// Queues a record. The next reply waits for it, unless the recorder has no capacity.
     pub fn record(&mut self, usage: QueryUsage) {
         let sequence = usage.sequence;
         self.latest_record = self.recorder.record(usage).then_some(sequence);
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Whether a reply may wait for its record while the log is written up to sequence `written`.
+    /// Returns whether a reply may wait for its record while the log is written up to the sequence
+    /// `written`.
     fn may_wait(&self, written: u64) -> bool {
         self.holds_replies && self.stalled_at != Some(written)
     }
--- a/crates/core/src/net/running_frontend.rs
+++ b/crates/core/src/net/running_frontend.rs
@@ -3,8 +3,8 @@
 use super::shared::Shared;
 use crate::engine::Input;
 
-/// Guard for a frontend that accepts clients or may still hand over requests of clients it has
-/// accepted. Dropping the guard reports that the frontend has stopped. Until then, the engine exits
+/// Guard for a frontend that may still report a new client to the engine. Dropping the guard
+/// reports that the frontend has stopped. Until then, the engine exits
 /// only at the exit deadline of `engine/shutdown.rs`.
 pub(super) struct RunningFrontend {
     shared: Shared,
--- a/crates/core/src/protocol/http/head.rs
+++ b/crates/core/src/protocol/http/head.rs
@@ -103,8 +103,8 @@
         .collect()
 }
 
-/// Whether the connection stays open after the request: as the client asks, or by default as the
-/// HTTP version specifies.
+/// Returns whether the connection stays open after the request: as the client asks, or by default
+/// as the HTTP version specifies.
 fn is_kept_alive(headers: &[HeaderField], minor_version: Option<u8>) -> bool {
     let connection = find_header(headers, "connection").map(str::to_ascii_lowercase);
     match connection.as_deref() {
--- a/crates/core/src/protocol/http/mod.rs
+++ b/crates/core/src/protocol/http/mod.rs
@@ -13,9 +13,9 @@
 pub use server::ServerCodec;
 pub use watch::{WatchCodec, WatchRequest};
 
-/// Maximum length of the body of a request.
+/// Maximum length of the body of a request, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Maximum length of the head of a message, which has to fit into one pooled buffer.
+/// Maximum length of the head of a message, in bytes. A head has to fit into one pooled buffer.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Maximum number of header fields of a message.
 const MAX_HEADERS: usize = 64;
--- a/crates/core/src/protocol/http/server.rs
+++ b/crates/core/src/protocol/http/server.rs
@@ -17,8 +17,8 @@
 }
 
 impl ServerCodec {
-    /// Whether the head of a request has been read while its body is still incomplete.
-    pub fn in_request(&self) -> bool {
+    /// Returns whether the head of a request has been read while its body is still incomplete.
+    pub fn is_in_request(&self) -> bool {
         self.head.is_some()
     }
 
--- a/crates/core/src/protocol/http/watch.rs
+++ b/crates/core/src/protocol/http/watch.rs
@@ -13,7 +13,7 @@
 
 /// Request that starts a watch.
 pub struct WatchRequest {
-    /// Address of the discovery agent.
+    /// Value of the `Host` header: the address of the discovery agent.
     pub host: String,
     /// Version of the list to continue from.
     pub from: u64,
@@ -28,11 +28,11 @@
     text: BytesMut,
     scanner: MessageScanner,
     /// Whether a message has ended on the current line.
-    after_message: bool,
+    is_after_message: bool,
 }
 
 impl WatchCodec {
-    /// Whether the head of the response has been read.
+    /// Returns whether the head of the response has been read.
     pub fn has_begun(&self) -> bool {
         self.body_reader.is_some()
     }
@@ -65,7 +65,7 @@
             let end = std::mem::take(&mut self.scanner).position();
             let text = self.text.split_to(end).freeze();
             let was_after_message =
-                std::mem::replace(&mut self.after_message, event == ScanEvent::MessageEnd);
+                std::mem::replace(&mut self.is_after_message, event == ScanEvent::MessageEnd);
             // Whitespace between a message and the end of its line is not a message.
             if !was_after_message || !text.trim_ascii().is_empty() {
                 return Some(text);
--- a/crates/core/src/protocol/http/watch_scanner.rs
+++ b/crates/core/src/protocol/http/watch_scanner.rs
@@ -6,8 +6,8 @@
 pub(super) struct MessageScanner {
     position: usize,
     depth: usize,
-    in_string: bool,
-    escaped: bool,
+    is_in_string: bool,
+    is_escaped: bool,
 }
 
 /// What [`MessageScanner::scan`] has found.
@@ -32,13 +32,13 @@
     pub(super) fn scan(&mut self, text: &[u8]) -> Option<ScanEvent> {
         while let Some(byte) = text.get(self.position) {
             self.position += 1;
-            if self.in_string {
-                self.in_string = self.escaped || *byte != b'"';
-                self.escaped = !self.escaped && *byte == b'\\';
+            if self.is_in_string {
+                self.is_in_string = self.is_escaped || *byte != b'"';
+                self.is_escaped = !self.is_escaped && *byte == b'\\';
                 continue;
             }
             match byte {
-                b'"' => self.in_string = true,
+                b'"' => self.is_in_string = true,
                 b'{' | b'[' => self.depth += 1,
                 b'}' | b']' if self.depth <= 1 => return Some(ScanEvent::MessageEnd),
                 b'}' | b']' => self.depth -= 1,
--- a/crates/core/src/protocol/leaf/codec.rs
+++ b/crates/core/src/protocol/leaf/codec.rs
@@ -102,7 +102,8 @@
     }
 }
 
-/// Whether a frame of this kind may have this length. `kind` is `None` if it has not arrived yet.
+/// Returns whether a frame of this kind may have this length. `kind` is `None` if the kind has not
+/// arrived yet.
 fn is_valid_length(kind: Option<u8>, length: usize) -> bool {
     match kind {
         None => (1..=MAX_PART_RESULT_BYTES).contains(&length),
--- a/crates/core/src/protocol/query/mod.rs
+++ b/crates/core/src/protocol/query/mod.rs
@@ -96,7 +96,8 @@
         /// Time that the client should wait before a retry, in nanoseconds.
         retry_after: Option<Nanos>,
     },
-    /// The query was not answered in time.
+    /// The query failed, for example because it was not answered in time. It may have had an
+    /// effect, so a retry by the client may do harm.
     Failed,
     /// Whether this aggregator is ready.
     Ready(bool),
--- a/crates/core/src/protocol/query/request.rs
+++ b/crates/core/src/protocol/query/request.rs
@@ -151,14 +151,14 @@
 
 /// Parses the parts. No two may name the same shard, since they would have the same id at the leaf
 /// server.
-fn parse_parts(entries: Vec<ShardEntry>, shards: u32) -> Result<Vec<QueryPart>, RequestError> {
+fn parse_parts(entries: Vec<ShardEntry>, shard_count: u32) -> Result<Vec<QueryPart>, RequestError> {
     if entries.is_empty() {
         return Err(RequestError::bad_request("no shards"));
     }
     let mut seen = BTreeSet::new();
     let mut parts = Vec::with_capacity(entries.len());
     for entry in entries {
-        if entry.shard >= shards || !seen.insert(entry.shard) {
+        if entry.shard >= shard_count || !seen.insert(entry.shard) {
             return Err(RequestError::bad_request(
                 "a shard that does not exist or is named twice",
             ));
@@ -188,7 +188,8 @@
     })
 }
 
-/// Parses a number followed by `m` (milliseconds) or `u` (microseconds) to nanoseconds.
+/// Parses a number followed by `m` (milliseconds) or `u` (microseconds). Returns nanoseconds, at
+/// most [`MAX_DURATION_NS`].
 fn parse_duration(text: &str) -> Option<Nanos> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let nanos_per_unit = match unit {
--- a/crates/core/tests/connection.rs
+++ b/crates/core/tests/connection.rs
@@ -60,7 +60,7 @@
 /// order.
 #[derive(Default)]
 struct Model {
-    open: bool,
+    is_open: bool,
     attempts: BTreeMap<AttemptId, AttemptState>,
     frames: VecDeque<OutgoingFrame>,
     writing: Option<OutgoingFrame>,
@@ -68,9 +68,9 @@
 }
 
 impl Model {
-    fn nth_attempt(&self, n: usize) -> Option<AttemptId> {
+    fn nth_attempt(&self, nth: usize) -> Option<AttemptId> {
         (!self.attempts.is_empty())
-            .then(|| *self.attempts.keys().nth(n % self.attempts.len()).unwrap())
+            .then(|| *self.attempts.keys().nth(nth % self.attempts.len()).unwrap())
     }
 
     fn attempts_in(&self, state: AttemptState) -> Vec<AttemptId> {
@@ -79,8 +79,8 @@
     }
 
     fn is_idle(&self) -> bool {
-        let nothing_open = self.attempts.is_empty() && self.health_checks.is_empty();
-        nothing_open && self.frames.is_empty() && self.writing.is_none()
+        let is_all_ended = self.attempts.is_empty() && self.health_checks.is_empty();
+        is_all_ended && self.frames.is_empty() && self.writing.is_none()
     }
 }
 
@@ -122,7 +122,7 @@
             }
             Step::Open => {
                 connection.on_opened(now);
-                model.open = true;
+                model.is_open = true;
             }
             Step::TakeFrame => self.take_frame(now)?,
             Step::FrameWritten => self.frame_written(),
@@ -144,8 +144,12 @@
 
     fn take_frame(&mut self, now: u64) -> Result<(), TestCaseError> {
         let ModeledConnection { connection, model } = self;
-        let due = model.open && model.writing.is_none();
-        let expected = if due { model.frames.pop_front() } else { None };
+        let may_write = model.is_open && model.writing.is_none();
+        let expected = if may_write {
+            model.frames.pop_front()
+        } else {
+            None
+        };
         prop_assert_eq!(connection.next_frame(now), expected.clone());
         if let Some(OutgoingFrame::Call(call)) = &expected {
             model
@@ -174,8 +178,8 @@
         let Some(attempt) = model.nth_attempt(nth) else {
             return Ok(());
         };
-        let written = model.attempts[&attempt] == AttemptState::Written;
-        let expected = if written {
+        let is_written = model.attempts[&attempt] == AttemptState::Written;
+        let expected = if is_written {
             ResponseMatch::Attempt(attempt)
         } else {
             ResponseMatch::Unknown
@@ -184,7 +188,7 @@
         prop_assert_eq!(connection.match_response(&id), expected);
         let unknown = connection.match_response("never.asked");
         prop_assert_eq!(unknown, ResponseMatch::Unknown);
-        if written {
+        if is_written {
             let again = connection.match_response(&id);
             prop_assert_eq!(
                 again,
@@ -296,9 +300,9 @@
         }
         harness.advance(20_000);
         for (client, replies) in &harness.replies {
-            let disconnected = harness.disconnected.contains(client);
-            let replied_once = replies.len() == 1 || disconnected && replies.is_empty();
-            prop_assert!(replied_once, "expected one reply to client {client}, got {replies:?}");
+            let has_disconnected = harness.disconnected.contains(client);
+            let is_replied_once = replies.len() == 1 || has_disconnected && replies.is_empty();
+            prop_assert!(is_replied_once, "expected one reply to client {client}, got {replies:?}");
         }
         let counters = harness.engine.counters().clone();
         let ended = &counters.attempts_ended;
--- a/crates/core/tests/crossing_events.rs
+++ b/crates/core/tests/crossing_events.rs
@@ -56,9 +56,9 @@
     fn is_noticed_at_once_behind_pipelined_requests() {
         run_scenario(SETTINGS, 100, |harness| async move {
             let mut client = connect_client(harness.aggregator).await;
-            let both =
+            let requests =
                 query_request("a1", "") + &query_request("a2", "") + &query_request("a3", "");
-            client.write_all(both.as_bytes()).await.unwrap();
+            client.write_all(requests.as_bytes()).await.unwrap();
             let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
             assert_eq!(leaf.next_call().await.id, "a1.3");
             expect_cancelled_at_disconnect(client, &mut leaf, "Xa1.3").await;
@@ -66,11 +66,11 @@
     }
 
     #[test]
-    fn is_noticed_where_more_was_sent_than_is_read_ahead() {
+    fn is_noticed_behind_more_requests_than_are_read_ahead() {
         run_scenario(SETTINGS, 100, |harness| async move {
             let mut client = connect_client(harness.aggregator).await;
             let many: String = (0..2000)
-                .map(|n| query_request(&format!("a{n}"), ""))
+                .map(|number| query_request(&format!("a{number}"), ""))
                 .collect();
             client.write_all(many.as_bytes()).await.unwrap();
             let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
@@ -139,7 +139,7 @@
             let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
             let id = leaf.next_call().await.id;
             let pipelined: String = (0..2000)
-                .map(|n| query_request(&format!("c-{n}"), ""))
+                .map(|number| query_request(&format!("c-{number}"), ""))
                 .collect();
             client.write_all(pipelined.as_bytes()).await.unwrap();
             leaf.send_result(&id).await;
@@ -166,7 +166,7 @@
             let end = timeout(Duration::from_millis(2_500), silent.read(&mut [0]))
                 .await
                 .expect("the connection should be closed in time");
-            assert_eq!(end.map_err(|e: io::Error| e.kind()), Ok(0));
+            assert_eq!(end.map_err(|error: io::Error| error.kind()), Ok(0));
         });
     }
 }
@@ -205,7 +205,7 @@
     }
 
     #[test]
-    fn requests_read_before_and_those_sent_with_them_are_answered() {
+    fn pipelined_requests_read_before_the_shutdown_are_answered() {
         run_scenario(SETTINGS, 100, |harness| async move {
             let mut client = connect_client(harness.aggregator).await;
             let both = query_request("e1", "") + &query_request("e2", "");
@@ -262,16 +262,16 @@
     }
 
     #[test]
-    fn connection_that_waits_when_listening_stops_is_answered() {
+    fn connections_in_the_backlog_when_listening_stops_are_answered() {
         let settings = SETTINGS
             .replace("open_cap=60", "open_cap=600")
             .replace("streams_per_conn=4", "streams_per_conn=99");
         // 40 descriptors give capacity for 18 clients and 16 more that are being closed.
         run_scenario(&settings, 40, |harness| async move {
             let mut clients = Vec::new();
-            for n in 0..40 {
+            for number in 0..40 {
                 let mut client = connect_client(harness.aggregator).await;
-                send_query(&mut client, &format!("g{n}")).await;
+                send_query(&mut client, &format!("g{number}")).await;
                 clients.push(client);
             }
             let mut leaf = LeafServerConnection::accept(&harness.leaf).await;
@@ -316,9 +316,9 @@
             let (first, leaf) = served_client(&harness, "j-first").await;
             let leaf = tokio::task::spawn_local(leaf.serve());
             let mut idle = vec![first];
-            for n in 0..60 {
+            for number in 0..60 {
                 let mut client = connect_client(harness.aggregator).await;
-                send_query(&mut client, &format!("j{n}")).await;
+                send_query(&mut client, &format!("j{number}")).await;
                 assert!(read_response_head(&mut client)
                     .await
                     .starts_with("HTTP/1.1 200"));
--- a/crates/core/tests/endpoint_watch.rs
+++ b/crates/core/tests/endpoint_watch.rs
@@ -237,7 +237,10 @@
                 "expected no second watch at the new address"
             );
             assert_eq!(
-                moved.stream.try_read(&mut [0]).map_err(|e| e.kind()),
+                moved
+                    .stream
+                    .try_read(&mut [0])
+                    .map_err(|error| error.kind()),
                 Err(std::io::ErrorKind::WouldBlock)
             );
             assert!(
--- a/crates/core/tests/frontends.rs
+++ b/crates/core/tests/frontends.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_process_goes_on_until_a_frontend_has_served_all_accepted_requests() {
+fn the_exit_waits_until_a_frontend_has_served_all_accepted_requests() {
     let reply = SharedReply::default();
     let frontend = frontend_with_late_query(BETWEEN_QUERIES, reply.clone());
     let scenario = scenario_with(frontend);
--- a/crates/core/tests/incomplete_requests.rs
+++ b/crates/core/tests/incomplete_requests.rs
@@ -147,7 +147,7 @@
     }
 
     #[test]
-    fn first_request_of_a_connection_accepted_just_before_is_answered() {
+    fn first_request_on_a_new_connection_is_answered() {
         run_scenario(SETTINGS, DESCRIPTORS, |harness| async move {
             let mut client = connect_client(harness.aggregator).await;
             harness.request_shutdown().await;
--- a/crates/core/tests/pending_replies.rs
+++ b/crates/core/tests/pending_replies.rs
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn replies_wait_for_their_records_in_order_but_no_longer_than_a_stall() {
+async fn replies_wait_for_their_records_in_order_up_to_the_maximum_delay() {
     let unrecorded_replies = Rc::<Cell<u32>>::default();
     let (written, _receiver) = watch::channel(0);
     let mut replies = PendingReplies::new(Box::new(ManualRecorder {
--- a/crates/core/tests/protocol.rs
+++ b/crates/core/tests/protocol.rs
@@ -246,7 +246,9 @@
             .collect();
         assert_eq!(lines.len(), 3);
         assert_eq!(
-            lines[1].as_ref().map(|l| (l.index, l.snapshot)),
+            lines[1]
+                .as_ref()
+                .map(|update| (update.index, update.snapshot)),
             Some((43, false))
         );
     }
--- a/crates/core/tests/readiness.rs
+++ b/crates/core/tests/readiness.rs
@@ -87,12 +87,12 @@
 }
 
 #[test]
-fn ready_soon_after_discovery_returns_where_the_list_is_pushed() {
+fn ready_soon_after_an_outage_of_discovery_if_the_list_is_pushed() {
     expect_ready_after_outage(SETTINGS);
 }
 
 #[test]
-fn ready_soon_after_discovery_returns_where_the_list_is_polled() {
+fn ready_soon_after_an_outage_of_discovery_if_the_list_is_polled() {
     let polled = "discovery=on_request\nguarantees.ask_within_ns=1000000000\n";
     expect_ready_after_outage(&format!("{SETTINGS}{polled}"));
 }
--- a/crates/core/tests/reducer/attempts.rs
+++ b/crates/core/tests/reducer/attempts.rs
@@ -46,7 +46,7 @@
 /// The socket has accepted the last byte of a frame but has not reported it yet when a malformed
 /// response ends the connection.
 #[test]
-fn an_attempt_may_have_run_if_its_frame_is_being_written_when_we_close() {
+fn an_attempt_may_have_run_if_its_frame_is_being_written_at_the_close() {
     let settings = SETTINGS.replace(
         "classes.1.semantics=read_like",
         "classes.1.semantics=non_idempotent",
--- a/crates/core/tests/reducer/connections.rs
+++ b/crates/core/tests/reducer/connections.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_frame_that_the_socket_never_takes_does_not_keep_its_connection_open() {
+fn a_connection_is_closed_even_if_its_socket_never_accepts_a_frame() {
     let mut harness = EngineHarness::new(1);
     harness.writes_are_stuck = true;
     harness.send_query(1, &[1.0]);
--- a/crates/core/tests/reducer/endpoints.rs
+++ b/crates/core/tests/reducer/endpoints.rs
@@ -49,7 +49,7 @@
     harness.apply(Input::WatchEnded { watch });
     harness.advance(1000);
     assert_eq!(harness.watch_starts.len(), 2);
-    harness.apply(Input::ConfigurationReloaded { usable: true });
+    harness.apply(Input::ConfigurationReloaded { is_valid: true });
     assert_eq!(
         harness.watch_starts.len(),
         3,
@@ -61,7 +61,7 @@
 fn the_late_end_of_a_replaced_watch_starts_no_other_watch() {
     let mut harness = EngineHarness::new(1);
     let replaced = harness.last_watch;
-    harness.apply(Input::ConfigurationReloaded { usable: true });
+    harness.apply(Input::ConfigurationReloaded { is_valid: true });
     harness.apply(Input::WatchEnded { watch: replaced });
     harness.advance(20_000);
     assert_eq!(
--- a/crates/core/tests/reducer/main.rs
+++ b/crates/core/tests/reducer/main.rs
@@ -1,5 +1,5 @@
-//! The engine, driven by hand-made inputs: its guarantees to clients and leaf servers, with one
-//! behavior per test.
+//! The guarantees of the engine to clients and leaf servers, with one behavior per test. The tests
+//! apply inputs directly, without sockets.
 
 mod attempts;
 mod clients;
--- a/crates/core/tests/reducer/shutdown.rs
+++ b/crates/core/tests/reducer/shutdown.rs
@@ -35,8 +35,8 @@
     assert!(harness.has_exited);
 }
 
-/// Otherwise a client that sends its next request immediately could have it in transit when the
-/// connection is closed.
+/// If a connection stayed open after a reply, the client's next request could be in transit when
+/// the connection is closed.
 #[test]
 fn each_reply_during_a_shutdown_closes_its_connection() {
     let mut harness = EngineHarness::new(1);
--- a/crates/core/tests/reducer/shutdown_deadlines.rs
+++ b/crates/core/tests/reducer/shutdown_deadlines.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_exit_waits_for_frontends_that_may_submit_a_request() {
+fn the_exit_waits_for_running_frontends() {
     let mut harness = EngineHarness::new(1);
     harness.apply(Input::FrontendStarted);
     harness.apply(Input::FrontendStarted);
@@ -182,7 +182,7 @@
 
 #[test]
 fn a_query_open_before_the_shutdown_is_answered_in_time_from_its_results() {
-    for (second_result, expects_partial) in [(false, true), (true, false)] {
+    for (has_second_result, expects_partial) in [(false, true), (true, false)] {
         let deadline_ms = 60_000;
         // The latency objective also ends after the kill.
         let settings =
@@ -195,7 +195,7 @@
         let connection = harness.first_connection();
         harness.respond_to_oldest(connection, PartStatus::Ok);
         harness.apply(Input::ShutdownRequested);
-        if second_result {
+        if has_second_result {
             harness.respond_to_oldest(connection, PartStatus::Ok);
         }
         advance_to(
--- a/crates/core/tests/reducer/unsent_attempts.rs
+++ b/crates/core/tests/reducer/unsent_attempts.rs
@@ -67,11 +67,14 @@
     );
 }
 
-/// Nothing may be written that any input of the same batch forbids, whatever their order.
+/// A connection opens in the same batch in which its client disconnects or its replica is removed.
+/// In either order of these inputs, no frame may be written.
 #[test]
-fn nothing_is_sent_on_a_connection_that_opens_in_the_batch_of_a_disconnect_or_removal() {
-    for (opened_first, cancelling) in [(true, true), (true, false), (false, true), (false, false)] {
-        let cancelling = format!("cancelling={cancelling}");
+fn nothing_is_sent_if_a_disconnect_or_removal_is_in_the_same_batch() {
+    for (is_opened_first, may_cancel) in
+        [(true, true), (true, false), (false, true), (false, false)]
+    {
+        let cancelling = format!("cancelling={may_cancel}");
         let settings = SETTINGS.replace("cancelling=true", &cancelling);
         let mut harness = EngineHarness::with_settings(&settings, 1);
         let client = harness.send_query(1, &[0.5, 0.5]);
@@ -80,7 +83,7 @@
             Input::ClientDisconnected { client },
             Input::ConnectionOpened { connection },
         ];
-        if opened_first {
+        if is_opened_first {
             inputs.reverse();
         }
         assert_eq!(
@@ -135,8 +138,8 @@
         );
         harness.advance(200);
         let reply = harness.last_reply(client);
-        let failed = matches!(reply, Some(QueryReply::Failed));
-        assert_eq!(failed, expected_attempts == 1, "{reply:?}");
+        let has_failed = matches!(reply, Some(QueryReply::Failed));
+        assert_eq!(has_failed, expected_attempts == 1, "{reply:?}");
     }
 }
 
--- a/crates/core/tests/sockets.rs
+++ b/crates/core/tests/sockets.rs
@@ -99,13 +99,13 @@
             signals: _signals, // Keeps the channel open until the end of the test.
             discovery,
             leaf,
-            served,
+            aggregator_task,
         } = harness;
         let leaf_address = leaf.local_addr().unwrap();
         tokio::task::spawn_local(run_discovery(discovery, leaf_address));
         tokio::task::spawn_local(run_leaf_server(leaf));
         tokio::select! {
-            ended = served => panic!("the aggregator ended before the client: {ended:?}"),
+            ended = aggregator_task => panic!("the aggregator ended before the client: {ended:?}"),
             () = client(aggregator) => {}
         }
     });
--- a/crates/core/tests/support/engine_harness.rs
+++ b/crates/core/tests/support/engine_harness.rs
@@ -1,4 +1,4 @@
-//! An engine that is driven by hand-made inputs in place of sockets.
+//! An engine that gets its inputs from a test instead of from sockets.
 
 mod effects;
 mod inputs;
@@ -135,7 +135,7 @@
         let mut effects = self.engine.apply(self.now, input);
         effects.extend(self.engine.apply(self.now, Input::BatchEnded));
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
@@ -149,7 +149,7 @@
         self.now = end;
     }
 
-    /// Connects a new client.
+    /// Connects a client under the next id.
     pub fn connect_client(&mut self) -> ClientId {
         self.last_client += 1;
         let client = self.last_client;
@@ -229,14 +229,14 @@
         self.apply(Input::FrameReceived { connection, frame });
     }
 
-    /// Responds to all parts in flight, including those that are sent meanwhile.
+    /// Responds to all parts in flight, including those that are sent in the meantime.
     pub fn respond_to_all(&mut self) {
-        let busy = |in_flight: &BTreeMap<ConnectionId, Vec<String>>| {
+        let find_busy = |in_flight: &BTreeMap<ConnectionId, Vec<String>>| {
             let mut connections = in_flight.iter();
             let busy = connections.find(|(_, in_flight)| !in_flight.is_empty());
             busy.map(|(connection, _)| *connection)
         };
-        while let Some(connection) = busy(&self.in_flight) {
+        while let Some(connection) = find_busy(&self.in_flight) {
             self.respond_to_oldest(connection, PartStatus::Ok);
         }
     }
@@ -278,10 +278,10 @@
         self.apply(Input::EndpointsUpdated(update));
     }
 
-    /// Disconnects one of the clients that have connected, unless it has disconnected before.
-    pub fn disconnect_some_client(&mut self, random: u64) {
+    /// Disconnects the client that `selector` selects, unless it has disconnected before.
+    pub fn disconnect_some_client(&mut self, selector: u64) {
         if self.last_client > 0 {
-            let client = 1 + random % self.last_client;
+            let client = 1 + selector % self.last_client;
             if self.disconnected.insert(client) {
                 self.apply(Input::ClientDisconnected { client });
             }
--- a/crates/core/tests/support/engine_harness/effects.rs
+++ b/crates/core/tests/support/engine_harness/effects.rs
@@ -1,4 +1,5 @@
-//! Carries out the effects of the engine as the sockets would, and checks what must always hold.
+//! Executes the effects of the engine in place of the driver, and checks the engine's invariants,
+//! for example that nothing is sent to a replica that is not ready.
 
 use super::{EngineHarness, SentFrame, SentReply, Socket, STREAMS_PER_CONNECTION};
 use aggregator_core::engine::{ClientId, ConnectionId, Effect, Input};
@@ -6,8 +7,8 @@
 use aggregator_core::protocol::query::QueryReply;
 
 impl EngineHarness {
-    /// Carries out one effect.
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    /// Executes one effect.
+    pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::RecordUsage(record) => self.records.push(record),
             Effect::RecordWatermark(watermark) => self.watermarks.push(watermark),
@@ -15,7 +16,7 @@
                 client,
                 reply,
                 close,
-            } => self.carry_out_reply(client, reply, close),
+            } => self.execute_reply(client, reply, close),
             Effect::CloseClient { client } | Effect::DrainClient { client } => {
                 self.closed_clients.push(client);
                 self.disconnect_closed(client);
@@ -23,8 +24,8 @@
             Effect::OpenConnection {
                 connection,
                 address,
-            } => self.carry_out_open(connection, address.to_string()),
-            Effect::WriteFrame { connection, frame } => self.carry_out_write(connection, frame),
+            } => self.execute_open(connection, address.to_string()),
+            Effect::WriteFrame { connection, frame } => self.execute_write(connection, frame),
             Effect::CloseConnection { connection } => {
                 self.connections.remove(&connection);
                 self.in_flight.remove(&connection);
@@ -42,7 +43,7 @@
         }
     }
 
-    fn carry_out_reply(&mut self, client: ClientId, reply: QueryReply, close: bool) {
+    fn execute_reply(&mut self, client: ClientId, reply: QueryReply, close: bool) {
         let at = self.now;
         let replies = self.replies.entry(client).or_default();
         replies.push(SentReply { at, reply });
@@ -58,7 +59,7 @@
         }
     }
 
-    fn carry_out_open(&mut self, connection: ConnectionId, address: String) {
+    fn execute_open(&mut self, connection: ConnectionId, address: String) {
         assert_eq!(
             self.status_by_address[&address], "up",
             "expected no connection to a replica that is not ready"
@@ -70,7 +71,7 @@
         self.connections.insert(connection, socket);
     }
 
-    fn carry_out_write(&mut self, connection: ConnectionId, frame: LeafRequest) {
+    fn execute_write(&mut self, connection: ConnectionId, frame: LeafRequest) {
         let socket = &self.connections[&connection];
         assert!(
             socket.is_open,
--- a/crates/core/tests/support/socket_harness.rs
+++ b/crates/core/tests/support/socket_harness.rs
@@ -37,8 +37,8 @@
     pub discovery: TcpListener,
     /// Accepts the aggregator's connections to the leaf server.
     pub leaf: TcpListener,
-    /// Result of the aggregator's task, which ends with the aggregator.
-    pub served: JoinHandle<io::Result<()>>,
+    /// Task of the aggregator, which yields the result of [`net::serve`].
+    pub aggregator_task: JoinHandle<io::Result<()>>,
 }
 
 impl SocketHarness {
@@ -50,8 +50,8 @@
 
     /// Waits until the aggregator has exited, and expects success.
     pub async fn expect_exit(self) {
-        let served = timeout(HANG_TIMEOUT, self.served).await;
-        assert!(served
+        let result = timeout(HANG_TIMEOUT, self.aggregator_task).await;
+        assert!(result
             .expect("the aggregator should exit in time")
             .unwrap()
             .is_ok());
@@ -133,7 +133,7 @@
         let clock = Clock::start();
         let cached_list = self.cached_list.endpoint_update(leaf_address);
         let (signals, received_signals) = mpsc::channel(1);
-        let served = tokio::task::spawn_local(net::serve(
+        let aggregator_task = tokio::task::spawn_local(net::serve(
             self.engine(&clock, cached_list),
             clock,
             name_tables(self.settings),
@@ -147,7 +147,7 @@
             signals,
             discovery,
             leaf,
-            served,
+            aggregator_task,
         }
     }
 
--- a/crates/core/tests/support/socket_harness/leaf_server.rs
+++ b/crates/core/tests/support/socket_harness/leaf_server.rs
@@ -62,14 +62,14 @@
 
     /// Answers all calls until the connection ends. Returns the number of calls.
     pub async fn serve(mut self) -> usize {
-        let mut served = 0;
+        let mut answered_calls = 0;
         while let Some(frame) = self.next_frame().await {
             if let Some(call) = frame.strip_prefix('Q') {
                 let id = call.split(' ').next().unwrap().to_string();
                 self.send_result(&id).await;
-                served += 1;
+                answered_calls += 1;
             }
         }
-        served
+        answered_calls
     }
 }
