--- a/crates/aggregator/src/cli/check.rs
+++ b/crates/aggregator/src/cli/check.rs
@@ -19,7 +19,7 @@
     value: String,
     origin: String,
     /// Whether a running process applies a change on SIGHUP.
-    reloadable: bool,
+    is_reloadable: bool,
 }
 
 /// Validates the named files and prints the values in force.
@@ -50,10 +50,10 @@
         name: name.into(),
         value,
         origin: origin.clone(),
-        reloadable: false,
+        is_reloadable: false,
     };
     let reloadable = |name: &str, value: String| ValueInForce {
-        reloadable: true,
+        is_reloadable: true,
         ..fixed(name, value)
     };
     let known = format!("{} endpoints", config.initial_endpoints.endpoints.len());
@@ -77,7 +77,7 @@
         name: "(configuration)".into(),
         value: "(none)".into(),
         origin: "neither --config nor BALANCER_CONFIG".into(),
-        reloadable: false,
+        is_reloadable: false,
     }
 }
 
@@ -94,7 +94,7 @@
                 Origin::Line(line) => format!("{file}:{line}"),
                 Origin::Default => "default".into(),
             },
-            reloadable: effective.is_reloadable,
+            is_reloadable: effective.is_reloadable,
         })
         .collect()
 }
@@ -102,7 +102,7 @@
 fn print(values: &[ValueInForce]) -> Result<(), CommandError> {
     let mut table = output::plain_table(COLUMNS);
     for value in values {
-        let change = if value.reloadable {
+        let change = if value.is_reloadable {
             "on SIGHUP"
         } else {
             "at a start"
--- a/crates/aggregator/src/cli/ledger/context.rs
+++ b/crates/aggregator/src/cli/ledger/context.rs
@@ -1,4 +1,4 @@
-//! The settings and the store that the `ledger` commands work on.
+//! The settings and the store that the `ledger` commands use.
 
 use super::LedgerError;
 use crate::files::Files;
@@ -26,7 +26,8 @@
     /// Reads the settings file.
     ///
     /// # Errors
-    /// The settings can't be read, are invalid, or name no store.
+    ///
+    /// Returns an error if the settings cannot be read, are invalid, or name no store.
     pub fn open(files: &Files) -> Result<LedgerContext, LedgerError> {
         let settings = settings::read(files.settings.as_deref())?;
         LedgerContext::new(read_ledger_settings(&settings)?)
@@ -35,7 +36,8 @@
     /// Creates a context from settings that were read before.
     ///
     /// # Errors
-    /// The settings name no store.
+    ///
+    /// Returns an error if the settings name no store.
     pub fn new(settings: LedgerSettings) -> Result<LedgerContext, LedgerError> {
         let store_path = settings
             .store_path
@@ -50,8 +52,9 @@
     /// Opens the store.
     ///
     /// # Errors
-    /// The store can't be opened or does not exist. It is not created here, because commands that
-    /// only read must not create a store.
+    ///
+    /// Returns an error if the store cannot be opened or does not exist. It is not created here,
+    /// because commands that only read must not create a store.
     pub fn existing_store(&self) -> Result<Store, LedgerError> {
         if !self.store_path.exists() {
             return Err(LedgerError::StoreMissing(self.store_path.clone()));
@@ -65,7 +68,9 @@
     /// Returns the period that begins at `time`, which has the form that `ledger periods` prints.
     ///
     /// # Errors
-    /// `time` can't be parsed, no period begins at `time`, or the store can't be read.
+    ///
+    /// Returns an error if `time` cannot be parsed, no period begins at `time`, or the store cannot
+    /// be read.
     pub fn period_starting_at(&self, store: &Store, time: &str) -> Result<Period, LedgerError> {
         let timestamp: jiff::Timestamp = time
             .parse()
--- a/crates/aggregator/src/cli/ledger/correct.rs
+++ b/crates/aggregator/src/cli/ledger/correct.rs
@@ -10,7 +10,7 @@
 /// Length of a generated correction id, in hexadecimal digits.
 const GENERATED_ID_LENGTH: usize = 16;
 
-/// The arguments of `ledger correct`.
+/// Arguments of `ledger correct`.
 #[derive(clap::Args)]
 pub struct CorrectArguments {
     /// Tenant whose bill is corrected
--- a/crates/aggregator/src/cli/ledger/dump.rs
+++ b/crates/aggregator/src/cli/ledger/dump.rs
@@ -32,7 +32,7 @@
 /// Maximum number of entries in one read of a log.
 const BATCH_ENTRIES: usize = 4096;
 
-/// The arguments of `ledger dump`.
+/// Arguments of `ledger dump`.
 #[derive(clap::Args)]
 pub struct DumpArguments {
     /// Folder of a mixer's usage log; if not given, the records in the store are printed
--- a/crates/aggregator/src/cli/ledger/error.rs
+++ b/crates/aggregator/src/cli/ledger/error.rs
@@ -9,10 +9,10 @@
 use usage_ledger::export::DeliveryError;
 use usage_ledger::store;
 
-/// An error of a `ledger` command.
+/// Why a `ledger` command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// The settings can't be read or are invalid.
+    /// The settings cannot be read or are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The settings name no store.
@@ -51,15 +51,15 @@
     /// The store does not exist.
     #[error("store {} does not exist; 'ledger serve' creates it", .0.display())]
     StoreMissing(PathBuf),
-    /// The store can't be opened.
-    #[error("cannot open {}: {source}", path.display())]
+    /// The store cannot be opened.
+    #[error("cannot open store {}: {source}", path.display())]
     StoreUnusable {
         /// Path of the SQLite file.
         path: PathBuf,
         /// Error of the store.
         source: store::StoreError,
     },
-    /// The store can't be read or written.
+    /// The store cannot be read or written.
     #[error(transparent)]
     Store(#[from] store::StoreError),
     /// No period was closed yet, or the given period has no statement.
@@ -74,7 +74,7 @@
         source: DeliveryError,
     },
 
-    /// A file or folder can't be read.
+    /// A file or folder cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
         /// Path of the file or folder.
@@ -82,7 +82,7 @@
         /// Error of the operating system.
         source: io::Error,
     },
-    /// A file can't be read, or is not CSV with the expected columns.
+    /// A file cannot be read, or is not CSV with the expected columns.
     #[error("cannot read {} as CSV: {source}", path.display())]
     InvalidCsv {
         /// Path of the file.
@@ -103,17 +103,17 @@
     /// differences.
     #[error("reconciliation found {0} differences")]
     Differences(usize),
-    /// Verification has found this number of faults.
+    /// Verification found faults. Contains the number of faults.
     #[error("verification found {0} faults")]
     Faults(usize),
 
-    /// Logging can't be started.
+    /// Logging cannot be started.
     #[error(transparent)]
     Logging(#[from] LoggingError),
-    /// The asynchronous runtime or its signal handlers can't be started.
+    /// The asynchronous runtime or its signal handlers cannot be started.
     #[error(transparent)]
     Runtime(io::Error),
-    /// The output can't be written.
+    /// The output cannot be written.
     #[error(transparent)]
     Output(#[from] OutputError),
 }
--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -16,7 +16,7 @@
 /// much.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// The arguments of `ledger export`.
+/// Arguments of `ledger export`.
 #[derive(clap::Args)]
 pub struct ExportArguments {
     /// List all documents without sending any
--- a/crates/aggregator/src/cli/ledger/key.rs
+++ b/crates/aggregator/src/cli/ledger/key.rs
@@ -4,7 +4,7 @@
 use crate::cli::output;
 use aggregator_core::engine::usage;
 
-/// The arguments of `ledger key`.
+/// Arguments of `ledger key`.
 #[derive(clap::Args)]
 pub struct KeyArguments {
     /// Class of the requests
@@ -13,7 +13,7 @@
     idempotency_key: String,
 }
 
-/// Prints the key in hexadecimal.
+/// Prints the key as 16 hexadecimal digits.
 pub fn run(arguments: &KeyArguments) -> Result<(), LedgerError> {
     let key = usage::client_join_key(&arguments.class, &arguments.idempotency_key);
     Ok(output::print(format!("{key:016x}\n").as_bytes())?)
--- a/crates/aggregator/src/cli/ledger/reconcile.rs
+++ b/crates/aggregator/src/cli/ledger/reconcile.rs
@@ -25,7 +25,7 @@
 /// Field of `/-/stats` with the number of records by tenant and class.
 const RECORDED_FIELD: &str = "recorded_of";
 
-/// The arguments of `ledger reconcile`.
+/// Arguments of `ledger reconcile`.
 #[derive(clap::Args)]
 pub struct ReconcileArguments {
     #[allow(
@@ -42,10 +42,12 @@
     format: FormatArguments,
 }
 
-/// Prints the comparison.
+/// Compares the ledger with the given files and prints the result.
 ///
 /// # Errors
-/// There are differences, nothing was given to compare with, or a file or the store can't be read.
+///
+/// Returns an error if there are differences, if nothing was given to compare with, or if a file or
+/// the store cannot be read.
 pub fn run(context: &LedgerContext, arguments: &ReconcileArguments) -> Result<(), LedgerError> {
     let store = context.existing_store()?;
     if arguments.clients.is_none() && arguments.counters.is_empty() {
@@ -53,9 +55,9 @@
     }
     let mut differences = 0;
     if let Some(path) = &arguments.clients {
-        let reconciled = compare_with_clients(context, &store, path)?;
-        print_client_comparison(&reconciled, arguments.format.format)?;
-        differences += reconciled.unequal_totals() + reconciled.differences.len();
+        let reconciliation = compare_with_clients(context, &store, path)?;
+        print_client_comparison(&reconciliation, arguments.format.format)?;
+        differences += reconciliation.unequal_totals() + reconciliation.differences.len();
     }
     let statuses = store.member_statuses()?;
     for argument in &arguments.counters {
@@ -81,14 +83,14 @@
     })?;
     let all_times = i64::MIN..i64::MAX;
     let calendar = &context.settings.calendar;
-    let reconciled = reconcile::reconcile_with_clients(
+    let reconciliation = reconcile::reconcile_with_clients(
         store,
         calendar,
         context.settings.join_bounds(),
         all_times,
         &rows,
     )?;
-    Ok(reconciled)
+    Ok(reconciliation)
 }
 
 fn read_client_rows(path: &Path) -> Result<Vec<ClientUsageRow>, csv::Error> {
@@ -96,11 +98,11 @@
 }
 
 fn print_client_comparison(
-    reconciled: &ReconciliationReport,
+    reconciliation: &ReconciliationReport,
     format: OutputFormat,
 ) -> Result<(), LedgerError> {
     let mut totals = Report::new(&TOTAL_COLUMNS);
-    for (key, pair) in &reconciled.totals {
+    for (key, pair) in &reconciliation.totals {
         totals.push(vec![
             json!(key.period),
             json!(key.tenant),
@@ -113,11 +115,11 @@
         ]);
     }
     totals.print(format)?;
-    if reconciled.differences.is_empty() {
+    if reconciliation.differences.is_empty() {
         return Ok(());
     }
     let mut differences = Report::new(&DIFFERENCE_COLUMNS);
-    for difference in &reconciled.differences {
+    for difference in &reconciliation.differences {
         differences.push(vec![
             json!(difference.kind.to_string()),
             json!(difference.tenant),
--- a/crates/aggregator/src/cli/ledger/serve.rs
+++ b/crates/aggregator/src/cli/ledger/serve.rs
@@ -72,7 +72,9 @@
                         .send(SettlementSignal::Reload(Box::new(settings)))
                         .await;
                 }
-                Err(error) => tracing::error!("reload failed, settings unchanged: {error}"),
+                Err(error) => tracing::error!(
+                    "settings not reloaded, previous settings stay in force: {error}"
+                ),
             }
         }
     });
--- a/crates/aggregator/src/cli/ledger/statement.rs
+++ b/crates/aggregator/src/cli/ledger/statement.rs
@@ -6,7 +6,7 @@
 use usage_ledger::rate::UsageCounts;
 use usage_ledger::statement::{CorrectionLine, MemberState, Statement, StatementLine, TenantTotal};
 
-/// The arguments of `ledger statement`.
+/// Arguments of `ledger statement`.
 #[derive(clap::Args)]
 pub struct StatementArguments {
     /// Start of the period, in the form that `periods` prints
--- a/crates/aggregator/src/cli/ledger/status.rs
+++ b/crates/aggregator/src/cli/ledger/status.rs
@@ -32,19 +32,19 @@
 
 fn member_report(context: &LedgerContext, store: &Store) -> Result<Report, LedgerError> {
     let statuses = store.member_statuses()?;
-    let configured = &context.settings.members;
-    let recorded = statuses.iter().map(|status| &status.member);
-    let names: BTreeSet<&String> = configured.keys().chain(recorded).collect();
+    let configured_members = &context.settings.members;
+    let recorded_members = statuses.iter().map(|status| &status.member);
+    let names: BTreeSet<&String> = configured_members.keys().chain(recorded_members).collect();
     let mut report = Report::new(&COLUMNS);
     for name in names {
         let status = statuses.iter().find(|status| status.member == *name);
-        report.push(row(name, configured.contains_key(name), status));
+        report.push(row(name, configured_members.contains_key(name), status));
     }
     Ok(report)
 }
 
-fn row(name: &str, configured: bool, status: Option<&MemberStatus>) -> Vec<Value> {
-    let mut row = vec![json!(name), json!(configured)];
+fn row(name: &str, is_configured: bool, status: Option<&MemberStatus>) -> Vec<Value> {
+    let mut row = vec![json!(name), json!(is_configured)];
     match status {
         Some(status) => row.extend([
             json!(status.position.incarnation),
--- a/crates/aggregator/src/cli/ledger/verify.rs
+++ b/crates/aggregator/src/cli/ledger/verify.rs
@@ -11,7 +11,7 @@
 use usage_ledger::log::{self, Segment};
 use usage_ledger::store::VerificationFault;
 
-/// The arguments of `ledger verify`.
+/// Arguments of `ledger verify`.
 #[derive(clap::Args)]
 pub struct VerifyArguments {
     /// Folder of a mixer's usage log to check; may be repeated
@@ -46,7 +46,8 @@
 /// store.
 ///
 /// # Errors
-/// Faults were found, or a log or the store can't be read.
+///
+/// Returns an error if there are faults, or if a log or the store cannot be read.
 pub fn run(files: &Files, arguments: &VerifyArguments) -> Result<(), LedgerError> {
     let mut verification = Verification::default();
     for directory in &arguments.log {
--- a/crates/aggregator/src/cli/mod.rs
+++ b/crates/aggregator/src/cli/mod.rs
@@ -24,7 +24,7 @@
 
 Exit codes: 0 success, 1 failure while running, 2 invalid arguments, 3 invalid configuration or settings.";
 
-/// A query mixer over replicated shards, and the ledger of its usage.
+/// Command line of the program. Its help begins with the description in `Cargo.toml`.
 #[derive(Parser)]
 #[command(version, about, after_help = EXAMPLES)]
 struct Cli {
--- a/crates/aggregator/src/settings/log.rs
+++ b/crates/aggregator/src/settings/log.rs
@@ -34,7 +34,7 @@
 /// Schema of this section only, for the defaults of its keys.
 const SCHEMA: Schema = Schema(&[SECTION]);
 
-/// Level that is logged if neither the settings nor the environment name one.
+/// Level that is logged if neither the settings nor the environment names one.
 const DEFAULT_LEVEL: &str = "info";
 
 /// Format of logged events.
--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -24,11 +24,11 @@
 
 impl UsageRecorder for UsageLogRecorder {
     fn record(&mut self, usage: QueryUsage) -> bool {
-        let accepted = self.writer.try_enqueue(What::Record(wire_record(usage)));
-        if !accepted {
+        let is_accepted = self.writer.try_enqueue(What::Record(wire_record(usage)));
+        if !is_accepted {
             self.writer.count_lost_record();
         }
-        accepted
+        is_accepted
     }
 
     /// Queues a watermark. If the writer's queue is full, the watermark is dropped, since the next
--- a/crates/aggregator/tests/support/aggregator_process.rs
+++ b/crates/aggregator/tests/support/aggregator_process.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::net::unix::pipe;
 
-/// Time after which a test whose program hangs is ended. No test waits for time to pass.
+/// Time after which a test fails because the program hangs. Tests wait for events only.
 pub const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running aggregator, which is killed when the value is dropped.
