--- a/crates/aggregator/src/cli/check.rs
+++ b/crates/aggregator/src/cli/check.rs
@@ -56,7 +56,7 @@
         is_reloadable: true,
         ..fixed(name, value)
     };
-    let known = format!("{} endpoints", config.initial_endpoints.endpoints.len());
+    let known = format!("{} endpoints", config.cached_endpoints.endpoints.len());
     vec![
         fixed("name", config.name.clone()),
         fixed("listen", config.listen.to_string()),
--- a/crates/aggregator/src/process/mod.rs
+++ b/crates/aggregator/src/process/mod.rs
@@ -85,7 +85,7 @@
         settings: config.aggregator_settings,
         policy_settings: config.policy_settings,
         policy_seed: config.seed,
-        cached_endpoints: config.initial_endpoints,
+        cached_endpoints: config.cached_endpoints,
         max_descriptors: config.max_descriptors,
     };
     let mut engine = Engine::new(clock.now(), options);
@@ -120,7 +120,7 @@
     tracing::info!(
         name = config.name,
         listen = %config.listen,
-        known = config.initial_endpoints.endpoints.len(),
+        known = config.cached_endpoints.endpoints.len(),
         max_open = config.aggregator_settings.max_open,
         "starting"
     );
--- a/crates/core/src/config/platform.rs
+++ b/crates/core/src/config/platform.rs
@@ -52,8 +52,9 @@
     pub seed: u64,
     /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// Endpoint list that is used until discovery sends an update.
-    pub initial_endpoints: EndpointUpdate,
+    /// Endpoint list that was received last, according to the configuration file. It is used until
+    /// discovery sends an update, and may be stale.
+    pub cached_endpoints: EndpointUpdate,
     /// Addresses of the other processes.
     pub addresses: Addresses,
     /// Names that requests refer to, and the limits of a query.
@@ -82,7 +83,7 @@
             max_descriptors: file.limits.map_or(MAX_DESCRIPTORS, |limits| {
                 limits.sockets.min(MAX_DESCRIPTORS)
             }),
-            initial_endpoints: file.known,
+            cached_endpoints: file.known,
             addresses: Addresses {
                 discovery: file.discovery,
                 gossip_listen: file
