--- a/crates/aggregator/src/cli/ledger/context.rs
+++ b/crates/aggregator/src/cli/ledger/context.rs
@@ -76,8 +76,8 @@
             .parse()
             .map_err(|_| LedgerError::InvalidTime(time.into()))?;
         let start_ms = timestamp.as_millisecond();
-        let mut stored = store.periods()?.into_iter().map(|closed| closed.period);
-        let period = stored
+        let mut stored_periods = store.periods()?.into_iter().map(|closed| closed.period);
+        let period = stored_periods
             .find(|period| period.start_ms == start_ms)
             .unwrap_or_else(|| self.settings.calendar.period_at(start_ms));
         if period.start_ms != start_ms {
--- a/crates/aggregator/src/cli/ledger/export.rs
+++ b/crates/aggregator/src/cli/ledger/export.rs
@@ -49,9 +49,9 @@
         return Err(LedgerError::NoExportTarget);
     }
     let deadline = Instant::now() + within;
-    let pending = store.undelivered_documents(target)?;
-    let bar = progress::bar(pending.len() as u64, "documents");
-    for document in pending {
+    let pending_documents = store.undelivered_documents(target)?;
+    let bar = progress::bar(pending_documents.len() as u64, "documents");
+    for document in pending_documents {
         send_until_acknowledged(store, target, document, deadline)?;
         bar.inc(1);
     }
--- a/crates/aggregator/src/cli/ledger/statement.rs
+++ b/crates/aggregator/src/cli/ledger/statement.rs
@@ -39,16 +39,16 @@
 
 fn find(context: &LedgerContext, period: Option<&str>) -> Result<Statement, LedgerError> {
     let store = context.existing_store()?;
-    let stored = store.statements()?;
-    let mut statements = stored.into_iter().map(|stored| stored.statement);
-    let found = match period {
+    let stored_statements = store.statements()?;
+    let mut statements = stored_statements.into_iter().map(|stored| stored.statement);
+    let statement = match period {
         Some(time) => {
             let name = context.period_starting_at(&store, time)?.name();
             statements.find(|statement| statement.period == name)
         }
         None => statements.next_back(),
     };
-    found.ok_or(LedgerError::NoSuchStatement)
+    statement.ok_or(LedgerError::NoSuchStatement)
 }
 
 /// A statement, with a filter for the tenants whose lines are printed.
--- a/crates/aggregator/src/cli/ledger/status.rs
+++ b/crates/aggregator/src/cli/ledger/status.rs
@@ -63,8 +63,8 @@
 fn summary(context: &LedgerContext, store: &Store) -> Result<String, LedgerError> {
     let next_period = store.next_period(&context.settings.calendar)?;
     let next_period = next_period.map_or("none".into(), |period| period.name());
-    let pending = store.undelivered_documents(&context.settings.export)?.len();
+    let pending_documents = store.undelivered_documents(&context.settings.export)?.len();
     Ok(format!(
-        "\nnext period to close: {next_period}\ndocuments to send: {pending}\n"
+        "\nnext period to close: {next_period}\ndocuments to send: {pending_documents}\n"
     ))
 }
--- a/crates/aggregator/src/cli/ledger/verify.rs
+++ b/crates/aggregator/src/cli/ledger/verify.rs
@@ -90,8 +90,8 @@
                 log::MAGIC.len()
             }
         };
-        let read = log::read_items(bytes, entries_start, usize::MAX);
-        for item in &read.items {
+        let content = log::read_items(bytes, entries_start, usize::MAX);
+        for item in &content.items {
             match item {
                 log::SegmentItem::Entry(_) => self.entries += 1,
                 log::SegmentItem::Damage { from, to } => self.faults.push(Fault::DamagedBytes {
@@ -102,10 +102,10 @@
             }
         }
         // Not a fault in the last segment: an aggregator may be writing to it.
-        if read.end < bytes.len() && !is_last {
+        if content.end < bytes.len() && !is_last {
             self.faults.push(Fault::TruncatedRecord {
                 segment: name,
-                offset: read.end,
+                offset: content.end,
             });
         }
         self.segments += 1;
--- a/crates/aggregator/src/usage_recorder.rs
+++ b/crates/aggregator/src/usage_recorder.rs
@@ -31,8 +31,8 @@
         is_accepted
     }
 
-    /// Queues a watermark. If the writer's queue is full, the watermark is dropped, since the next
-    /// one covers it.
+    /// Queues a watermark. If the writer's queue is full, the watermark is dropped: the next one
+    /// covers it. A final watermark that is dropped has no successor.
     fn record_watermark(&mut self, watermark: UsageWatermark) {
         self.writer.try_enqueue(What::Mark(Mark {
             sequence: watermark.sequence,
--- a/crates/core/src/engine/frames.rs
+++ b/crates/core/src/engine/frames.rs
@@ -148,7 +148,7 @@
         };
         self.counters.connections.malformed += 1;
         let failed = connection.attempt_of_malformed_response(wire_id);
-        let written = connection.written_attempts();
+        let written_attempts = connection.written_attempts();
         tracing::info!(
             connection = id,
             replica = replica.map(|replica| replica.0),
@@ -158,7 +158,9 @@
         if let Some(failed) = failed {
             self.on_attempt_ended(now, failed, AttemptOutcome::Error, LoadReport::new());
         }
-        let others = written.into_iter().filter(|other| Some(*other) != failed);
+        let others = written_attempts
+            .into_iter()
+            .filter(|other| Some(*other) != failed);
         for other in others {
             self.on_attempt_ended(now, other, AttemptOutcome::Cancelled, LoadReport::new());
         }
--- a/crates/core/src/net/client_connection/mod.rs
+++ b/crates/core/src/net/client_connection/mod.rs
@@ -41,8 +41,8 @@
     let ending = connection.serve_requests().await;
     // From here on, the engine sends this client no commands. The connection still counts towards
     // the maximum until it is removed from the registry.
-    let disconnected = Input::ClientDisconnected { client };
-    let _ = shared.inputs.send(disconnected).await;
+    let client_disconnected = Input::ClientDisconnected { client };
+    let _ = shared.inputs.send(client_disconnected).await;
     connection.log_end(&ending);
     if let Ok(Ending::Closed(_)) = ending {
         linger(&shared, &mut connection.stream).await;
--- a/crates/core/src/net/client_connection/serving.rs
+++ b/crates/core/src/net/client_connection/serving.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Waits for the reply to the open request. Input is read meanwhile, so that a client that
-    /// disconnects is noticed at once. Requests that arrive early are queued with their times of
+    /// Waits for the reply to the open request. Input is read while waiting, so that the end of
+    /// the connection is noticed at once. Requests that arrive early are queued with their times of
     /// arrival, from which their timeouts run.
     async fn wait_for_reply(&mut self, pipeline: &mut PipelinedRequests) -> io::Result<ReplyWait> {
         loop {
--- a/crates/core/src/net/endpoint_watch.rs
+++ b/crates/core/src/net/endpoint_watch.rs
@@ -38,8 +38,8 @@
             let (address, index) = (self.address, self.version);
             tracing::info!(%address, index, "watch on discovery ended: {error}");
         }
-        let ended = Input::WatchEnded { watch: self.number };
-        let _ = shared.inputs.send(ended).await;
+        let watch_ended = Input::WatchEnded { watch: self.number };
+        let _ = shared.inputs.send(watch_ended).await;
     }
 
     async fn connect_and_follow(&mut self, shared: &Shared) -> io::Result<()> {
--- a/crates/core/src/net/event_loop.rs
+++ b/crates/core/src/net/event_loop.rs
@@ -50,8 +50,8 @@
         engine.max_clients(),
     ));
     for start_frontend in extensions.frontends {
-        let running = RunningFrontend::start(&shared).await;
-        start_frontend(InternalClient::new(shared.clone(), running));
+        let running_frontend = RunningFrontend::start(&shared).await;
+        start_frontend(InternalClient::new(shared.clone(), running_frontend));
     }
     let pending_replies = extensions.recorder.map(PendingReplies::new);
     let mut event_loop = EventLoop {
--- a/crates/core/src/net/internal_client.rs
+++ b/crates/core/src/net/internal_client.rs
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct InternalClient {
     shared: Shared,
-    _running: Rc<RunningFrontend>,
+    _running_frontend: Rc<RunningFrontend>,
 }
 
 /// A client with a single query, connected until this value is dropped. If it is dropped before the
@@ -46,10 +46,10 @@
 }
 
 impl InternalClient {
-    pub(super) fn new(shared: Shared, running: RunningFrontend) -> InternalClient {
+    pub(super) fn new(shared: Shared, running_frontend: RunningFrontend) -> InternalClient {
         InternalClient {
             shared,
-            _running: Rc::new(running),
+            _running_frontend: Rc::new(running_frontend),
         }
     }
 
@@ -75,18 +75,20 @@
             client,
             mut commands,
         } = self.shared.clients.register();
-        let connected = ConnectedClient {
+        let connected_client = ConnectedClient {
             shared: self.shared.clone(),
             client,
         };
         let request = Ok(ClientRequest::Query(query));
-        let received = Input::RequestReceived {
+        let request_received = Input::RequestReceived {
             client,
             arrived_at,
             request,
         };
-        let is_connected = connected.send(Input::ClientConnected { client }).await;
-        if !is_connected || !connected.send(received).await {
+        let is_connected = connected_client
+            .send(Input::ClientConnected { client })
+            .await;
+        if !is_connected || !connected_client.send(request_received).await {
             return QueryReply::REJECTED_AT_EXIT;
         }
         loop {
--- a/crates/core/src/net/leaf_connection.rs
+++ b/crates/core/src/net/leaf_connection.rs
@@ -58,8 +58,8 @@
         if let Err(error) = run(&shared, connection, address, queued_frames).await {
             tracing::debug!(connection, %address, "leaf connection failed: {error}");
         }
-        let closed = Input::ConnectionClosed { connection };
-        let _ = shared.inputs.send(closed).await;
+        let connection_closed = Input::ConnectionClosed { connection };
+        let _ = shared.inputs.send(connection_closed).await;
     });
     LeafConnectionHandle {
         frames,
@@ -78,8 +78,8 @@
     let mut framed = shared
         .buffers
         .frame::<LeafRequest, _, _>(stream, LeafCodec::default());
-    let opened = Input::ConnectionOpened { connection };
-    let _ = shared.inputs.send(opened).await;
+    let connection_opened = Input::ConnectionOpened { connection };
+    let _ = shared.inputs.send(connection_opened).await;
     let result = exchange_frames(shared, connection, &mut framed, &mut queued_frames).await;
     shared.buffers.recover(framed);
     result
--- a/crates/core/src/net/listener.rs
+++ b/crates/core/src/net/listener.rs
@@ -18,7 +18,7 @@
 /// those that are left in the backlog, which closing the listener would reset.
 pub(super) async fn accept_connections(
     shared: Shared,
-    running: RunningFrontend,
+    running_frontend: RunningFrontend,
     listener: TcpListener,
     max_connections: usize,
 ) {
@@ -41,7 +41,7 @@
     drop(backlog);
     tracing::info!(accepted, "listening stopped");
     // Dropped last: by now, every accepted connection has been announced to the engine.
-    drop(running);
+    drop(running_frontend);
 }
 
 /// Accepts the next connection, once there is capacity for it.
@@ -63,8 +63,8 @@
 /// Announces a connection to the engine and spawns the task that serves it.
 async fn serve_connection(shared: &Shared, stream: TcpStream) {
     let RegisteredClient { client, commands } = shared.clients.register();
-    let connected = Input::ClientConnected { client };
-    let _ = shared.inputs.send(connected).await;
+    let client_connected = Input::ClientConnected { client };
+    let _ = shared.inputs.send(client_connected).await;
     tokio::task::spawn_local(client_connection::run(
         shared.clone(),
         client,
--- a/crates/core/src/protocol/query/mod.rs
+++ b/crates/core/src/protocol/query/mod.rs
@@ -61,10 +61,10 @@
     pub text: Bytes,
 }
 
-/// A request of a client.
+/// A valid request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientRequest {
-    /// A query to answer.
+    /// A query, which the engine passes to the policy or rejects.
     Query(QueryRequest),
     /// Readiness check: asks whether this aggregator is ready to accept queries.
     Ready,
@@ -84,7 +84,7 @@
 /// Reply to a request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryReply {
-    /// The query was answered.
+    /// An answer from the results of all or some parts.
     Answer {
         /// Whether the answer reaches the completeness threshold of its class.
         complete: bool,
@@ -103,7 +103,7 @@
     Ready(bool),
     /// The counters in JSON.
     Stats(Vec<u8>),
-    /// The request was invalid.
+    /// The request was invalid. Contains the status and the reason to send.
     InvalidRequest(RequestError),
 }
 
