--- a/crates/testkit/src/bin/gateway-conformance-test/faulted_search.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/faulted_search.rs
@@ -50,7 +50,8 @@
 pub enum FaultedSearchError {
     /// The outcome does not follow from the shards that the response reports as failed.
     #[error(
-        "{}, minimum coverage {minimum_coverage}: expected outcome {}, got {}; failed shards {failed:?}",
+        "{}, minimum coverage {minimum_coverage}: expected outcome {}, got {}; \
+         failed shards {failed_shards:?}",
         fault.label(), expected.label(), actual.label()
     )]
     Outcome {
@@ -63,15 +64,15 @@
         /// Outcome required by the failed shards.
         expected: ServedOutcome,
         /// Shards that the response reports as failed.
-        failed: Vec<u32>,
+        failed_shards: Vec<u32>,
     },
     /// The failed shards are not those of the requested fault.
-    #[error("{}: expected failed shards {expected:?}, got {failed:?}", fault.label())]
+    #[error("{}: expected failed shards {expected:?}, got {failed_shards:?}", fault.label())]
     FailedShards {
         /// Requested fault.
         fault: ShardFault,
         /// Shards that the response reports as failed.
-        failed: Vec<u32>,
+        failed_shards: Vec<u32>,
         /// Shards that the requested fault affects.
         expected: Vec<u32>,
     },
@@ -107,14 +108,14 @@
         &body["_shards"]["failures"],
         &body["error"]["failed_shards"],
     ];
-    let failed: Vec<u32> = failures.into_iter().flat_map(shard_numbers).collect();
+    let failed_shards: Vec<u32> = failures.into_iter().flat_map(shard_numbers).collect();
     if conditions == SearchConditions::LongObjective {
-        check_failed_shards(fault, &failed)?;
+        check_failed_shards(fault, &failed_shards)?;
     }
     for failures in failures {
         check_healthy_shards(fault, failures)?;
     }
-    let expected = expected_outcome(fault, class, &failed);
+    let expected = expected_outcome(fault, class, &failed_shards);
     if actual == expected {
         return Ok(());
     }
@@ -123,7 +124,7 @@
         minimum_coverage: class.minimum_coverage,
         actual,
         expected,
-        failed,
+        failed_shards,
     })
 }
 
@@ -146,19 +147,19 @@
 }
 
 /// Checks that exactly the shards that the fault affects have failed.
-fn check_failed_shards(fault: ShardFault, failed: &[u32]) -> Result<(), FaultedSearchError> {
+fn check_failed_shards(fault: ShardFault, failed_shards: &[u32]) -> Result<(), FaultedSearchError> {
     let expected = if fault == ShardFault::ErrorFromEveryShard {
         (0..SHARDS).collect()
     } else {
         vec![FAULTED_SHARD]
     };
-    if failed == expected {
+    if failed_shards == expected {
         return Ok(());
     }
-    let failed = failed.to_vec();
+    let failed_shards = failed_shards.to_vec();
     Err(FaultedSearchError::FailedShards {
         fault,
-        failed,
+        failed_shards,
         expected,
     })
 }
@@ -167,13 +168,17 @@
 ///
 /// Unless the class requires full coverage, a search with a single faulted shard fails only if that
 /// shard is reported as failed and the shards not reported as failed miss the minimum coverage.
-fn expected_outcome(fault: ShardFault, class: &InstallationClass, failed: &[u32]) -> ServedOutcome {
+fn expected_outcome(
+    fault: ShardFault,
+    class: &InstallationClass,
+    failed_shards: &[u32],
+) -> ServedOutcome {
     if class.minimum_coverage == 1.0 || fault == ShardFault::ErrorFromEveryShard {
         return ServedOutcome::Failed;
     }
-    let usable_shards = (0..SHARDS).filter(|shard| !failed.contains(shard));
+    let usable_shards = (0..SHARDS).filter(|shard| !failed_shards.contains(shard));
     let coverage = usable_shards.count() as f64 / f64::from(SHARDS);
-    if coverage < class.minimum_coverage && failed.contains(&FAULTED_SHARD) {
+    if coverage < class.minimum_coverage && failed_shards.contains(&FAULTED_SHARD) {
         ServedOutcome::Failed
     } else {
         ServedOutcome::Partial
--- a/crates/testkit/src/bin/gateway-conformance-test/load.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/load.rs
@@ -74,10 +74,10 @@
 
 /// Starts one client per aggregator, which sends its share of `cases` to the gateway.
 pub fn start_gateway_clients(load: &Arc<GatewayLoad>, cases: &[SearchCase]) -> Vec<JoinHandle<()>> {
-    let aggregators = load.aggregators.len();
-    (0..aggregators)
+    let aggregator_count = load.aggregators.len();
+    (0..aggregator_count)
         .map(|index| {
-            let cases = cases.iter().skip(index).step_by(aggregators);
+            let cases = cases.iter().skip(index).step_by(aggregator_count);
             tokio::spawn(run_gateway_client(
                 load.clone(),
                 index,
--- a/crates/testkit/src/bin/gateway-conformance-test/page_check.rs
+++ b/crates/testkit/src/bin/gateway-conformance-test/page_check.rs
@@ -19,10 +19,10 @@
         shards: Value,
     },
     /// The page claims to cover the faulted shard.
-    #[error("expected the faulted shard among the failed shards, got {failed:?}")]
+    #[error("expected the faulted shard among the failed shards, got {failed_shards:?}")]
     FaultedShardClaimed {
         /// Shards that the page reports as failed.
-        failed: Vec<u32>,
+        failed_shards: Vec<u32>,
     },
     /// The page has no list of hits.
     #[error("page without a list of hits")]
@@ -76,17 +76,17 @@
 /// Checks the shard counts of a page. Returns the shards that the page claims to cover.
 fn check_shards(search: &Value, body: &Value) -> Result<Vec<u32>, PageError> {
     let shards = &body["_shards"];
-    let failed = shard_numbers(&shards["failures"]);
+    let failed_shards = shard_numbers(&shards["failures"]);
     let claimed_shards: Vec<u32> = (0..SHARDS)
-        .filter(|shard| !failed.contains(shard))
+        .filter(|shard| !failed_shards.contains(shard))
         .collect();
     if shards["successful"] != json!(claimed_shards.len()) || shards["total"] != json!(SHARDS) {
         return Err(PageError::ShardCounts {
             shards: shards.clone(),
         });
     }
-    if ShardFault::requested_by(search).is_some() && !failed.contains(&FAULTED_SHARD) {
-        return Err(PageError::FaultedShardClaimed { failed });
+    if ShardFault::requested_by(search).is_some() && !failed_shards.contains(&FAULTED_SHARD) {
+        return Err(PageError::FaultedShardClaimed { failed_shards });
     }
     Ok(claimed_shards)
 }
--- a/crates/testkit/src/bin/ledger-benchmark/settlement.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/settlement.rs
@@ -49,7 +49,7 @@
     let length_ms = period_length_ms(records);
     let calendar = Calendar(PeriodLength::Milliseconds(DAY_MS));
     let header = header();
-    let (mut time, mut sequence) = (Duration::ZERO, 0);
+    let (mut ingest_time, mut sequence) = (Duration::ZERO, 0);
     while sequence < records {
         let mut batch = Batch {
             header: Some(header.clone()),
@@ -65,9 +65,9 @@
         }
         let started = Instant::now();
         store.ingest(MEMBER, &batch, &calendar, BOUNDS)?;
-        time += started.elapsed();
+        ingest_time += started.elapsed();
     }
-    Ok(time)
+    Ok(ingest_time)
 }
 
 /// Closes the period of the records. Returns the time that the closing took.
--- a/crates/testkit/src/bin/ledger-fault-test/checks.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/checks.rs
@@ -41,11 +41,11 @@
 }
 
 /// Returns a description of each total that differs.
-fn differences(clients: &Totals, ledger: &Totals) -> Vec<String> {
-    clients
+fn differences(client_totals: &Totals, ledger_totals: &Totals) -> Vec<String> {
+    client_totals
         .keys()
-        .chain(ledger.keys())
-        .filter(|key| clients.get(*key) != ledger.get(*key))
+        .chain(ledger_totals.keys())
+        .filter(|key| client_totals.get(*key) != ledger_totals.get(*key))
         .map(|key| {
             let TotalKey {
                 period,
@@ -55,8 +55,8 @@
             format!(
                 "{:?}: clients {:?}, ledger {:?}",
                 (period, tenant, class),
-                clients.get(key).map(to_array),
-                ledger.get(key).map(to_array)
+                client_totals.get(key).map(to_array),
+                ledger_totals.get(key).map(to_array)
             )
         })
         .collect()
@@ -102,20 +102,21 @@
 }
 
 fn check_documents(checks: &mut CheckList, results: &Results) {
-    let received_ids: BTreeSet<String> = results.received.by_id.keys().cloned().collect();
+    let received_ids: BTreeSet<String> = results.received_documents.by_id.keys().cloned().collect();
     let expected_ids = &results.listed_documents;
     let deliveries = results.deliveries();
-    let conflicting = results.received.conflicting_deliveries;
+    let conflicting_deliveries = results.received_documents.conflicting_deliveries;
     checks.check(
         "every document is in the folder and was received, with the same content in each delivery",
         *expected_ids == received_ids
             && *expected_ids == results.exported_documents
-            && conflicting == 0
+            && conflicting_deliveries == 0
             && !expected_ids.is_empty()
             // The first deliveries are not acknowledged, so some must have been repeated.
             && deliveries as usize > expected_ids.len(),
         format!(
-            "{} documents, {deliveries} deliveries, {} files in the folder, {conflicting} conflicting deliveries",
+            "{} documents, {deliveries} deliveries, {} files in the folder, \
+             {conflicting_deliveries} conflicting deliveries",
             received_ids.len(),
             results.exported_documents.len()
         ),
@@ -123,7 +124,7 @@
 }
 
 fn check_amounts(checks: &mut CheckList, results: &Results) {
-    let documents = results.received.by_id.values();
+    let documents = results.received_documents.by_id.values();
     let document_amount: i64 = documents
         .filter_map(|document| {
             let document: Value = serde_json::from_slice(&document.body).ok()?;
@@ -142,11 +143,11 @@
 }
 
 fn check_completeness(checks: &mut CheckList, results: &Results) {
-    let missing = results.statements.missing_members;
-    let lost = results.statements.lost_records;
+    let missing_members = results.statements.missing_members;
+    let lost_records = results.statements.lost_records;
     checks.check(
         "statements include all records of all members",
-        missing == 0 && lost == 0,
-        format!("{missing} missing members, {lost} lost records"),
+        missing_members == 0 && lost_records == 0,
+        format!("{missing_members} missing members, {lost_records} lost records"),
     );
 }
--- a/crates/testkit/src/bin/ledger-fault-test/environment.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/environment.rs
@@ -101,7 +101,7 @@
             requests: self.load.take_records(),
             load: self.load.clone(),
             statements: statements::read_all(ledger, &periods)?,
-            received: self.receiver.documents(),
+            received_documents: self.receiver.documents(),
             listed_documents: statements::listed_documents(ledger)?,
             exported_documents: statements::exported_documents(&documents_folder(&self.folder))?,
         })
--- a/crates/testkit/src/bin/ledger-fault-test/results.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/results.rs
@@ -19,7 +19,7 @@
     /// Statements of all periods.
     pub statements: Statements,
     /// Documents stored by the receiver.
-    pub received: ReceivedDocuments,
+    pub received_documents: ReceivedDocuments,
     /// Names of the documents that the ledger lists.
     pub listed_documents: BTreeSet<String>,
     /// Names of the documents in the export folder.
@@ -47,7 +47,7 @@
             self.load.counters.attempts.value(),
             self.statements.count,
             self.statements.adjustments,
-            self.received.by_id.len(),
+            self.received_documents.by_id.len(),
             self.deliveries(),
             total_time.as_secs_f64(),
             checks.failures_suffix()
@@ -68,7 +68,7 @@
 
     /// Returns the number of deliveries of all documents, repeated ones included.
     pub fn deliveries(&self) -> u32 {
-        self.received
+        self.received_documents
             .by_id
             .values()
             .map(|document| document.deliveries)
