--- a/crates/aggregator/src/cli/ledger/error.rs
+++ b/crates/aggregator/src/cli/ledger/error.rs
@@ -62,7 +62,7 @@
     /// The store cannot be read or written.
     #[error(transparent)]
     Store(#[from] store::StoreError),
-    /// No period was closed yet, or the given period has no statement.
+    /// No period has been closed yet, or the given period has no statement.
     #[error("no such statement; 'query-aggregator ledger periods' lists all closed periods")]
     NoSuchStatement,
     /// A document was not delivered to all destinations within the time limit.
--- a/crates/aggregator/src/settings/log.rs
+++ b/crates/aggregator/src/settings/log.rs
@@ -20,7 +20,8 @@
             "targets",
             Kind::Text,
             Some(""),
-            "Levels of single targets, for example aggregator_core::engine=debug,usage_ledger=warn.",
+            "Log levels for individual targets, for example \
+             aggregator_core::engine=debug,usage_ledger=warn.",
         ),
         Key::new(
             "format",
--- a/crates/core/src/config/error.rs
+++ b/crates/core/src/config/error.rs
@@ -56,7 +56,7 @@
     OutOfRange {
         /// Key of the setting.
         key: String,
-        /// Number as text.
+        /// The number that is out of range.
         value: String,
     },
     /// A class requires a second step, for which the protocol has no messages.
--- a/crates/core/src/config/platform.rs
+++ b/crates/core/src/config/platform.rs
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Returns the fields that differ in `next` and that only a restart can change.
+    /// Returns the names of the fields that differ in `next` and that only a restart can change.
     pub fn fields_requiring_restart(&self, next: &Config) -> Vec<&'static str> {
         let mut changed = Vec::new();
         if self.name != next.name {
--- a/crates/core/src/engine/client_table.rs
+++ b/crates/core/src/engine/client_table.rs
@@ -5,8 +5,8 @@
 use crate::api::{Nanos, RequestId};
 use std::collections::BTreeMap;
 
-/// Time since its last reply after which an idle client may be evicted, once more than half of the
-/// capacity is in use.
+/// An idle client may be evicted this long after its last reply, or after it connected if there was
+/// none, once more than half of the capacity is in use.
 const CLIENT_IDLE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
 
 /// Maximum number of clients evicted for each client that connects. More than one, so that idle
--- a/crates/core/src/engine/shutdown.rs
+++ b/crates/core/src/engine/shutdown.rs
@@ -14,8 +14,8 @@
 //!    sufficient that no query is open, since a request may be in transit on a connection that is
 //!    still being read.
 //!
-//! The platform may kill the process some time after the request, which depends on the longest
-//! client deadline in the settings (`Schedule`). The answer deadline and the exit deadline are
+//! The platform may kill the process after a time that depends on the longest client deadline in
+//! the settings (`Schedule`). The answer deadline and the exit deadline are
 //! fixed times before the earliest kill, so no phase can last until the kill.
 //!
 //! [`crate::net`] describes what the sockets do in each phase.
@@ -28,7 +28,8 @@
 /// Length of the drain period. Clients open new connections for 0.4 s after the shutdown request.
 const DRAIN_PERIOD: Nanos = 500 * MILLISECOND;
 
-/// Time from the end of the longest client deadline to the earliest kill.
+/// The platform may kill the process this long after the longest client deadline, counted from the
+/// shutdown request, has passed.
 const KILL_GRACE: Nanos = 700 * MILLISECOND;
 
 /// Maximum client deadline that delays the kill. A longer deadline counts as this one.
--- a/crates/core/src/protocol/leaf/messages.rs
+++ b/crates/core/src/protocol/leaf/messages.rs
@@ -43,7 +43,7 @@
 /// A frame from a leaf server, including one that could not be decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeafResponse {
-    /// The result of one part of a call.
+    /// The leaf server has finished or rejected one part of a call.
     PartResult {
         /// Id of the part, as given in the call.
         id: String,
--- a/crates/core/tests/crossing_events.rs
+++ b/crates/core/tests/crossing_events.rs
@@ -107,7 +107,7 @@
             assert_eq!(second, "b2.3");
             assert!(
                 wait_ms <= 1200,
-                "call states {wait_ms} ms, expected at most 1200 ms"
+                "call states a wait of {wait_ms} ms, expected at most 1200 ms"
             );
             leaf.send_result(&second).await;
             assert!(read_response(&mut client).await.body.contains("b2.3"));
--- a/crates/core/tests/endpoint_watch.rs
+++ b/crates/core/tests/endpoint_watch.rs
@@ -83,7 +83,7 @@
             assert_eq!(
                 leaf.next_call().await.id,
                 "still.3",
-                "expected a call to the leaf server on the previous list"
+                "expected the query to be sent to the leaf server of the previous endpoint list"
             );
         });
     }
--- a/crates/core/tests/reducer/shutdown.rs
+++ b/crates/core/tests/reducer/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown.
+//! Graceful shutdown of the engine: when clients are accepted, connections are closed and the
+//! process exits.
 
 use crate::is_complete;
 use crate::support::engine_harness::{EngineHarness, SETTINGS};
--- a/crates/core/tests/retries.rs
+++ b/crates/core/tests/retries.rs
@@ -55,7 +55,7 @@
         } = leaf.next_call().await;
         assert!(
             first_wait_ms <= 2000,
-            "call states {first_wait_ms} ms, expected at most 2000 ms"
+            "call states a wait of {first_wait_ms} ms, expected at most 2000 ms"
         );
         sleep(Duration::from_millis(700)).await;
         reset(leaf.stream);
@@ -63,7 +63,7 @@
         let ReceivedCall { id: again, wait_ms } = leaf.next_call().await;
         assert!(
             again == id && wait_ms <= 1300,
-            "call states {wait_ms} ms, expected the same id and at most 1300 ms"
+            "call states a wait of {wait_ms} ms, expected the same id and at most 1300 ms"
         );
         leaf.send_result(&id).await;
         assert!(read_response(&mut client).await.body.contains("i1.3"));
--- a/crates/core/tests/stalled_usage_log.rs
+++ b/crates/core/tests/stalled_usage_log.rs
@@ -14,8 +14,8 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
 
-/// Maximum time from the shutdown request to an answer: the time after which the process may be
-/// killed, with the deadlines in the settings, less the time for which a process may be suspended.
+/// Maximum time from the shutdown request to an answer. With the deadlines in the settings, the
+/// process may be killed 3700 ms after the request; it may be suspended for 150 ms before that.
 const ANSWER_TIME_LIMIT: Duration = Duration::from_millis(3_700 - 150);
 
 /// A usage log that never writes, with a long maximum delay of replies.
--- a/crates/core/tests/support/socket_harness/client.rs
+++ b/crates/core/tests/support/socket_harness/client.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Connects a client to the aggregator.
+/// Opens a connection on which small writes are sent at once (`TCP_NODELAY`).
 pub async fn connect_client(aggregator: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(aggregator).await.unwrap();
     stream.set_nodelay(true).unwrap();
--- a/crates/opensearch-gateway/src/lib.rs
+++ b/crates/opensearch-gateway/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`server`] accepts HTTP requests, optionally over [`tls`], and runs each search as one query of
 //! the aggregator, subject to the same policy as a native query. The documentation of [`server`]
-//! describes the point from which both share one code path. The other modules perform
-//! no I/O:
+//! states the call from which on searches and native queries are handled by the same code. The
+//! other modules perform no I/O:
 //!
 //! - [`query_dsl`] parses a request body into a typed search and rewrites it for the shards,
 //! - [`merge`] merges the answers of the shards,
--- a/crates/opensearch-gateway/src/server/shard_selection.rs
+++ b/crates/opensearch-gateway/src/server/shard_selection.rs
@@ -27,8 +27,8 @@
         index: Index,
         preferred: Option<&[u32]>,
     ) -> Result<ShardSelection, GatewayError> {
-        let is_selected = |shard: &&ShardWeight| {
-            preferred.is_none_or(|preferred| preferred.contains(&shard.shard))
+        let is_selected = |shard_weight: &&ShardWeight| {
+            preferred.is_none_or(|preferred| preferred.contains(&shard_weight.shard))
         };
         let index_shards = index.settings.shards.iter();
         let shards: Vec<ShardWeight> = index_shards.filter(is_selected).copied().collect();
@@ -37,7 +37,7 @@
             let index = index.name.to_string();
             return Err(GatewayError::UnknownShards { index });
         }
-        let total_weight = shards.iter().map(|shard| shard.weight).sum();
+        let total_weight = shards.iter().map(|shard_weight| shard_weight.weight).sum();
         Ok(ShardSelection {
             shards,
             total_weight,
@@ -46,9 +46,9 @@
 
     /// Returns one query part per shard, with weights that add up to 1.
     pub(super) fn query_parts(&self) -> Vec<QueryPart> {
-        let part = |shard: &ShardWeight| QueryPart {
-            shard: shard.shard,
-            weight: shard.weight / self.total_weight,
+        let part = |shard_weight: &ShardWeight| QueryPart {
+            shard: shard_weight.shard,
+            weight: shard_weight.weight / self.total_weight,
             work: None,
         };
         self.shards.iter().map(part).collect()
--- a/crates/opensearch-gateway/tests/networks.rs
+++ b/crates/opensearch-gateway/tests/networks.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_longest_prefix_takes_precedence_and_redundant_networks_are_rejected() {
+fn the_longest_prefix_wins_and_redundant_networks_are_rejected() {
     let networks = tenant_networks(&[
         ("10.0.0.0/8", "a"),
         ("10.1.0.0/16", "b"),
--- a/crates/policy/src/policy/client_timeouts.rs
+++ b/crates/policy/src/policy/client_timeouts.rs
@@ -28,22 +28,22 @@
     /// assumed to end at the deadline of the client's first attempt.
     pub fn time_spent_by_earlier_attempts(
         &mut self,
-        received: &QueryReceived,
+        query: &QueryReceived,
         class: &QueryClass,
         retries_marked: bool,
     ) -> Nanos {
-        let timeout = received.client_timeout;
+        let timeout = query.client_timeout;
         let tolerance = class.latency_objective / tuning::TIMEOUT_TOLERANCE_DIVISOR;
         let are_similar = |a: Nanos, b: Nanos| a.abs_diff(b) <= tolerance;
         let group = ClientGroup {
-            class: received.class,
-            tenant: received.tenant,
+            class: query.class,
+            tenant: query.tenant,
         };
         let majority = self.majorities.entry(group).or_default();
-        if !received.is_retry {
+        if !query.is_retry {
             majority.vote(timeout, tuning::MAX_TIMEOUT_LEAD, are_similar);
         }
-        let is_known_first = retries_marked && !received.is_retry;
+        let is_known_first = retries_marked && !query.is_retry;
         let leader = majority.leader();
         let has_majority_timeout = leader.is_none_or(|leader| are_similar(timeout, leader));
         if is_known_first || has_majority_timeout {
--- a/crates/policy/src/policy/cutoff.rs
+++ b/crates/policy/src/policy/cutoff.rs
@@ -24,8 +24,8 @@
     changed_at: Nanos,
     /// Time at which the signal last indicated overload; 0 before that.
     last_overload: Nanos,
-    /// Recent parts, each with whether it was missed.
-    parts: SlidingWindow<bool>,
+    /// Whether each of the recent parts was missed.
+    recent_misses: SlidingWindow<bool>,
 }
 
 impl WeightCutoff {
@@ -37,7 +37,7 @@
             value: 0.0,
             changed_at: 0,
             last_overload: 0,
-            parts: SlidingWindow::default(),
+            recent_misses: SlidingWindow::default(),
         }
     }
 
@@ -45,7 +45,7 @@
     /// states whether the part was late, or ended in a way that indicates missing capacity.
     pub fn record(&mut self, now: Nanos, part: &mut PartState, is_missed: bool) {
         if !std::mem::replace(&mut part.is_counted, true) {
-            self.parts.push(now, is_missed);
+            self.recent_misses.push(now, is_missed);
         }
     }
 
@@ -53,10 +53,10 @@
     /// the ratio of the signal to its threshold: in a large fleet, an aggregator gets so few
     /// samples that its next reliable signal is seconds away.
     pub fn update(&mut self, now: Nanos, output: &mut BatchOutput) {
-        self.parts
+        self.recent_misses
             .expire(now.saturating_sub(tuning::OVERLOAD_WINDOW));
-        let counted = self.parts.len();
-        let missed = self.parts.count_where(|is_missed| *is_missed) as f64;
+        let counted = self.recent_misses.len();
+        let missed = self.recent_misses.count_where(|is_missed| *is_missed) as f64;
         let threshold = tuning::OVERLOAD_SHARE * counted as f64;
         let is_overloaded = counted >= tuning::OVERLOAD_MIN_PARTS && missed > threshold;
         if is_overloaded {
--- a/crates/policy/src/policy/tuning.rs
+++ b/crates/policy/src/policy/tuning.rs
@@ -63,8 +63,8 @@
 pub const PARTIAL_BUDGET_SHARE: f64 = 0.5;
 /// Number of recent retries and hedged requests below which a hedged request is always allowed.
 pub const MIN_HEDGES: f64 = 3.0;
-/// Hedged requests allowed beyond `MIN_HEDGES`, as a share of the open parts or of the queries and
-/// parts received recently, whichever is greater.
+/// Hedged requests allowed beyond `MIN_HEDGES`, as a share of the greater of two numbers: that of
+/// the parts of open queries, and that of the queries and parts received recently.
 pub const HEDGE_RATIO: f64 = 0.15;
 /// Weight of one hedged request in the moving average of the share of hedged requests that lose to
 /// the first attempt.
--- a/crates/policy/src/state/replica.rs
+++ b/crates/policy/src/state/replica.rs
@@ -12,8 +12,8 @@
     /// The connection was used recently, or the time of its last use is unknown.
     #[default]
     RecentlyUsed,
-    /// The connection was idle for long. A device on the network path may have dropped it without
-    /// notice.
+    /// The connection was idle for a long time. A device on the network path may have dropped it
+    /// without notice.
     LongIdle,
     /// The connection is new and replaces a long-idle one.
     Renewed,
--- a/crates/policy/tests/recorded_decisions/scenario.rs
+++ b/crates/policy/tests/recorded_decisions/scenario.rs
@@ -525,7 +525,7 @@
     /// Adds an action to the digest. Log lines count without their texts.
     fn record(&mut self, action: &Action) {
         let none = u64::MAX;
-        let words: [u64; 5] = match action {
+        let encoded_action: [u64; 5] = match action {
             Action::SendAttempt {
                 part,
                 replica,
@@ -552,8 +552,8 @@
             }
             Action::Log(_) => [12, 0, 0, 0, 0],
         };
-        words
+        encoded_action
             .iter()
-            .for_each(|word| self.digest.update(&word.to_le_bytes()));
+            .for_each(|number| self.digest.update(&number.to_le_bytes()));
     }
 }
--- a/crates/policy/tests/replica_selection.rs
+++ b/crates/policy/tests/replica_selection.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_replica_with_the_least_latency_times_open_calls_plus_one_is_selected() {
+fn the_least_latency_times_open_calls_plus_one_is_selected() {
     let mut harness = PolicyHarness::new(settings(vec![class(2000, 1.0)]), 2);
     let slow = harness.serve_query(0, 400);
     let fast = ReplicaId(3 - slow.0);
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors with which the adapter ends.
+//! Errors that make the adapter exit before the end of its input.
 
 use crate::wire::BatchError;
 use std::error::Error;
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -18,7 +18,7 @@
     /// The body of a batch cannot be read.
     #[error("cannot read body of batch {batch}: {source}")]
     ReadBody {
-        /// Number of the batch.
+        /// Number that the header gives the batch.
         batch: u32,
         /// Cause of the failure.
         source: io::Error,
@@ -26,7 +26,7 @@
     /// The header states more records than fit into the body.
     #[error("batch {batch}: {records} records do not fit into a body of {length} bytes")]
     RecordsDoNotFit {
-        /// Number of the batch.
+        /// Number that the header gives the batch.
         batch: u32,
         /// Number of records in the header.
         records: usize,
@@ -36,7 +36,7 @@
     /// The input ends within the body of a batch.
     #[error("body of batch {batch} truncated: read {bytes_read} of {length} bytes")]
     BodyTruncated {
-        /// Number of the batch.
+        /// Number that the header gives the batch.
         batch: u32,
         /// Number of bytes of the body that were read.
         bytes_read: usize,
@@ -46,7 +46,7 @@
     /// A record is invalid.
     #[error("batch {batch}, record {record}: {source}")]
     Record {
-        /// Number of the batch.
+        /// Number that the header gives the batch.
         batch: u32,
         /// Index of the record within the batch, from 0.
         record: usize,
--- a/crates/simulator-adapter/tests/support/adapter.rs
+++ b/crates/simulator-adapter/tests/support/adapter.rs
@@ -18,12 +18,12 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("standard input is a pipe");
+        .expect("the adapter should start");
+    let mut stdin = child.stdin.take().expect("standard input should be a pipe");
     // The write fails if the adapter ends before it has read all of an invalid input.
     let _ = stdin.write_all(input);
     drop(stdin);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter should end")
 }
 
 /// Returns the error message for an invalid input, which must be one line without a backtrace and
@@ -32,7 +32,7 @@
     let output = run(input);
     assert!(!output.status.success());
     assert!(output.stdout.is_empty());
-    let text = String::from_utf8(output.stderr).expect("standard error is UTF-8");
+    let text = String::from_utf8(output.stderr).expect("standard error should be UTF-8");
     assert_eq!(text.lines().count(), 1, "expected one line: {text}");
     text
 }
--- a/crates/simulator-adapter/tests/support/batch.rs
+++ b/crates/simulator-adapter/tests/support/batch.rs
@@ -5,8 +5,8 @@
 /// Time of every batch, in nanoseconds.
 pub const CLOCK: u64 = 8_411_201_424;
 const CLIENT_TIMEOUT_NS: u64 = 3_000_000_000;
-/// Group of queries and parts in tests with one query at a time.
-const GROUP: f32 = 4.0;
+/// Number of the group of queries and parts in tests with one query at a time.
+const GROUP_NUMBER: f32 = 4.0;
 /// Shard of a request that is a query and not a part.
 const NO_SHARD: f32 = -1.0;
 
@@ -136,7 +136,7 @@
 
     /// Sends an instance a query in the default group.
     pub fn query(self, instance: u16, id: u64) -> Batch {
-        self.query_in_group(instance, id, GROUP)
+        self.query_in_group(instance, id, GROUP_NUMBER)
     }
 
     /// Sends an instance a query in this group.
@@ -146,7 +146,7 @@
 
     /// Sends an instance a part on this shard, in the default group.
     pub fn part(self, instance: u16, id: u64, shard: f32) -> Batch {
-        self.request(instance, id, shard, GROUP)
+        self.request(instance, id, shard, GROUP_NUMBER)
     }
 
     /// Sends an instance a part on shard 0, in this group.
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -23,7 +23,7 @@
 const RECORD_COUNT: usize = 16;
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_adapter_succeeds_at_the_end_of_input() {
+fn an_empty_batch_gets_an_empty_reply_and_the_adapter_succeeds() {
     let output = run(&Batch::new(1).to_bytes());
     assert!(output.status.success());
     assert_eq!(output.stdout, [1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
--- a/crates/testkit/src/search/faults.rs
+++ b/crates/testkit/src/search/faults.rs
@@ -7,7 +7,8 @@
 
 /// Fault in the responses of shards.
 ///
-/// The variants are declared in the alphabetical order of their labels, in which reports list them.
+/// The variants are declared in the alphabetical order of their labels, and reports list them in
+/// this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShardFault {
     /// Every shard responds with an error.
--- a/crates/usage-ledger/src/log/follower.rs
+++ b/crates/usage-ledger/src/log/follower.rs
@@ -130,7 +130,7 @@
 
     fn open_segment(&self, segment: Segment) -> io::Result<OpenSegment> {
         let (header, offset) = match read_header(&segment)? {
-            Some(parsed) => (Some(parsed.header), parsed.entries_start),
+            Some(parsed) => (Some(parsed.message), parsed.entries_start),
             None => (self.header_of_run(segment.incarnation)?, MAGIC.len()),
         };
         Ok(OpenSegment {
@@ -148,7 +148,7 @@
             .iter()
             .filter(|segment| segment.incarnation == incarnation)
             .find_map(|segment| read_header(segment).ok().flatten());
-        Ok(header.map(|parsed| parsed.header))
+        Ok(header.map(|parsed| parsed.message))
     }
 
     fn read_chunk(&self, open: &OpenSegment, max_entries: usize) -> io::Result<Chunk> {
--- a/crates/usage-ledger/src/log/format.rs
+++ b/crates/usage-ledger/src/log/format.rs
@@ -58,11 +58,11 @@
     pub end: usize,
 }
 
-/// Header of a segment, with its length.
+/// Header of a segment, with the offset at which the entries start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SegmentHeader {
     /// Parsed header message.
-    pub header: Header,
+    pub message: Header,
     /// Offset of the first entry.
     pub entries_start: usize,
 }
@@ -72,7 +72,7 @@
     let rest = bytes.strip_prefix(MAGIC)?;
     let frame = parse_frame(rest, 0, MAX_HEADER_BYTES)?;
     Some(SegmentHeader {
-        header: Header::decode(frame.body).ok()?,
+        message: Header::decode(frame.body).ok()?,
         entries_start: MAGIC.len() + frame.end,
     })
 }
--- a/crates/usage-ledger/src/statement.rs
+++ b/crates/usage-ledger/src/statement.rs
@@ -2,6 +2,8 @@
 //!
 //! Statements are stored and printed as JSON. The names and the order of the fields are part of
 //! this format, since the hash of a statement covers them.
+//!
+//! Amounts are in micro-units: millionths of the currency unit in which the prices are set.
 
 use crate::rate::{requests_over_allowance, UsageCounts};
 use serde::{Deserialize, Serialize};
@@ -44,7 +46,7 @@
     pub id: String,
     /// Name of the tenant whose bill is corrected.
     pub tenant: String,
-    /// Amount of the correction, in micro-units; negative in favour of the tenant.
+    /// Amount of the correction, in micro-units; negative if the tenant is to pay less.
     pub amount: i64,
     /// Reason that the operator has given.
     pub reason: String,
@@ -52,7 +54,7 @@
     pub author: String,
 }
 
-/// Totals of one tenant in a statement.
+/// Number of answered requests of one tenant in a statement, and the amount to be billed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantTotal {
     /// Name of the tenant that is billed.
@@ -73,8 +75,8 @@
 pub struct MemberState {
     /// Name of the member in the settings (`[member NAME]`).
     pub member: String,
-    /// Time before which all records had been collected, as UTC text; `None` if nothing was ever
-    /// collected.
+    /// All records from before this time had been collected; UTC text, or `None` if nothing was
+    /// ever collected.
     #[serde(rename = "complete")]
     pub complete_until: Option<String>,
     /// Whether the period closed before all records of the member were collected.
--- a/crates/usage-ledger/src/store/error.rs
+++ b/crates/usage-ledger/src/store/error.rs
@@ -7,12 +7,15 @@
     #[error("store operation failed: {0}")]
     Sqlite(#[from] rusqlite::Error),
     /// A newer release has written the store, with a schema that this release does not support.
-    #[error("store has schema version {found}, written by a newer release; this release supports up to {known}")]
+    #[error(
+        "store has schema version {found}, written by a newer release; \
+         this release supports up to {max_supported}"
+    )]
     NewerSchema {
         /// Schema version of the file.
         found: usize,
         /// Latest schema version that this release supports.
-        known: usize,
+        max_supported: usize,
     },
     /// The period to close already has a statement.
     #[error("period {period} is already closed")]
--- a/crates/usage-ledger/src/store/ingest/run_progress.rs
+++ b/crates/usage-ledger/src/store/ingest/run_progress.rs
@@ -9,7 +9,7 @@
 pub(super) struct RunProgress {
     /// Highest sequence number of a collected record or watermark.
     last_sequence: i64,
-    /// Time before which all records of the run are in the store, in Unix milliseconds.
+    /// All records of the run from before this time are in the store; in Unix milliseconds.
     complete_until_ms: i64,
     /// Highest sequence number of a collected watermark.
     watermark_sequence: i64,
--- a/crates/usage-ledger/src/store/schema.rs
+++ b/crates/usage-ledger/src/store/schema.rs
@@ -56,7 +56,7 @@
     let Some(missing) = MIGRATIONS.get(version..) else {
         return Err(StoreError::NewerSchema {
             found: version,
-            known: MIGRATIONS.len(),
+            max_supported: MIGRATIONS.len(),
         });
     };
     for migration in missing {
--- a/crates/usage-ledger/src/store/verification.rs
+++ b/crates/usage-ledger/src/store/verification.rs
@@ -69,7 +69,7 @@
         "period {period}: {tenant:?} {class:?}: statements differ from the records by {requests} uses"
     )]
     RecordsDiffer {
-        /// Name of the period of the requests.
+        /// Name of the period to which the counts belong.
         period: String,
         /// Name of the tenant; `None` if the store has no name for the tenant's id.
         tenant: Option<String>,
--- a/crates/usage-ledger/tests/store/harness.rs
+++ b/crates/usage-ledger/tests/store/harness.rs
@@ -92,7 +92,7 @@
         let report = self.store.verify(BOUNDS).unwrap();
         assert!(
             report.checked > 0 && report.faults.is_empty(),
-            "expected checked items without faults: {report:?}"
+            "expected at least one checked item and no faults: {report:?}"
         );
     }
 }
