--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -55,42 +55,42 @@
 }
 
 fn decode_response_started(record: Fields) -> Event {
-    const PART: usize = 3;
-    const REPLICA: usize = 11;
-    const ATTEMPT: usize = 17;
+    const PART_OFFSET: usize = 3;
+    const REPLICA_OFFSET: usize = 11;
+    const ATTEMPT_OFFSET: usize = 17;
     Event::ResponseStarted {
-        part: record.u64(PART),
-        attempt: record.u8(ATTEMPT),
-        replica: record.replica(REPLICA),
+        part: record.u64(PART_OFFSET),
+        attempt: record.u8(ATTEMPT_OFFSET),
+        replica: record.replica(REPLICA_OFFSET),
     }
 }
 
 fn decode_timer_fired(record: Fields) -> Event {
-    const TOKEN: usize = 3;
+    const TOKEN_OFFSET: usize = 3;
     Event::TimerFired {
-        token: record.u64(TOKEN),
+        token: record.u64(TOKEN_OFFSET),
     }
 }
 
 fn decode_attempt_ended(record: Fields) -> Result<Event, RecordError> {
-    const PART: usize = 3;
-    const ATTEMPT: usize = 11;
-    const REPLICA: usize = 12;
-    const OUTCOME: usize = 18;
-    const REPORT: usize = 29;
+    const PART_OFFSET: usize = 3;
+    const ATTEMPT_OFFSET: usize = 11;
+    const REPLICA_OFFSET: usize = 12;
+    const OUTCOME_OFFSET: usize = 18;
+    const REPORT_OFFSET: usize = 29;
     Ok(Event::AttemptEnded(AttemptEnded {
-        part: record.u64(PART),
-        attempt: record.u8(ATTEMPT),
-        replica: record.replica(REPLICA),
-        outcome: decode_outcome(record.u16(OUTCOME))?,
-        report: decode_load_report(record, REPORT),
+        part: record.u64(PART_OFFSET),
+        attempt: record.u8(ATTEMPT_OFFSET),
+        replica: record.replica(REPLICA_OFFSET),
+        outcome: decode_outcome(record.u16(OUTCOME_OFFSET))?,
+        report: decode_load_report(record, REPORT_OFFSET),
     }))
 }
 
 /// Decodes a query or one of its parts. The field for the shard is negative in a query.
 fn decode_request_received(record: Fields) -> Event {
-    const SHARD: usize = 11;
-    let shard = record.f32(SHARD);
+    const SHARD_OFFSET: usize = 11;
+    let shard = record.f32(SHARD_OFFSET);
     if shard >= 0.0 {
         Event::PartReceived(decode_part(record, shard as u32))
     } else {
@@ -100,48 +100,48 @@
 
 /// Offsets of the fields that queries and parts have in common. The group is an integer that is
 /// encoded as a floating-point number.
-const REQUEST_ID: usize = 3;
-const REQUEST_GROUP: usize = 33;
+const REQUEST_ID_OFFSET: usize = 3;
+const REQUEST_GROUP_OFFSET: usize = 33;
 
 fn decode_part(record: Fields, shard: u32) -> PartReceived {
-    const WEIGHT: usize = 50;
+    const WEIGHT_OFFSET: usize = 50;
     PartReceived {
-        id: record.u64(REQUEST_ID),
-        group: record.f32(REQUEST_GROUP) as u32,
+        id: record.u64(REQUEST_ID_OFFSET),
+        group: record.f32(REQUEST_GROUP_OFFSET) as u32,
         shard,
-        weight: f64::from(record.f32(WEIGHT)),
+        weight: f64::from(record.f32(WEIGHT_OFFSET)),
     }
 }
 
 fn decode_query(record: Fields) -> QueryReceived {
-    const CLIENT_TIMEOUT: usize = 15;
-    const EXPECTED_WORK: usize = 23;
-    const CLASS: usize = 31;
-    const TENANT: usize = 37;
-    const FLAGS: usize = 49;
+    const CLIENT_TIMEOUT_OFFSET: usize = 15;
+    const EXPECTED_WORK_OFFSET: usize = 23;
+    const CLASS_OFFSET: usize = 31;
+    const TENANT_OFFSET: usize = 37;
+    const FLAGS_OFFSET: usize = 49;
     const FLAG_HAS_EXPECTED_WORK: u8 = 1;
     const FLAG_IS_RETRY: u8 = 2;
-    let flags = record.u8(FLAGS);
-    let expected_work: Nanos = record.u64(EXPECTED_WORK);
+    let flags = record.u8(FLAGS_OFFSET);
+    let expected_work: Nanos = record.u64(EXPECTED_WORK_OFFSET);
     QueryReceived {
-        id: record.u64(REQUEST_ID),
-        group: record.f32(REQUEST_GROUP) as u32,
-        class: record.u16(CLASS),
-        tenant: record.u32(TENANT),
-        client_timeout: record.u64(CLIENT_TIMEOUT),
+        id: record.u64(REQUEST_ID_OFFSET),
+        group: record.f32(REQUEST_GROUP_OFFSET) as u32,
+        class: record.u16(CLASS_OFFSET),
+        tenant: record.u32(TENANT_OFFSET),
+        client_timeout: record.u64(CLIENT_TIMEOUT_OFFSET),
         expected_work: (flags & FLAG_HAS_EXPECTED_WORK != 0).then_some(expected_work),
         is_retry: flags & FLAG_IS_RETRY != 0,
     }
 }
 
 fn decode_endpoints_updated(record: Fields, lists: &EndpointLists) -> Result<Event, RecordError> {
-    const LIST: usize = 3;
-    const UPDATE_KIND: usize = 15;
+    const LIST_OFFSET: usize = 3;
+    const UPDATE_KIND_OFFSET: usize = 15;
     const KIND_DELTA: u8 = 0;
     const KIND_SNAPSHOT: u8 = 1;
     const KIND_CACHED: u8 = 2;
     const KIND_UNAVAILABLE: u8 = 3;
-    let kind = match record.u8(UPDATE_KIND) {
+    let kind = match record.u8(UPDATE_KIND_OFFSET) {
         KIND_DELTA => EndpointUpdateKind::Delta,
         KIND_SNAPSHOT => EndpointUpdateKind::Snapshot,
         KIND_CACHED => EndpointUpdateKind::Cached,
@@ -150,38 +150,40 @@
     };
     let entries = match kind {
         EndpointUpdateKind::Unavailable => Vec::new(),
-        _ => lists.entries(record.u32(LIST))?,
+        _ => lists.entries(record.u32(LIST_OFFSET))?,
     };
     Ok(Event::EndpointsUpdated { kind, entries })
 }
 
 fn decode_gossip_received(record: Fields, batch: &Batch) -> Result<Event, RecordError> {
-    const FROM: usize = 3;
-    const MESSAGE_OFFSET: usize = 7;
-    const MESSAGE_LENGTH: usize = 11;
-    let length = record.u32(MESSAGE_LENGTH) as usize;
-    let bytes = batch.tail_bytes(record.u32(MESSAGE_OFFSET), length)?;
+    const FROM_OFFSET: usize = 3;
+    const MESSAGE_START_OFFSET: usize = 7;
+    const MESSAGE_LENGTH_OFFSET: usize = 11;
+    let length = record.u32(MESSAGE_LENGTH_OFFSET) as usize;
+    let bytes = batch.tail_bytes(record.u32(MESSAGE_START_OFFSET), length)?;
     Ok(Event::GossipReceived {
-        from: record.u32(FROM),
+        from: record.u32(FROM_OFFSET),
         bytes: bytes.to_vec(),
     })
 }
 
 fn decode_client_disconnected(record: Fields) -> Event {
-    const ID: usize = 3;
-    Event::ClientDisconnected { id: record.u64(ID) }
+    const ID_OFFSET: usize = 3;
+    Event::ClientDisconnected {
+        id: record.u64(ID_OFFSET),
+    }
 }
 
 fn decode_health_check_ended(record: Fields) -> Result<Event, RecordError> {
-    const OUTCOME: usize = 3;
-    const LATENCY: usize = 5;
-    const REPLICA: usize = 13;
-    const REPORT: usize = 19;
+    const OUTCOME_OFFSET: usize = 3;
+    const LATENCY_OFFSET: usize = 5;
+    const REPLICA_OFFSET: usize = 13;
+    const REPORT_OFFSET: usize = 19;
     Ok(Event::HealthCheckEnded(HealthCheckEnded {
-        replica: record.replica(REPLICA),
-        outcome: decode_outcome(record.u16(OUTCOME))?,
-        latency: record.u64(LATENCY),
-        report: decode_load_report(record, REPORT),
+        replica: record.replica(REPLICA_OFFSET),
+        outcome: decode_outcome(record.u16(OUTCOME_OFFSET))?,
+        latency: record.u64(LATENCY_OFFSET),
+        report: decode_load_report(record, REPORT_OFFSET),
     }))
 }
 
@@ -202,10 +204,10 @@
 /// Decodes a load report: one byte with the number of values, followed by the values.
 fn decode_load_report(record: Fields, offset: usize) -> LoadReport {
     const MAX_VALUES: usize = 4;
-    const VALUES: usize = 1;
+    const VALUES_OFFSET: usize = 1;
     const VALUE_LENGTH: usize = 4;
     let count = usize::from(record.u8(offset)).min(MAX_VALUES);
     (0..count)
-        .map(|index| record.f32(offset + VALUES + index * VALUE_LENGTH))
+        .map(|index| record.f32(offset + VALUES_OFFSET + index * VALUE_LENGTH))
         .collect()
 }
--- a/crates/testkit/src/bin/ledger-benchmark/load.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/load.rs
@@ -60,7 +60,7 @@
 }
 
 /// Puts load on the first aggregator of an installation for some seconds and measures it.
-pub async fn measure_slice(
+pub async fn measure_under_load(
     installation: &Installation,
     seconds: u64,
     level: &LoadLevel,
--- a/crates/testkit/src/bin/ledger-benchmark/serving.rs
+++ b/crates/testkit/src/bin/ledger-benchmark/serving.rs
@@ -1,7 +1,7 @@
 //! Measures the cost of the usage log while an aggregator serves queries.
 
 use crate::error::BenchError;
-use crate::load::{measure_slice, p99_ms, LoadLevel, Slice, HISTOGRAM_DIGITS, LOAD_LEVELS};
+use crate::load::{measure_under_load, p99_ms, LoadLevel, Slice, HISTOGRAM_DIGITS, LOAD_LEVELS};
 use aggregator_testkit::installation::{Installation, InstallationOptions};
 use aggregator_testkit::leaf::LeafOptions;
 use hdrhistogram::Histogram;
@@ -43,17 +43,17 @@
     pairs: u64,
     seconds: u64,
 ) -> Result<(), BenchError> {
-    measure_slice(off, WARM_UP_SECONDS, level).await?;
-    measure_slice(on, WARM_UP_SECONDS, level).await?;
+    measure_under_load(off, WARM_UP_SECONDS, level).await?;
+    measure_under_load(on, WARM_UP_SECONDS, level).await?;
     let mut comparison = Comparison::new(level.name)?;
     for pair in 0..pairs {
         // The order alternates, so that a drift of the machine's speed favours neither.
         let (slice_on, slice_off) = if pair % 2 == 0 {
-            let slice_on = measure_slice(on, seconds, level).await?;
-            (slice_on, measure_slice(off, seconds, level).await?)
+            let slice_on = measure_under_load(on, seconds, level).await?;
+            (slice_on, measure_under_load(off, seconds, level).await?)
         } else {
-            let slice_off = measure_slice(off, seconds, level).await?;
-            (measure_slice(on, seconds, level).await?, slice_off)
+            let slice_off = measure_under_load(off, seconds, level).await?;
+            (measure_under_load(on, seconds, level).await?, slice_off)
         };
         print_pair(level.name, pair, &slice_off, &slice_on);
         comparison.add_pair(&slice_off, &slice_on)?;
--- a/crates/testkit/src/bin/shutdown-stress-test/request_record.rs
+++ b/crates/testkit/src/bin/shutdown-stress-test/request_record.rs
@@ -44,7 +44,7 @@
     TimedOut,
 }
 
-/// Record of one request.
+/// What a client observed of one of its requests, and when.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// Name of the request: its `X-Request-ID` or, at the gateway, its `X-Opaque-Id`.
