--- a/crates/testkit/src/bin/ledger-fault-test/answer_check.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/answer_check.rs
@@ -1,6 +1,6 @@
 //! Check of an answer against the expected values of the leaf servers.
 
-use crate::logical_request::LogicalRequest;
+use crate::logical_request::ClientLogicalRequest;
 use aggregator_testkit::client::ClientHit;
 use aggregator_testkit::leaf::expected_answer;
 use std::collections::BTreeSet;
@@ -11,7 +11,11 @@
 /// Returns whether an answer is correct: each value is the expected one, no shard occurs twice, and
 /// the required weight is covered. A complete answer must cover all shards, a partial one the
 /// minimum coverage of its class.
-pub fn is_correct_answer(request: &LogicalRequest, is_complete: bool, hits: &[ClientHit]) -> bool {
+pub fn is_correct_answer(
+    request: &ClientLogicalRequest,
+    is_complete: bool,
+    hits: &[ClientHit],
+) -> bool {
     let minimum_coverage = if is_complete {
         1.0
     } else {
@@ -22,7 +26,7 @@
         && covered_weight(request, hits) + WEIGHT_TOLERANCE >= minimum_coverage
 }
 
-fn have_expected_values(request: &LogicalRequest, hits: &[ClientHit]) -> bool {
+fn have_expected_values(request: &ClientLogicalRequest, hits: &[ClientHit]) -> bool {
     let text = &request.query.text;
     hits.iter()
         .all(|hit| hit.document == expected_answer(hit.shard, text))
@@ -33,7 +37,7 @@
     distinct_shards.len() == hits.len()
 }
 
-fn covered_weight(request: &LogicalRequest, hits: &[ClientHit]) -> f64 {
+fn covered_weight(request: &ClientLogicalRequest, hits: &[ClientHit]) -> f64 {
     let shards = &request.query.shards;
     hits.iter()
         .filter_map(|hit| shards.iter().find(|shard| shard.shard == hit.shard))
--- a/crates/testkit/src/bin/ledger-fault-test/checks.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/checks.rs
@@ -3,7 +3,7 @@
 use crate::check_list::CheckList;
 use crate::ledger_commands::CORRECTION_MICRO_UNITS;
 use crate::results::Results;
-use crate::totals::{total_by_key, RequestCounts, TotalKey, Totals};
+use crate::totals::{total_by_key, RequestCounts, RequestCountsKey, Totals};
 use serde_json::Value;
 use std::collections::BTreeSet;
 
@@ -47,7 +47,7 @@
         .chain(ledger_totals.keys())
         .filter(|key| client_totals.get(*key) != ledger_totals.get(*key))
         .map(|key| {
-            let TotalKey {
+            let RequestCountsKey {
                 period,
                 tenant,
                 class,
--- a/crates/testkit/src/bin/ledger-fault-test/client.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/client.rs
@@ -1,7 +1,7 @@
 //! Clients, each of which sends one logical request after the other.
 
 use crate::load::LedgerLoad;
-use crate::logical_request::LogicalRequest;
+use crate::logical_request::ClientLogicalRequest;
 use crate::request_execution::RequestExecution;
 use aggregator_testkit::client::HttpConnection;
 use aggregator_testkit::random;
@@ -31,7 +31,7 @@
             return;
         }
         sleep(Duration::from_millis(random.random_range(THINK_TIME_MS))).await;
-        let next_request = LogicalRequest::random(&mut random, client, request_number);
+        let next_request = ClientLogicalRequest::random(&mut random, client, request_number);
         load.wait_until_clear_of_period_edge().await;
         let execution = RequestExecution::new(
             &load,
--- a/crates/testkit/src/bin/ledger-fault-test/load.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/load.rs
@@ -1,6 +1,6 @@
 //! State shared by all clients.
 
-use crate::logical_request::RequestRecord;
+use crate::logical_request::ClientRequestRecord;
 use aggregator_testkit::installation::now_ms;
 use aggregator_testkit::sync::{lock, Counter};
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
     /// Whether each aggregator was killed; from then on lost connections to it are expected.
     killed: Vec<AtomicBool>,
     remaining_requests: AtomicU64,
-    records: Mutex<Vec<RequestRecord>>,
+    records: Mutex<Vec<ClientRequestRecord>>,
 }
 
 impl LedgerLoad {
@@ -74,12 +74,12 @@
     }
 
     /// Removes and returns the records of all logical requests that have ended.
-    pub fn take_records(&self) -> Vec<RequestRecord> {
+    pub fn take_records(&self) -> Vec<ClientRequestRecord> {
         std::mem::take(&mut *lock(&self.records))
     }
 
     /// Adds the record of a logical request that has ended.
-    pub fn record_request(&self, record: RequestRecord) {
+    pub fn record_request(&self, record: ClientRequestRecord) {
         lock(&self.records).push(record);
     }
 
--- a/crates/testkit/src/bin/ledger-fault-test/logical_request.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/logical_request.rs
@@ -12,7 +12,7 @@
 const SHARED_TEXT: &str = "the same text";
 
 /// Logical request: one query, sent in one or more attempts. The ledger counts it as one use.
-pub struct LogicalRequest {
+pub struct ClientLogicalRequest {
     /// Id of the request, unique over all clients.
     pub id: String,
     /// Query sent in every attempt.
@@ -23,9 +23,9 @@
     pub tenant: &'static str,
 }
 
-impl LogicalRequest {
+impl ClientLogicalRequest {
     /// Creates a random request whose id consists of `client` and `request_number`.
-    pub fn random(random: &mut StdRng, client: u64, request_number: u64) -> LogicalRequest {
+    pub fn random(random: &mut StdRng, client: u64, request_number: u64) -> ClientLogicalRequest {
         let class = CLASSES[random.random_range(0..CLASSES.len())];
         let tenant = random.random_range(0..TENANTS.len());
         let shard_count = random.random_range(1..=6u32);
@@ -33,7 +33,7 @@
         let id = format!("{client}-{request_number}");
         // A text without a key must be unique, or the ledger would join separate logical requests.
         let has_key = tenant < TENANTS_WITH_KEYS;
-        LogicalRequest {
+        ClientLogicalRequest {
             query: ClientQuery {
                 class: class.name.into(),
                 tenant: TENANTS[tenant].into(),
@@ -66,7 +66,7 @@
 
 /// Outcome of a logical request as seen by its client.
 #[derive(Clone, Copy, PartialEq)]
-pub enum RequestOutcome {
+pub enum ClientRequestOutcome {
     /// An answer that covers all shards.
     Complete,
     /// An answer that covers only some shards.
@@ -77,20 +77,20 @@
     Failed,
 }
 
-impl RequestOutcome {
+impl ClientRequestOutcome {
     /// Returns the name of the outcome in the file of client records that `ledger reconcile` reads.
     pub fn label(self) -> &'static str {
         match self {
-            RequestOutcome::Complete => "whole",
-            RequestOutcome::Partial => "partial",
-            RequestOutcome::Rejected => "refused",
-            RequestOutcome::Failed => "failed",
+            ClientRequestOutcome::Complete => "whole",
+            ClientRequestOutcome::Partial => "partial",
+            ClientRequestOutcome::Rejected => "refused",
+            ClientRequestOutcome::Failed => "failed",
         }
     }
 }
 
 /// Client's record of a logical request.
-pub struct RequestRecord {
+pub struct ClientRequestRecord {
     /// Time of the first attempt in Unix milliseconds.
     pub started_ms: u64,
     /// Name of the tenant.
@@ -98,7 +98,7 @@
     /// Name of the query class.
     pub class: &'static str,
     /// Outcome as seen by the client.
-    pub outcome: RequestOutcome,
+    pub outcome: ClientRequestOutcome,
     /// Number of attempts made.
     pub attempts: u32,
     /// Key by which the ledger joins the attempts.
--- a/crates/testkit/src/bin/ledger-fault-test/request_execution.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/request_execution.rs
@@ -3,7 +3,7 @@
 
 use crate::answer_check::is_correct_answer;
 use crate::load::LedgerLoad;
-use crate::logical_request::{LogicalRequest, RequestOutcome, RequestRecord};
+use crate::logical_request::{ClientLogicalRequest, ClientRequestOutcome, ClientRequestRecord};
 use aggregator_testkit::client::{ClientAttempt, ClientHit, ClientOutcome, HttpConnection};
 use aggregator_testkit::installation::now_ms;
 use rand::rngs::StdRng;
@@ -29,7 +29,7 @@
     load: &'a LedgerLoad,
     connection: &'a mut HttpConnection,
     random: &'a mut StdRng,
-    request: &'a LogicalRequest,
+    request: &'a ClientLogicalRequest,
     /// Index of the aggregator to which the next attempt is sent.
     aggregator: usize,
     attempts: u32,
@@ -41,7 +41,7 @@
         load: &'a LedgerLoad,
         connection: &'a mut HttpConnection,
         random: &'a mut StdRng,
-        request: &'a LogicalRequest,
+        request: &'a ClientLogicalRequest,
         home_aggregator: usize,
     ) -> RequestExecution<'a> {
         RequestExecution {
@@ -56,10 +56,10 @@
 
     /// Makes attempts until the request is answered or fails, its timeout has passed, or the
     /// maximum number of attempts is reached. Returns the record of the request.
-    pub async fn run(mut self) -> RequestRecord {
+    pub async fn run(mut self) -> ClientRequestRecord {
         let started_ms = now_ms();
         let outcome = self.run_attempts().await;
-        RequestRecord {
+        ClientRequestRecord {
             started_ms,
             tenant: self.request.tenant,
             class: self.request.class.name,
@@ -69,7 +69,7 @@
         }
     }
 
-    async fn run_attempts(&mut self) -> RequestOutcome {
+    async fn run_attempts(&mut self) -> ClientRequestOutcome {
         let started = Instant::now();
         let request_timeout = self.request.class.timeout();
         while self.attempts < MAX_ATTEMPTS {
@@ -84,7 +84,7 @@
                 return request_outcome;
             }
         }
-        RequestOutcome::Rejected
+        ClientRequestOutcome::Rejected
     }
 
     /// Makes one attempt. Returns `None` if the client abandons the attempt.
@@ -157,7 +157,7 @@
     }
 
     /// Handles the outcome of an attempt. Returns the outcome of the request, or `None` to retry.
-    async fn handle_outcome(&mut self, outcome: ClientOutcome) -> Option<RequestOutcome> {
+    async fn handle_outcome(&mut self, outcome: ClientOutcome) -> Option<ClientRequestOutcome> {
         match outcome {
             ClientOutcome::Answered { is_complete, hits } => {
                 Some(self.handle_answer(is_complete, &hits))
@@ -172,20 +172,20 @@
             }
             ClientOutcome::TimedOut => {
                 self.load.counters.unanswered.increment();
-                Some(RequestOutcome::Failed)
+                Some(ClientRequestOutcome::Failed)
             }
-            ClientOutcome::Failed { .. } => Some(RequestOutcome::Failed),
+            ClientOutcome::Failed { .. } => Some(ClientRequestOutcome::Failed),
         }
     }
 
-    fn handle_answer(&self, is_complete: bool, hits: &[ClientHit]) -> RequestOutcome {
+    fn handle_answer(&self, is_complete: bool, hits: &[ClientHit]) -> ClientRequestOutcome {
         if !is_correct_answer(self.request, is_complete, hits) {
             self.load.counters.incorrect.increment();
         }
         if is_complete {
-            RequestOutcome::Complete
+            ClientRequestOutcome::Complete
         } else {
-            RequestOutcome::Partial
+            ClientRequestOutcome::Partial
         }
     }
 
--- a/crates/testkit/src/bin/ledger-fault-test/results.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/results.rs
@@ -2,7 +2,7 @@
 
 use crate::check_list::CheckList;
 use crate::load::LedgerLoad;
-use crate::logical_request::{RequestOutcome, RequestRecord};
+use crate::logical_request::{ClientRequestOutcome, ClientRequestRecord};
 use crate::statements::Statements;
 use aggregator_testkit::receiver::ReceivedDocuments;
 use aggregator_testkit::test_program;
@@ -13,7 +13,7 @@
 /// Records collected after all clients had ended.
 pub struct Results {
     /// Clients' records of their logical requests.
-    pub requests: Vec<RequestRecord>,
+    pub requests: Vec<ClientRequestRecord>,
     /// Load with the counters of all clients.
     pub load: Arc<LedgerLoad>,
     /// Statements of all periods.
@@ -60,7 +60,7 @@
             .filter(|record| {
                 matches!(
                     record.outcome,
-                    RequestOutcome::Complete | RequestOutcome::Partial
+                    ClientRequestOutcome::Complete | ClientRequestOutcome::Partial
                 )
             })
             .count()
--- a/crates/testkit/src/bin/ledger-fault-test/statements.rs
+++ b/crates/testkit/src/bin/ledger-fault-test/statements.rs
@@ -1,7 +1,7 @@
 //! Statements and exported documents of the ledger.
 
 use crate::timestamps::parse_ms;
-use crate::totals::{TotalKey, Totals};
+use crate::totals::{RequestCountsKey, Totals};
 use aggregator_testkit::installation::InstalledLedger;
 use aggregator_testkit::test_program::TestProgramError;
 use serde_json::Value;
@@ -113,7 +113,7 @@
     fn add_line(&mut self, line: &Value) {
         let text = |key: &str| line[key].as_str().unwrap_or_default().to_string();
         let count = |key: &str| line[key].as_i64().unwrap_or_default();
-        let key = TotalKey {
+        let key = RequestCountsKey {
             period: text("period"),
             tenant: text("tenant"),
             class: text("class"),
