--- a/crates/usage-ledger/src/statement.rs
+++ b/crates/usage-ledger/src/statement.rs
@@ -3,7 +3,7 @@
 //! Statements are stored and printed as JSON. The names and the order of the fields are part of
 //! this format, since the hash of a statement covers them.
 //!
-//! Amounts are in micro-units: millionths of the currency unit in which the prices are set.
+//! Amounts are whole numbers of micro-units, the unit of the prices in the settings.
 
 use crate::rate::{requests_over_allowance, UsageCounts};
 use serde::{Deserialize, Serialize};
